--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -17,6 +17,40 @@
     digest: fnv::FnvHasher,
     actions: u64,
     starts: Vec<Time>,
+    /// True units come with the answer.
+    settles: bool,
+}
+
+/// The kinds of deployment that are traced.
+#[derive(Debug, Clone, Copy)]
+enum Deployment {
+    /// Rates, ceilings and every effect.
+    Quotas,
+    /// Caps on open attempts, units settled afterwards, requests beyond the quota that pay.
+    Caps,
+    /// No counter; the list is asked for, and repeats are recognized by cell.
+    Alone,
+}
+
+fn deployment(kind: Deployment, gateways: u32) -> Settings {
+    let mut s = settings(gateways);
+    match kind {
+        Deployment::Quotas => {}
+        Deployment::Caps => {
+            s.max_units = 3.0;
+            for plan in &mut s.plans {
+                (plan.excess_worth, plan.overrun_cost) = (0.3, 0.1);
+            }
+            (s.plans[0].open, s.plans[0].rate, s.plans[1].open) = (4, 0.0, 9);
+        }
+        Deployment::Alone => {
+            (s.has_counter, s.must_ask, s.second_copies, s.retry_after) = (false, true, false, false);
+            s.max_open = 40;
+            s.classes[2].effect = Effect::Keyed { group: Group::Cell, window: 1.0 };
+            s.classes[0].late_worth = 0.5;
+        }
+    }
+    s
 }
 
 fn settings(gateways: u32) -> Settings {
@@ -42,14 +76,21 @@
     s
 }
 
-/// An action as text, without the reason that it gives beside the decision.
+/// An action as text of its own form, so that a renamed type or field leaves the digest as it is.
 fn decision(action: &Action) -> String {
     match action {
-        Action::Refuse { job, retry_after, .. } => {
-            format!("Refuse {{ job: {job:?}, retry_after: {retry_after:?} }}")
+        Action::Send { job, server, timeout, within } => {
+            format!("send {job} {server} {timeout:?} {within:?}")
         }
-        Action::Fail { job, .. } => format!("Fail {{ job: {job:?} }}"),
-        _ => format!("{action:?}"),
+        Action::Refuse { job, retry_after, reason } => format!("refuse {job} {retry_after:?} {reason}"),
+        Action::Fail { job, reason } => format!("fail {job} {reason}"),
+        Action::Cancel { job, attempt } => format!("cancel {job} {attempt}"),
+        Action::Timer { token, at } => format!("timer {token} {at:?}"),
+        Action::Probe { server } => format!("probe {server}"),
+        Action::Count { counter, amount, ttl } => format!("count {counter} {amount:?} {ttl:?}"),
+        Action::Watch => "watch".to_string(),
+        Action::Log(text) => format!("log {text}"),
+        _ => unreachable!("every action has its text"),
     }
 }
 
@@ -73,8 +114,9 @@
                 let attempt = *attempts;
                 *attempts += 1;
                 let over = status == Status::Ok;
+                let settled = Some(1.0 + (work * 100.0).floor() / 8.0).filter(|_| over && self.settles);
                 let (job, server, load) = (job.clone(), server.clone(), Load::default());
-                let end = Event::Outcome { job, attempt, server, status, spent, over, settled: None, load };
+                let end = Event::Outcome { job, attempt, server, status, spent, over, settled, load };
                 self.out.push((self.now + spent, end));
             }
             Action::Count { counter, amount, .. } => {
@@ -101,7 +143,7 @@
     let entry = |i: usize, world: &mut World| Server {
         id: format!("10.0.{}.{}:80", i / 250, i % 250).into(),
         zone: (i % 3) as u32,
-        cell: 0,
+        cell: (i % 4) as u32,
         started: world.starts[i],
         lifecycle: lifecycle(world.rng.u32(..20)),
     };
@@ -109,8 +151,8 @@
     Event::List { kind: ListKind::Full, servers }
 }
 
-fn play(gateways: u32, servers: usize, customers: u64, seed: u64) -> (u64, u64) {
-    let mut gateway = Gateway::new(settings(gateways), seed).expect("usable settings");
+fn play(kind: Deployment, gateways: u32, servers: usize, customers: u64, seed: u64) -> (u64, u64) {
+    let mut gateway = Gateway::new(deployment(kind, gateways), seed).expect("usable settings");
     let mut world = World {
         rng: fastrand::Rng::with_seed(seed),
         now: 100.0,
@@ -120,6 +162,7 @@
         digest: fnv::FnvHasher::default(),
         actions: 0,
         starts: vec![0.0; servers],
+        settles: matches!(kind, Deployment::Caps),
     };
     let (mut actions, mut next) = (Vec::new(), 0u64);
     for step in 0..EVENTS / 20 {
@@ -163,14 +206,16 @@
 }
 
 fn main() {
-    for (gateways, servers, customers) in
-        [(1, 10, 20), (3, 12, 200), (1, 200, 1000), (20, 200, 1000), (2, 3, 5)]
-    {
-        for seed in 1..=2 {
-            let (digest, actions) = play(gateways, servers, customers, seed);
-            println!(
-                "{gateways} gateways, {servers} servers, {customers} customers, seed {seed}: {actions} actions, {digest:016x}"
-            );
+    for kind in [Deployment::Quotas, Deployment::Caps, Deployment::Alone] {
+        for (gateways, servers, customers) in
+            [(1, 10, 20), (3, 12, 200), (1, 200, 1000), (20, 200, 1000), (2, 3, 5)]
+        {
+            for seed in 1..=2 {
+                let (digest, actions) = play(kind, gateways, servers, customers, seed);
+                println!(
+                    "{kind:?}, {gateways} gateways, {servers} servers, {customers} customers, seed {seed}: {actions} actions, {digest:016x}"
+                );
+            }
         }
     }
 }
