--- a/benches/module.rs
+++ b/benches/module.rs
@@ -10,7 +10,7 @@
 
 fn settings(gateways: u32) -> Settings {
     let mut s = Settings::default();
-    (s.gateways, s.max_attempts) = (gateways, 3);
+    (s.instances, s.max_attempts) = (gateways, 3);
     s.classes = vec![Class::default()];
     let mut plan = Plan::default();
     (plan.rate, plan.burst) = (1e6, 1e6);
@@ -26,12 +26,15 @@
 fn module(gateways: u32, servers: usize, customers: usize) -> f64 {
     let mut gateway = Gateway::new(settings(gateways), 7).expect("usable settings");
     let (mut rng, mut actions, mut now) = (fastrand::Rng::with_seed(1), Vec::new(), 100.0);
-    let entry = |i| Server::warm(format!("10.0.{}.{}:8080", i / 250, i % 250));
-    let list = Event::List { kind: ListKind::Full, servers: (0..servers).map(entry).collect() };
+    let entry = |i| Endpoint::warm(format!("10.0.{}.{}:8080", i / 250, i % 250));
+    let list = Event::EndpointList {
+        kind: EndpointListKind::Snapshot,
+        endpoints: (0..servers).map(entry).collect(),
+    };
     gateway.handle(now, list, &mut actions);
     actions.clear();
     let names = names(customers);
-    let jobs: Vec<JobId> = (0..ROUNDS).map(|i| format!("{i:x}").into()).collect();
+    let jobs: Vec<RequestId> = (0..ROUNDS).map(|i| format!("{i:x}").into()).collect();
     let mut out = std::collections::VecDeque::new();
     let held = (servers / 4).max(1);
     let began = Instant::now();
@@ -41,29 +44,37 @@
         gateway.handle(
             now,
             Event::Request(Request {
-                job: job.clone(),
+                id: job.clone(),
                 units: 1.0,
-                expires: now + 3.0,
+                deadline: now + 3.0,
                 plan: 0,
-                spread: gateways.min(4),
-                first: 0,
+                customer_instances: gateways.min(4),
+                first_instance: 0,
                 class: 0,
                 customer,
-                repeat: false,
+                is_retry: false,
             }),
             &mut actions,
         );
         for action in actions.drain(..) {
-            if let Action::Send { job, server, .. } = action {
+            if let Action::Forward { request: job, backend: server, .. } = action {
                 out.push_back((job, server));
             }
         }
         if out.len() > held {
             let (job, server) = out.pop_front().expect("one is out");
             let spent = 0.01 + 0.01 * rng.f64();
-            let (status, load) = (Status::Ok, Load::default());
-            let end =
-                Event::Outcome { job, attempt: 0, server, status, spent, over: true, settled: None, load };
+            let (status, load) = (Status::Ok, LoadReport::default());
+            let end = Event::AttemptEnded {
+                request: job,
+                attempt: 0,
+                backend: server,
+                status,
+                elapsed: spent,
+                request_ended: true,
+                settled_units: None,
+                load,
+            };
             gateway.handle(now, end, &mut actions);
             actions.clear();
         }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -114,7 +114,7 @@
             let fleet = config.fleet.as_ref().map_or_else(
                 || "no [fleet]: it knows of no other gateway".to_string(),
                 |fleet| {
-                    let (me, size) = (fleet.settings.me, fleet.settings.members.len());
+                    let (me, size) = (fleet.settings.instance, fleet.settings.members.len());
                     format!("gateway {me} of a fleet of {size}, datagrams at {}", fleet.listen)
                 },
             );
--- a/crates/cli/src/standins.rs
+++ b/crates/cli/src/standins.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::task::JoinSet;
-use weirusher::Server;
+use weirusher::Endpoint;
 use weirusher_core::{Key, Keyring};
 use weirusher_fakes::{
     BehaviourProfile, Cold, Counter, Discovery, FakeBackend, FakeBackendSpec, Final, LoadGenerator, Outcome,
@@ -84,7 +84,7 @@
         Standin::Discovery { listen, checker } => {
             loopback(&[listen])?;
             let discovery = Discovery::start(listen, Duration::ZERO, recorder).await?;
-            discovery.set(checker.iter().map(|address| Server::warm(address.to_string())).collect());
+            discovery.set(checker.iter().map(|address| Endpoint::warm(address.to_string())).collect());
             stay(discovery.address).await;
         }
         Standin::Edge { gatekeeper, prefix, customers, rate, seconds, path, patience_ms, capture } => {
--- a/crates/cli/tests/kept_list.rs
+++ b/crates/cli/tests/kept_list.rs
@@ -11,7 +11,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use weirusher::{Lifecycle, Server};
+use weirusher::{Endpoint, Lifecycle};
 use weirusher_fakes::{Discovery, Recorder};
 use weirusher_fault_shim::{Action, Call, Errno, Fault, FaultShim};
 
@@ -106,9 +106,9 @@
     }
 }
 
-fn running(address: &str) -> Server {
+fn running(address: &str) -> Endpoint {
     let (zone, cell, started, lifecycle) = (0, 0, 0.0, Lifecycle::Running);
-    Server { id: address.into(), zone, cell, started, lifecycle }
+    Endpoint { id: address.into(), zone, cell, started, lifecycle }
 }
 
 fn servers(file: &Path) -> Vec<String> {
--- a/crates/cli/tests/kills.rs
+++ b/crates/cli/tests/kills.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
-use weirusher::{Lifecycle, Server};
+use weirusher::{Endpoint, Lifecycle};
 use weirusher_core::{Key, Keyring};
 use weirusher_fakes::{
     BehaviourProfile, Counter, Discovery, Fact, FakeBackend, FakeBackendSpec, Final, Link, LoadGenerator,
@@ -88,7 +88,7 @@
             headers: ["x-weirusher-ticket".into(), "x-units".into()],
         };
         let checker = FakeBackend::start(ANYWHERE, spec, recorder.clone(), 1).await.unwrap();
-        discovery.set(vec![Server {
+        discovery.set(vec![Endpoint {
             id: checker.address.to_string().into(),
             zone: 0,
             cell: 0,
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -65,7 +65,7 @@
     let me = u16::try_from(me).unwrap_or(u16::MAX);
     // What lacks was told; the table itself is there.
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let settings = Settings { me, members, key };
+    let settings = Settings { instance: me, members, key };
     Some(FleetConfig { listen: listen.unwrap_or(anywhere), admin, settings, clock_shift })
 }
 
@@ -147,7 +147,7 @@
     #[test]
     fn a_good_file_is_read_and_listens_at_its_own_address() {
         let config = FleetConfig::parse(GOOD).unwrap();
-        assert_eq!((config.settings.me, config.settings.members.len()), (1, 3));
+        assert_eq!((config.settings.instance, config.settings.members.len()), (1, 3));
         assert_eq!(config.listen, config.settings.members[1]);
         let elsewhere = GOOD.replace("number", "listen = \"127.0.0.2:1\"\nnumber");
         assert_eq!(FleetConfig::parse(&elsewhere).unwrap().listen.to_string(), "127.0.0.2:1");
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use weirusher::{Class, Effect, Group, Plan, Settings};
+use weirusher::{Class, DedupScope, Idempotency, Plan, Settings};
 use weirusher_core::Key;
 
 /// A day, in seconds: no time in a configuration is longer.
@@ -89,17 +89,17 @@
 }
 
 /// Reads an effect: `safe`, `unsafe`, or `keyed`.
-pub fn parse_effect(name: &str, group: &str, window: f64) -> Option<Effect> {
+pub fn parse_effect(name: &str, group: &str, window: f64) -> Option<Idempotency> {
     let group = match group {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
         _ => return None,
     };
     Some(match name {
-        "safe" => Effect::Safe,
-        "unsafe" => Effect::Unsafe,
-        "keyed" => Effect::Keyed { group, window },
+        "safe" => Idempotency::Idempotent,
+        "unsafe" => Idempotency::NonIdempotent,
+        "keyed" => Idempotency::Keyed { scope: group, window },
         _ => return None,
     })
 }
@@ -152,14 +152,14 @@
     instance(root, &mut settings);
     limits(root, &mut settings);
     cold(root, &mut settings);
-    let fleet = fleet::read(root, Member::Instance(settings.me, settings.gateways));
+    let fleet = fleet::read(root, Member::Instance(settings.instance, settings.instances));
     let listen = listen(root);
     let keys = tickets(root);
     let counter = counter(root, &mut settings);
     let discovery = discovery(root, &mut settings);
     let mut request = requests(root, &settings, &plan_names, &class_names);
     request.class_patience = class_patience;
-    settings.max_units = request.max_units;
+    settings.max_request_units = request.max_units;
     let (ext_authz, admin, connections, drain) = listen?;
     Some(Config {
         settings,
@@ -179,12 +179,12 @@
     let Some(mut table) = root.table("instance") else {
         return root.missing("[instance]", "a table with `number` and `gateways`");
     };
-    settings.gateways = table.whole("gateways", 1, 1, 100_000);
-    settings.me = table.whole("number", 0, 0, 99_999);
-    if settings.me >= settings.gateways {
+    settings.instances = table.whole("gateways", 1, 1, 100_000);
+    settings.instance = table.whole("number", 0, 0, 99_999);
+    if settings.instance >= settings.instances {
         let message =
-            format!("instance {} of {} gateways: numbers run from 0", settings.me, settings.gateways);
-        table.problems.add(table.at(), message, format!("`number` must be below {}", settings.gateways));
+            format!("instance {} of {} gateways: numbers run from 0", settings.instance, settings.instances);
+        table.problems.add(table.at(), message, format!("`number` must be below {}", settings.instances));
     }
     settings.zone = table.whole("zone", 0, 0, 10_000);
     table.finish();
@@ -240,7 +240,7 @@
 fn counter(root: &mut Table<'_, '_>, settings: &mut Settings) -> Option<CounterConfig> {
     let mut table = root.table("counter")?;
     settings.has_counter = true;
-    settings.count_limit = table.number("limit_ms", 50.0, 1.0, 10_000.0) / 1000.0;
+    settings.counter_timeout = table.number("limit_ms", 50.0, 1.0, 10_000.0) / 1000.0;
     let address = address(&mut table, "address", None);
     table.finish();
     Some(CounterConfig { address: address? })
@@ -251,7 +251,7 @@
         root.missing("[discovery]", "a table with `address`, where EDS is served");
         return None;
     };
-    settings.must_ask = true;
+    settings.polls_endpoints = true;
     let address = address(&mut table, "address", None);
     let cluster = table.text("cluster").map_or_else(|| "checkers".to_string(), |(name, _)| name);
     let keep = table.text("keep").map(|(path, _)| PathBuf::from(path));
@@ -263,21 +263,21 @@
 }
 
 fn limits(root: &mut Table<'_, '_>, settings: &mut Settings) {
-    (settings.max_open, settings.max_attempts, settings.max_retry_after) = (10_000, 3, 5.0);
+    (settings.max_open_requests, settings.max_attempts, settings.max_retry_after) = (10_000, 3, 5.0);
     let Some(mut table) = root.table("limits") else { return };
-    settings.max_open = table.whole("open", settings.max_open, 1, 10_000_000);
+    settings.max_open_requests = table.whole("open", settings.max_open_requests, 1, 10_000_000);
     settings.max_attempts = table.whole("attempts", settings.max_attempts, 1, 100);
     settings.max_retry_after = table.number("retry_after_seconds", settings.max_retry_after, 0.0, DAY);
-    settings.retry_after = settings.max_retry_after > 0.0;
+    settings.sends_retry_after = settings.max_retry_after > 0.0;
     table.finish();
 }
 
 fn cold(root: &mut Table<'_, '_>, settings: &mut Settings) {
     let Some(mut table) = root.table("cold") else { return };
-    settings.cold_from = table.number("from", 1.0, 0.0, 1.0);
-    settings.cold = table.number("seconds", 0.0, 0.0, DAY);
-    settings.fall_multiple = table.number("fall_multiple", 1.0, 0.0, 1000.0);
-    settings.fall = table.number("fall_seconds", 1.0, 0.001, DAY);
+    settings.slow_start_min_capacity = table.number("from", 1.0, 0.0, 1.0);
+    settings.slow_start_seconds = table.number("seconds", 0.0, 0.0, DAY);
+    settings.overload_multiple = table.number("fall_multiple", 1.0, 0.0, 1000.0);
+    settings.overload_seconds = table.number("fall_seconds", 1.0, 0.001, DAY);
     table.finish();
 }
 
@@ -305,10 +305,10 @@
         let mut plan = Plan::default();
         plan.rate = table.number("rate", 0.0, 0.0, MANY);
         plan.burst = table.number("burst", plan.rate.max(1.0), 0.0, MANY);
-        plan.open = table.whole("open", 0, 0, u32::MAX);
-        plan.pays = table.number("pays", 1.0, 0.0, MANY);
-        plan.excess_worth = table.number("excess_worth", 0.0, 0.0, MANY);
-        plan.overrun_cost = table.number("overrun_cost", 0.0, 0.0, MANY);
+        plan.max_concurrent = table.whole("open", 0, 0, u32::MAX);
+        plan.priority_weight = table.number("pays", 1.0, 0.0, MANY);
+        plan.over_quota_weight = table.number("excess_worth", 0.0, 0.0, MANY);
+        plan.over_quota_cost = table.number("overrun_cost", 0.0, 0.0, MANY);
         plan.ceiling_rate = table.number("ceiling_rate", 0.0, 0.0, MANY);
         plan.ceiling_burst = table.number("ceiling_burst", 0.0, 0.0, MANY);
         if plan.rate > 0.0 && plan.burst < 1.0 {
@@ -334,22 +334,22 @@
     for mut table in root.tables("class") {
         named(&mut table, &mut names, "classes");
         let mut class = Class::default();
-        class.aim = table.number("aim_ms", 1000.0, 1.0, DAY * 1000.0) / 1000.0;
-        class.late_worth = table.number("late_worth", 0.0, 0.0, 1.0);
+        class.latency_objective = table.number("aim_ms", 1000.0, 1.0, DAY * 1000.0) / 1000.0;
+        class.late_weight = table.number("late_worth", 0.0, 0.0, 1.0);
         let window = table.number("window_seconds", 0.0, 0.0, DAY);
         let group = table.text("group").map_or_else(|| "all".to_string(), |(group, _)| group);
         if let Some((effect, at)) = table.text("effect") {
             match parse_effect(&effect, &group, window) {
-                Some(effect) => class.effect = effect,
+                Some(effect) => class.idempotency = effect,
                 None => {
                     let hint = "`effect` is safe, keyed or unsafe; `group` is all, zone or cell".to_string();
                     table.problems.add(at, format!("no such effect: {effect} in the group {group}"), hint);
                 }
             }
         }
-        let waits = table.number("patience_ms", class.aim * 3000.0, 1.0, DAY * 1000.0) / 1000.0;
+        let waits = table.number("patience_ms", class.latency_objective * 3000.0, 1.0, DAY * 1000.0) / 1000.0;
         class.deadline = waits;
-        if waits < class.aim {
+        if waits < class.latency_objective {
             let message = "clients give up before the aim".to_string();
             table.problems.add(table.at(), message, "`patience_ms` is `aim_ms` or more".to_string());
         }
@@ -480,7 +480,7 @@
     #[test]
     fn a_good_configuration_is_read() {
         let config = Config::parse(GOOD).unwrap();
-        assert_eq!((config.settings.gateways, config.settings.plans[0].burst), (3, 4.0));
+        assert_eq!((config.settings.instances, config.settings.plans[0].burst), (3, 4.0));
         assert_eq!(config.request.default_plan, Some(0));
         assert!(config.settings.has_counter);
     }
--- a/crates/core/benches/memory.rs
+++ b/crates/core/benches/memory.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo bench -p weirusher-core --bench memory` (Linux).
 
-use weirusher::{Class, ListKind, Plan, Server, Settings};
+use weirusher::{Class, Endpoint, EndpointListKind, Plan, Settings};
 use weirusher_core::{Check, Engine, Key, Keyring};
 
 const MANY: u64 = 15_000;
@@ -22,9 +22,9 @@
     (settings.plans, settings.classes) = (vec![plan], vec![Class::default()]);
     let ring = Keyring::new(vec![Key { id: 1, secret: vec![7; 32] }]).expect("one key is given");
     let mut engine = Engine::new(settings, ring, 1, 1, 1e6).expect("usable settings");
-    let server = |n: u32| Server::warm(format!("127.0.0.1:{n}"));
+    let server = |n: u32| Endpoint::warm(format!("127.0.0.1:{n}"));
     // So many servers that all requests may be out.
-    engine.list(1e6, ListKind::Full, (1..=2_000).map(server).collect());
+    engine.update_endpoints(1e6, EndpointListKind::Snapshot, (1..=2_000).map(server).collect());
     let before = resident();
     for caller in 0..MANY {
         let customer = format!("customer-{}", caller % customers).into();
@@ -34,7 +34,7 @@
         engine.outputs().for_each(drop);
     }
     assert!(engine.owed() > MANY as usize / 2, "most must be out: {}", engine.owed());
-    (resident() - before) / engine.open() as f64
+    (resident() - before) / engine.open_requests() as f64
 }
 
 fn main() {
--- a/crates/core/src/calls/tests.rs
+++ b/crates/core/src/calls/tests.rs
@@ -48,7 +48,7 @@
 fn a_call_turned_away_at_once_does_not_overtake_one_that_is_out() {
     let mut order = CallOrder::default();
     let (first, other, second) = (order.begin(7), order.begin(8), order.begin(7));
-    let (full, ok) = ((Status::Full, 0.0, 0.0), (Status::Ok, 3.0, 0.01));
+    let (full, ok) = ((Status::Rejected, 0.0, 0.0), (Status::Ok, 3.0, 0.01));
     assert_eq!(order.end(second, full), Some((7, vec![])));
     assert_eq!(order.end(other, ok), Some((8, vec![ok])));
     assert_eq!(order.end(first, ok), Some((7, vec![ok, full])));
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -4,13 +4,13 @@
 use crate::calls::CallOrder;
 use crate::starts::ServerStarts;
 use crate::wheel::Wheel;
-use weirusher::{Action, Event, Gateway, ListKind, Server, Settings, SettingsError, Status, Time};
+use weirusher::{Action, Endpoint, EndpointListKind, Event, Gateway, Settings, SettingsError, Status, Time};
 
 /// What the module wants of the world around, whichever front it decides for.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Call the counter.
-    Count {
+    AddToCounter {
         /// Names the call.
         call: u64,
         /// The count's name.
@@ -21,7 +21,7 @@
         ttl: f64,
     },
     /// Follow the list of servers.
-    Watch,
+    WatchEndpoints,
     /// A line for the log.
     Log(String),
 }
@@ -43,7 +43,7 @@
 
 impl<D: From<Token>> DecisionDriver<D> {
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
-        let starts = ServerStarts::new(settings.cold_from, settings.cold);
+        let starts = ServerStarts::new(settings.slow_start_min_capacity, settings.slow_start_seconds);
         let (gateway, calls) = (Gateway::new(settings, seed)?, CallOrder::default());
         Ok(Self { gateway, calls, starts, wheel: Wheel::new(now), spare: Vec::new() })
     }
@@ -58,9 +58,9 @@
     }
 
     /// The list of servers came: what the module is told of it.
-    pub fn list(&mut self, now: Time, kind: ListKind, mut servers: Vec<Server>) -> Event {
+    pub fn list(&mut self, now: Time, kind: EndpointListKind, mut servers: Vec<Endpoint>) -> Event {
         self.starts.localize(now, kind, &mut servers);
-        Event::List { kind, servers }
+        Event::EndpointList { kind, endpoints: servers }
     }
 
     /// Discovery answered that the list is as it was.
@@ -77,20 +77,20 @@
     /// A counter call ended: the events that may be told now, in the order in which the calls were made.
     pub fn counted(&mut self, call: u64, status: Status, total: f64, spent: f64) -> Vec<Event> {
         let Some((counter, ends)) = self.calls.end(call, (status, total, spent)) else { return Vec::new() };
-        let told = |(status, total, spent)| Event::Counted { counter, status, total, spent };
+        let told = |(status, total, spent)| Event::CounterResponse { counter, status, total, elapsed: spent };
         ends.into_iter().map(told).collect()
     }
 
     fn common<O: From<Command>>(&mut self, action: &Action, outputs: &mut Vec<O>) -> bool {
         let command = match *action {
-            Action::Timer { token, at } => {
+            Action::SetTimer { token, at } => {
                 self.wheel.set(at, D::from(Token(token)));
                 return true;
             }
-            Action::Count { counter, amount, ttl } => {
-                Command::Count { call: self.calls.begin(counter), counter, amount, ttl }
+            Action::AddToCounter { counter, amount, ttl } => {
+                Command::AddToCounter { call: self.calls.begin(counter), counter, amount, ttl }
             }
-            Action::Watch => Command::Watch,
+            Action::WatchEndpoints => Command::WatchEndpoints,
             Action::Log(ref text) => Command::Log(text.clone()),
             _ => return false,
         };
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -10,8 +10,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use weirusher::{
-    Action, CustomerId, Effect, Event, JobId, ListKind, Load, Request, Server, ServerId, Settings,
-    SettingsError, Status, Time,
+    Action, BackendId, CustomerId, Endpoint, EndpointListKind, Event, Idempotency, LoadReport, Request,
+    RequestId, Settings, SettingsError, Status, Time,
 };
 
 /// Seconds past an attempt's limit for which its report may still come: the way from the edge, and its batches.
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Allowed {
     /// Where to send it.
-    pub server: ServerId,
+    pub server: BackendId,
     /// Seconds until it must be given up.
     pub timeout: f64,
     /// The ticket's text.
@@ -200,7 +200,7 @@
 
 #[derive(Debug)]
 struct Attempt {
-    server: ServerId,
+    server: BackendId,
     since: Time,
     limit: Time,
     state: State,
@@ -229,7 +229,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    job: JobId,
+    job: RequestId,
     customer: CustomerId,
     class: usize,
     units: f64,
@@ -271,7 +271,7 @@
     me: u32,
     epoch: u64,
     ring: Keyring,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     driver: DecisionDriver<Due>,
     ledger: HashMap<u64, Entry>,
     most: usize,
@@ -295,8 +295,8 @@
         seed: u64,
         now: Time,
     ) -> Result<Self, EngineError> {
-        let (me, most) = (settings.me, settings.max_open as usize);
-        let effects = settings.classes.iter().map(|c| c.effect).collect();
+        let (me, most) = (settings.instance, settings.max_open_requests as usize);
+        let effects = settings.classes.iter().map(|c| c.idempotency).collect();
         Ok(Self {
             me,
             epoch,
@@ -319,7 +319,7 @@
     }
 
     /// Requests in the ledger.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.ledger.len()
     }
 
@@ -359,7 +359,7 @@
     }
 
     /// The client left before its Check was answered.
-    pub fn gone(&mut self, now: Time, caller: Caller) {
+    pub fn caller_gone(&mut self, now: Time, caller: Caller) {
         let Some(seq) = self.callers.remove(&caller) else { return };
         self.tally.left += 1;
         if let Some(entry) = self.ledger.get_mut(&seq) {
@@ -373,7 +373,7 @@
     pub fn undelivered(&mut self, now: Time, delivery: Delivery) {
         let Some((seq, attempt)) = delivery.0 else { return };
         self.tally.undelivered += 1;
-        self.close(now, seq, attempt, End::assumed(Status::Moot, true));
+        self.close(now, seq, attempt, End::assumed(Status::NotSent, true));
         self.finish(now, seq);
     }
 
@@ -419,14 +419,14 @@
     }
 
     /// A counter call ended.
-    pub fn counted(&mut self, now: Time, call: u64, status: Status, total: f64, spent: f64) {
+    pub fn counter_response(&mut self, now: Time, call: u64, status: Status, total: f64, spent: f64) {
         for event in self.driver.counted(call, status, total, spent) {
             self.handle(now, event);
         }
     }
 
     /// The list of backends came.
-    pub fn list(&mut self, now: Time, kind: ListKind, servers: Vec<Server>) {
+    pub fn update_endpoints(&mut self, now: Time, kind: EndpointListKind, servers: Vec<Endpoint>) {
         let event = self.driver.list(now, kind, servers);
         self.handle(now, event);
     }
@@ -464,7 +464,7 @@
         }
         self.next += 1;
         let seq = self.next;
-        let job: JobId = Arc::from(format!("{seq:x}"));
+        let job: RequestId = Arc::from(format!("{seq:x}"));
         let expires = now + check.patience;
         let forget = Some(self.driver.wheel.set(expires + KEEP, Due::Forget(seq)));
         self.callers.insert(caller, seq);
@@ -483,15 +483,15 @@
             },
         );
         let request = Request {
-            job,
+            id: job,
             units: check.units,
-            expires,
+            deadline: expires,
             plan: check.plan,
-            spread: check.spread.0,
-            first: check.spread.1,
+            customer_instances: check.spread.0,
+            first_instance: check.spread.1,
             class: check.class,
             customer: check.customer.clone(),
-            repeat,
+            is_retry: repeat,
         };
         self.handle(now, Event::Request(request));
     }
@@ -535,7 +535,7 @@
     /// so what may be repeated starts anew, as a client's marked repeat that pays again; the rest fails.
     fn foreign(&mut self, now: Time, caller: Caller, check: &Check, class: usize) {
         self.tally.foreign_checks += 1;
-        if self.effects.get(class) == Some(&Effect::Safe) && check.class == class {
+        if self.effects.get(class) == Some(&Idempotency::Idempotent) && check.class == class {
             self.first(now, caller, check, true);
         } else {
             self.turn_down(caller, Failure::Unknown);
@@ -544,7 +544,7 @@
 
     fn unknown(&mut self, caller: Caller, class: usize) {
         self.tally.doubled_checks += 1;
-        if self.effects.get(class) == Some(&Effect::Safe) {
+        if self.effects.get(class) == Some(&Idempotency::Idempotent) {
             self.refuse(caller, 0.0);
         } else {
             self.turn_down(caller, Failure::Unknown);
@@ -577,7 +577,7 @@
     }
 
     /// The module begins an attempt: its ticket leaves with the Check that waits, or it is parked.
-    fn begin(&mut self, now: Time, seq: u64, server: ServerId, timeout: f64) {
+    fn begin(&mut self, now: Time, seq: u64, server: BackendId, timeout: f64) {
         let Some(entry) = self.ledger.get_mut(&seq) else { return };
         let attempt = entry.attempts.len() as u32;
         let limit = now + timeout;
@@ -643,8 +643,20 @@
         let spent = end.spent.filter(|s| s.is_finite() && *s >= 0.0).map_or(most, |s| s.min(most));
         let (job, server) = (entry.job.clone(), tried.server.clone());
         let settled = end.settled.filter(|units| units.is_finite() && *units >= 0.0);
-        let (End { status, over, .. }, load) = (end, Load::default());
-        self.handle(now, Event::Outcome { job, attempt, server, status, spent, over, settled, load });
+        let (End { status, over, .. }, load) = (end, LoadReport::default());
+        self.handle(
+            now,
+            Event::AttemptEnded {
+                request: job,
+                attempt,
+                backend: server,
+                status,
+                elapsed: spent,
+                request_ended: over,
+                settled_units: settled,
+                load,
+            },
+        );
     }
 
     /// The edge asks for a further attempt and no report came: the attempt before may have run.
@@ -669,9 +681,9 @@
         let job = entry.job.clone();
         let parked = entry.attempts.iter().position(|a| a.state == State::Parked);
         if let Some(parked) = parked {
-            self.close(now, seq, parked as u32, End::assumed(Status::Moot, true));
+            self.close(now, seq, parked as u32, End::assumed(Status::NotSent, true));
         }
-        self.handle(now, Event::Left { job });
+        self.handle(now, Event::ClientGone { request: job });
         self.drop_entry(seq);
     }
 
@@ -698,13 +710,15 @@
 
     fn act(&mut self, now: Time, action: Action) {
         match action {
-            Action::Send { job, server, timeout, .. } => self.begin(now, seq(&job), server, timeout),
-            Action::Refuse { job, retry_after, .. } => {
+            Action::Forward { request: job, backend: server, timeout, .. } => {
+                self.begin(now, seq(&job), server, timeout)
+            }
+            Action::Reject { request: job, retry_after, .. } => {
                 self.decided(seq(&job), Answer::Refused { retry_after })
             }
-            Action::Fail { job, .. } => self.decided(seq(&job), Answer::Failed(Failure::Decided)),
+            Action::Fail { request: job, .. } => self.decided(seq(&job), Answer::Failed(Failure::Decided)),
             // An edge cannot be told to call an attempt off, and probes are not asked for.
-            Action::Cancel { .. } | Action::Probe { .. } => {}
+            Action::CancelAttempt { .. } | Action::HealthCheck { .. } => {}
             _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
         }
     }
@@ -732,6 +746,6 @@
     }
 }
 
-fn seq(job: &JobId) -> u64 {
+fn seq(job: &RequestId) -> u64 {
     u64::from_str_radix(job, 16).unwrap_or(0) // Jobs are named by the ledger, from 1.
 }
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -11,7 +11,7 @@
 
 use crate::shutdown::{Shutdown, longest_deadline};
 use std::fmt;
-use weirusher::{Class, Effect, Reason, Settings, Time};
+use weirusher::{Class, Idempotency, Reason, Settings, Time};
 
 /// Seconds before a client's deadline by which its response is on its way: the way there, which the client counts too,
 /// and a process that was kept from running for a moment.
@@ -175,7 +175,7 @@
         Self {
             classes: settings.classes.clone(),
             max_attempts: settings.max_attempts as usize,
-            hedging: settings.second_copies,
+            hedging: settings.hedging,
             shutdown: None,
             violations: Violations::default(),
         }
@@ -251,16 +251,16 @@
         if earlier.len() >= self.max_attempts.max(1) {
             return Some(Violation::TooManyAttempts);
         }
-        let effect = self.classes.get(class).map_or(Effect::Unsafe, |class| class.effect);
-        let hedges = self.hedging && effect != Effect::Unsafe;
+        let effect = self.classes.get(class).map_or(Idempotency::NonIdempotent, |class| class.idempotency);
+        let hedges = self.hedging && effect != Idempotency::NonIdempotent;
         if !hedges && earlier.iter().any(|attempt| attempt.progress == Progress::Out) {
             return Some(Violation::SecondAttemptOut);
         }
         let first = earlier.iter().find(|attempt| attempt.progress != Progress::NeverRan)?;
         match effect {
-            Effect::Safe => None,
-            Effect::Unsafe => Some(Violation::UnsafeRepeat),
-            Effect::Keyed { window, .. } => {
+            Idempotency::Idempotent => None,
+            Idempotency::NonIdempotent => Some(Violation::UnsafeRepeat),
+            Idempotency::Keyed { window, .. } => {
                 (now >= first.sent + window).then_some(Violation::RepeatAfterWindow)
             }
         }
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -12,15 +12,15 @@
 use std::collections::HashMap;
 use std::fmt;
 use weirusher::{
-    Action, CustomerId, Event, JobId, ListKind, Load, Reason, Request, Server, ServerId, Settings, Status,
-    Time,
+    Action, BackendId, CustomerId, Endpoint, EndpointListKind, Event, LoadReport, Reason, Request, RequestId,
+    Settings, Status, Time,
 };
 
 /// A request that arrived.
 #[derive(Debug, Clone, PartialEq)]
 pub struct IncomingRequest {
     /// Its id, none of an open request's.
-    pub job: JobId,
+    pub id: RequestId,
     /// Its customer.
     pub customer: CustomerId,
     /// Index of its plan.
@@ -32,16 +32,16 @@
     /// Seconds until the client abandons it.
     pub time_budget: f64,
     /// How many gateways carry the customer, and the number of the first.
-    pub spread: (u32, u32),
+    pub customer_instances: (u32, u32),
     /// It is a client's marked repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// A response that no server gave.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// Refused: a retry does no harm.
-    Refused {
+    Rejected {
         /// Seconds the client should stay away; 0: no advice.
         retry_after: f64,
         /// Why.
@@ -81,30 +81,30 @@
 /// What the proxy wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ProxyOutput {
-    /// Begin an attempt; [`ProxyCore::ended`] tells its end.
-    Send {
+    /// Begin an attempt; [`ProxyCore::attempt_ended`] tells its end.
+    Forward {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// Its attempt, from 0.
         attempt: u32,
         /// The server.
-        server: ServerId,
+        backend: BackendId,
         /// Seconds until it is given up.
         timeout: f64,
         /// Seconds within which its last byte must be on its way; else it must not begin, or break off.
-        within: f64,
+        start_within: f64,
     },
     /// Give an attempt up: its connection must close. Its end has been told already.
     Abort {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// Its attempt.
         attempt: u32,
     },
     /// An attempt was not begun, as it would have broken a rule: to be logged as an error of the decisions.
     Prevented {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// Its attempt.
         attempt: u32,
         /// The rule.
@@ -113,7 +113,7 @@
     /// Give the client its response.
     Respond {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// What it is.
         outcome: Outcome,
     },
@@ -158,7 +158,7 @@
 
 #[derive(Debug)]
 struct Attempt {
-    server: ServerId,
+    server: BackendId,
     sent: Time,
     /// Its last byte must be on its way by then.
     send_by: Time,
@@ -198,8 +198,8 @@
 #[derive(Debug, Clone)]
 enum Due {
     Module(u64),
-    Attempt(JobId, u32),
-    Expiry(JobId),
+    Attempt(RequestId, u32),
+    Expiry(RequestId),
 }
 
 impl From<Token> for Due {
@@ -213,7 +213,7 @@
 pub struct ProxyCore {
     driver: DecisionDriver<Due>,
     guard: Guard,
-    requests: HashMap<JobId, OpenRequest>,
+    requests: HashMap<RequestId, OpenRequest>,
     pending: usize,
     outputs: Vec<ProxyOutput>,
     tally: ProxyTally,
@@ -248,17 +248,17 @@
     }
 
     /// Ids of the requests that are owed a response.
-    pub fn pending_ids(&self) -> impl Iterator<Item = &JobId> {
+    pub fn pending_ids(&self) -> impl Iterator<Item = &RequestId> {
         self.requests.iter().filter(|(_, entry)| entry.pending.is_some()).map(|(job, _)| job)
     }
 
     /// Requests in the table: those owed a response, and those with attempts still out.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Whether a request of this id is in the table.
-    pub fn knows(&self, job: &str) -> bool {
+    pub fn contains(&self, job: &str) -> bool {
         self.requests.contains_key(job)
     }
 
@@ -276,34 +276,52 @@
 
     /// A request arrived; one that cannot be answered before the process ends is refused at once.
     pub fn request(&mut self, now: Time, request: IncomingRequest) -> Arrived {
-        if self.knows(&request.job) {
+        if self.contains(&request.id) {
             return Arrived::Duplicate;
         }
         self.tally.requests += 1;
         let deadline = match self.guard.accept(now, request.time_budget) {
             Ok(deadline) => deadline,
             Err(reason) => {
-                self.refuse_unseen(request.job, reason);
+                self.refuse_unseen(request.id, reason);
                 return Arrived::Accepted;
             }
         };
-        let IncomingRequest { job, customer, plan, class, units, spread: (spread, first), repeat, .. } =
-            request;
+        let IncomingRequest {
+            id: job,
+            customer,
+            plan,
+            class,
+            units,
+            customer_instances: (spread, first),
+            is_retry: repeat,
+            ..
+        } = request;
         let pending = Some(self.driver.wheel.set(deadline, Due::Expiry(job.clone())));
         self.requests
             .insert(job.clone(), OpenRequest { class, attempts: Vec::new(), out: 0, deadline, pending });
         self.pending += 1;
-        let request = Request { job, units, expires: deadline, plan, spread, first, class, customer, repeat };
+        let request = Request {
+            id: job,
+            units,
+            deadline,
+            plan,
+            customer_instances: spread,
+            first_instance: first,
+            class,
+            customer,
+            is_retry: repeat,
+        };
         self.handle(now, Event::Request(request));
         Arrived::Accepted
     }
 
     /// Refuses a request that the module never sees.
-    fn refuse_unseen(&mut self, job: JobId, reason: Reason) {
+    fn refuse_unseen(&mut self, job: RequestId, reason: Reason) {
         self.tally.refused += 1;
         self.tally.reasons.add(reason);
-        let outcome = Outcome::Refused { retry_after: 0.0, reason };
-        self.outputs.push(ProxyOutput::Respond { job, outcome });
+        let outcome = Outcome::Rejected { retry_after: 0.0, reason };
+        self.outputs.push(ProxyOutput::Respond { request: job, outcome });
     }
 
     /// The process was told to stop: from now on each request, those that are open too, has its response before the
@@ -332,7 +350,7 @@
     pub fn may_send(
         &self,
         now: Time,
-        job: &JobId,
+        job: &RequestId,
         attempt: u32,
         listed: bool,
     ) -> Result<SendLimits, Blocked> {
@@ -358,7 +376,7 @@
     }
 
     /// The client left before its response.
-    pub fn left(&mut self, now: Time, job: &JobId) {
+    pub fn client_gone(&mut self, now: Time, job: &RequestId) {
         if self.complete(job) {
             self.tally.left += 1;
             self.withdraw(now, job);
@@ -366,11 +384,18 @@
     }
 
     /// An attempt ended. `true`: its response is the one that the client is owed.
-    pub fn ended(&mut self, now: Time, job: &JobId, attempt: u32, status: Status, load: Load) -> bool {
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        job: &RequestId,
+        attempt: u32,
+        status: Status,
+        load: LoadReport,
+    ) -> bool {
         let Some((server, spent)) = self.close(now, job, attempt, status) else { return false };
         match status {
-            Status::ConnectFailed | Status::Moot => self.tally.unreached += 1,
-            Status::Full => self.tally.turned_away += 1,
+            Status::ConnectFailed | Status::NotSent => self.tally.unreached += 1,
+            Status::Rejected => self.tally.turned_away += 1,
             Status::Timeout => self.tally.timed_out += 1,
             Status::Error | Status::Reset => self.tally.broken += 1,
             Status::Ok | Status::Cancelled => {}
@@ -379,27 +404,36 @@
         self.tally.served += u64::from(serves);
         let over = self.requests.get(job).is_some_and(|e| e.pending.is_none());
         let (job, settled) = (job.clone(), None);
-        let told = Event::Outcome { job: job.clone(), attempt, server, status, spent, over, settled, load };
+        let told = Event::AttemptEnded {
+            request: job.clone(),
+            attempt,
+            backend: server,
+            status,
+            elapsed: spent,
+            request_ended: over,
+            settled_units: settled,
+            load,
+        };
         self.handle(now, told);
         self.forget(&job);
         serves
     }
 
     /// A counter call ended.
-    pub fn counted(&mut self, now: Time, call: u64, status: Status, total: f64, spent: f64) {
+    pub fn counter_response(&mut self, now: Time, call: u64, status: Status, total: f64, spent: f64) {
         for event in self.driver.counted(call, status, total, spent) {
             self.handle(now, event);
         }
     }
 
     /// The list of servers came.
-    pub fn list(&mut self, now: Time, kind: ListKind, servers: Vec<Server>) {
+    pub fn update_endpoints(&mut self, now: Time, kind: EndpointListKind, servers: Vec<Endpoint>) {
         let event = self.driver.list(now, kind, servers);
         self.handle(now, event);
     }
 
     /// Discovery answered that the list is as it was.
-    pub fn list_confirmed(&mut self, now: Time) {
+    pub fn confirm_endpoints(&mut self, now: Time) {
         self.driver.list_confirmed(now);
     }
 
@@ -410,8 +444,8 @@
                 Due::Module(token) => self.handle(now, Event::Timer { token }),
                 Due::Attempt(job, attempt) => {
                     // First, so that its connection is free before the module begins another.
-                    self.outputs.push(ProxyOutput::Abort { job: job.clone(), attempt });
-                    self.ended(now, &job, attempt, Status::Timeout, Load::default());
+                    self.outputs.push(ProxyOutput::Abort { request: job.clone(), attempt });
+                    self.attempt_ended(now, &job, attempt, Status::Timeout, LoadReport::default());
                 }
                 Due::Expiry(job) => self.expire(now, &job),
             }
@@ -421,7 +455,7 @@
     // ---- The table of requests ----
 
     /// The client's time is nearly up and the module has not decided: rule 1 goes first.
-    fn expire(&mut self, now: Time, job: &JobId) {
+    fn expire(&mut self, now: Time, job: &RequestId) {
         if !self.complete(job) {
             return;
         }
@@ -429,13 +463,13 @@
         self.tally.failed += 1;
         let reason = Reason::DeadlineExceeded;
         self.tally.reasons.add(reason);
-        self.outputs.push(ProxyOutput::Respond { job: job.clone(), outcome: Outcome::Failed { reason } });
+        self.outputs.push(ProxyOutput::Respond { request: job.clone(), outcome: Outcome::Failed { reason } });
         self.withdraw(now, job);
     }
 
     /// Nobody waits any more: the module is told, and what is out is called off.
-    fn withdraw(&mut self, now: Time, job: &JobId) {
-        self.handle(now, Event::Left { job: job.clone() });
+    fn withdraw(&mut self, now: Time, job: &RequestId) {
+        self.handle(now, Event::ClientGone { request: job.clone() });
         let attempts = self.requests.get(job).map_or(0, |e| e.attempts.len() as u32);
         for attempt in 0..attempts {
             self.cancel(now, job, attempt);
@@ -443,16 +477,16 @@
         self.forget(job);
     }
 
-    fn cancel(&mut self, now: Time, job: &JobId, attempt: u32) {
+    fn cancel(&mut self, now: Time, job: &RequestId, attempt: u32) {
         let out = self.requests.get(job).and_then(|e| e.attempts.get(attempt as usize));
         if out.is_some_and(|a| a.limit.is_some()) {
-            self.outputs.push(ProxyOutput::Abort { job: job.clone(), attempt });
-            self.ended(now, job, attempt, Status::Cancelled, Load::default());
+            self.outputs.push(ProxyOutput::Abort { request: job.clone(), attempt });
+            self.attempt_ended(now, job, attempt, Status::Cancelled, LoadReport::default());
         }
     }
 
     /// The response is given: `true` the first time.
-    fn complete(&mut self, job: &JobId) -> bool {
+    fn complete(&mut self, job: &RequestId) -> bool {
         let Some(pending) = self.requests.get_mut(job).and_then(|e| e.pending.take()) else { return false };
         self.driver.wheel.cancel(pending);
         self.pending -= 1;
@@ -460,12 +494,18 @@
     }
 
     /// Closes an attempt once: its server, and the seconds since it was sent.
-    fn close(&mut self, now: Time, job: &JobId, attempt: u32, status: Status) -> Option<(ServerId, f64)> {
+    fn close(
+        &mut self,
+        now: Time,
+        job: &RequestId,
+        attempt: u32,
+        status: Status,
+    ) -> Option<(BackendId, f64)> {
         let entry = self.requests.get_mut(job)?;
         let tried = entry.attempts.get_mut(attempt as usize)?;
         self.driver.wheel.cancel(tried.limit.take()?);
         tried.progress = match status {
-            Status::Full | Status::ConnectFailed | Status::Moot => Progress::NeverRan,
+            Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
             Status::Ok | Status::Error | Status::Timeout | Status::Reset | Status::Cancelled => {
                 Progress::MayHaveRun
             }
@@ -475,7 +515,7 @@
     }
 
     /// Drops an entry that is answered and has nothing out.
-    fn forget(&mut self, job: &JobId) {
+    fn forget(&mut self, job: &RequestId) {
         if self.requests.get(job).is_some_and(|e| e.pending.is_none() && e.out == 0) {
             self.requests.remove(job);
         }
@@ -493,19 +533,21 @@
 
     fn act(&mut self, now: Time, action: Action) {
         match action {
-            Action::Send { job, server, timeout, within } => self.begin(now, job, server, timeout, within),
-            Action::Refuse { job, retry_after, reason } => {
-                self.decided(job, Outcome::Refused { retry_after, reason });
+            Action::Forward { request: job, backend: server, timeout, start_within: within } => {
+                self.begin(now, job, server, timeout, within)
+            }
+            Action::Reject { request: job, retry_after, reason } => {
+                self.decided(job, Outcome::Rejected { retry_after, reason });
             }
-            Action::Fail { job, reason } => self.decided(job, Outcome::Failed { reason }),
-            Action::Cancel { job, attempt } => self.cancel(now, &job, attempt),
+            Action::Fail { request: job, reason } => self.decided(job, Outcome::Failed { reason }),
+            Action::CancelAttempt { request: job, attempt } => self.cancel(now, &job, attempt),
             // None are asked for: attempts tell enough.
-            Action::Probe { .. } => {}
+            Action::HealthCheck { .. } => {}
             _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
         }
     }
 
-    fn begin(&mut self, now: Time, job: JobId, server: ServerId, timeout: f64, within: f64) {
+    fn begin(&mut self, now: Time, job: RequestId, server: BackendId, timeout: f64, within: f64) {
         let Some(entry) = self.requests.get_mut(&job) else { return };
         let earlier: Vec<Earlier> = entry.attempts.iter().map(Attempt::as_earlier).collect();
         let permit = self.guard.may_repeat(now, entry.class, &earlier);
@@ -519,21 +561,27 @@
         entry.out += 1;
         self.tally.attempts += 1;
         match permit {
-            Ok(()) => self.outputs.push(ProxyOutput::Send { job, attempt, server, timeout, within }),
+            Ok(()) => self.outputs.push(ProxyOutput::Forward {
+                request: job,
+                attempt,
+                backend: server,
+                timeout,
+                start_within: within,
+            }),
             Err(violation) => {
-                self.outputs.push(ProxyOutput::Prevented { job: job.clone(), attempt, violation });
+                self.outputs.push(ProxyOutput::Prevented { request: job.clone(), attempt, violation });
                 // The module counts on it: it ends as one that was never sent.
-                self.ended(now, &job, attempt, Status::Moot, Load::default());
+                self.attempt_ended(now, &job, attempt, Status::NotSent, LoadReport::default());
             }
         }
     }
 
-    fn decided(&mut self, job: JobId, outcome: Outcome) {
+    fn decided(&mut self, job: RequestId, outcome: Outcome) {
         if !self.complete(&job) {
             return;
         }
         let reason = match outcome {
-            Outcome::Refused { reason, .. } => {
+            Outcome::Rejected { reason, .. } => {
                 self.tally.refused += 1;
                 reason
             }
@@ -544,6 +592,6 @@
         };
         self.tally.reasons.add(reason);
         self.forget(&job);
-        self.outputs.push(ProxyOutput::Respond { job, outcome });
+        self.outputs.push(ProxyOutput::Respond { request: job, outcome });
     }
 }
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -45,5 +45,5 @@
 
 /// The longest deadline of the classes, in seconds; without classes there is none to wait for.
 pub fn longest_deadline(classes: &[Class]) -> f64 {
-    classes.iter().map(|class| class.deadline.max(class.aim)).fold(0.0, f64::max)
+    classes.iter().map(|class| class.deadline.max(class.latency_objective)).fold(0.0, f64::max)
 }
--- a/crates/core/src/starts.rs
+++ b/crates/core/src/starts.rs
@@ -5,7 +5,7 @@
 //! no younger than the moment of the news; both within a tolerance, as news comes late.
 
 use std::collections::HashMap;
-use weirusher::{ListKind, Server, ServerId, Time};
+use weirusher::{BackendId, Endpoint, EndpointListKind, Time};
 
 /// Servers whose starts are remembered, listed or not: one that is named again is not new.
 const MOST_KNOWN: usize = 8192;
@@ -28,7 +28,7 @@
 /// The starts of servers.
 #[derive(Debug, Default)]
 pub struct ServerStarts {
-    known: HashMap<ServerId, Start>,
+    known: HashMap<BackendId, Start>,
     /// When the list that is held was known to be current.
     current: Option<Time>,
     /// Seconds by which a start may be older than its news says.
@@ -54,20 +54,20 @@
     }
 
     /// Turns the starts of a list's servers into times of the gateway's clock; 0 stays long ago.
-    pub fn localize(&mut self, now: Time, kind: ListKind, servers: &mut [Server]) {
+    pub fn localize(&mut self, now: Time, kind: EndpointListKind, servers: &mut [Endpoint]) {
         for server in servers {
             if server.started > 0.0 {
                 server.started = self.start(now, &server.id, server.started);
             }
         }
         // A list that is perhaps stale, or none, says nothing of what is not in it.
-        if matches!(kind, ListKind::Full | ListKind::Changes) {
+        if matches!(kind, EndpointListKind::Snapshot | EndpointListKind::Delta) {
             self.current = Some(now);
         }
         self.forget();
     }
 
-    fn start(&mut self, now: Time, id: &ServerId, told: f64) -> Time {
+    fn start(&mut self, now: Time, id: &BackendId, told: f64) -> Time {
         let before = match self.known.get_mut(id) {
             Some(known) if known.told == told => {
                 known.named = now;
--- a/crates/core/tests/guard.rs
+++ b/crates/core/tests/guard.rs
@@ -1,14 +1,14 @@
 //! What may be accepted, sent and repeated, and what is counted where it may not.
 
 use proptest::prelude::*;
-use weirusher::{Class, Effect, Group, Reason, Settings};
+use weirusher::{Class, DedupScope, Idempotency, Reason, Settings};
 use weirusher_core::{Blocked, Earlier, Guard, Progress, SendCheck, Shutdown, Violation, longest_deadline};
 
-fn guard(effect: Effect, hedging: bool, deadline: f64) -> Guard {
+fn guard(effect: Idempotency, hedging: bool, deadline: f64) -> Guard {
     let mut class = Class::default();
-    (class.effect, class.deadline, class.aim) = (effect, deadline, deadline / 2.0);
+    (class.idempotency, class.deadline, class.latency_objective) = (effect, deadline, deadline / 2.0);
     let mut settings = Settings::default();
-    (settings.max_attempts, settings.second_copies, settings.classes) = (3, hedging, vec![class]);
+    (settings.max_attempts, settings.hedging, settings.classes) = (3, hedging, vec![class]);
     Guard::new(&settings)
 }
 
@@ -21,7 +21,7 @@
         assert!(shutdown.accept_until() <= shutdown.respond_by());
     }
     let mut class = Class::default();
-    (class.aim, class.deadline) = (2.0, 1.0);
+    (class.latency_objective, class.deadline) = (2.0, 1.0);
     assert_eq!(longest_deadline(&[class]), 2.0, "a deadline is never shorter than the aim");
     assert_eq!(longest_deadline(&[]), 0.0);
 }
@@ -32,7 +32,7 @@
     fn an_accepted_request_has_its_response_while_everyone_is_there(
         deadline in 0.05..8.0f64, waits in 0.001..8.0f64, stopped in 0.0..5.0f64, read in 0.0..12.0f64,
     ) {
-        let mut guard = guard(Effect::Unsafe, false, deadline);
+        let mut guard = guard(Idempotency::NonIdempotent, false, deadline);
         let (stopped, read) = (1e9 + stopped, 1e9 + read);
         let shutdown = (read >= stopped).then(|| guard.stop(stopped));
         match (guard.accept(read, waits), shutdown) {
@@ -52,7 +52,7 @@
 
 #[test]
 fn the_first_signal_counts() {
-    let mut guard = guard(Effect::Safe, false, 1.0);
+    let mut guard = guard(Idempotency::Idempotent, false, 1.0);
     assert!(guard.may_read(1e9));
     let first = guard.stop(10.0);
     assert_eq!(guard.stop(11.0), first);
@@ -61,7 +61,7 @@
 
 #[test]
 fn an_attempt_is_sent_only_while_all_that_stands_behind_it_holds() {
-    let guard = guard(Effect::Safe, false, 1.0);
+    let guard = guard(Idempotency::Idempotent, false, 1.0);
     let check = SendCheck { deadline: Some(5.0), give_up: Some(4.0), send_by: 3.0, listed: true };
     let limits = guard.may_send(2.5, &check).unwrap();
     assert_eq!(limits.timeout, 1.5);
@@ -83,21 +83,21 @@
 
 #[test]
 fn a_repeat_that_would_break_a_rule_is_stopped_and_counted() {
-    let keyed = Effect::Keyed { group: Group::All, window: 2.0 };
+    let keyed = Idempotency::Keyed { scope: DedupScope::All, window: 2.0 };
     let at = |sent, progress| Earlier { sent, progress };
     let (never, maybe, out) =
         (at(0.0, Progress::NeverRan), at(0.5, Progress::MayHaveRun), at(0.5, Progress::Out));
     // Class, hedging, earlier attempts, moment, allowed.
     let cases = [
-        (Effect::Unsafe, true, vec![], 1.0, true),
-        (Effect::Unsafe, true, vec![never], 1.0, true),
-        (Effect::Unsafe, true, vec![maybe], 1.0, false),
-        (Effect::Unsafe, true, vec![out], 1.0, false),
-        (Effect::Unsafe, true, vec![never, maybe], 1.0, false),
-        (Effect::Safe, false, vec![out], 1.0, false),
-        (Effect::Safe, true, vec![out], 1.0, true),
-        (Effect::Safe, false, vec![maybe], 9.0, true),
-        (Effect::Safe, true, vec![never, never, never], 1.0, false),
+        (Idempotency::NonIdempotent, true, vec![], 1.0, true),
+        (Idempotency::NonIdempotent, true, vec![never], 1.0, true),
+        (Idempotency::NonIdempotent, true, vec![maybe], 1.0, false),
+        (Idempotency::NonIdempotent, true, vec![out], 1.0, false),
+        (Idempotency::NonIdempotent, true, vec![never, maybe], 1.0, false),
+        (Idempotency::Idempotent, false, vec![out], 1.0, false),
+        (Idempotency::Idempotent, true, vec![out], 1.0, true),
+        (Idempotency::Idempotent, false, vec![maybe], 9.0, true),
+        (Idempotency::Idempotent, true, vec![never, never, never], 1.0, false),
         (keyed, true, vec![never, maybe], 2.4, true),
         (keyed, true, vec![never, maybe], 2.5, false),
         (keyed, true, vec![never, never], 9.0, true),
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
-use weirusher::{Class, Effect, ListKind, Plan, Server, Settings, Status};
+use weirusher::{Class, Endpoint, EndpointListKind, Idempotency, Plan, Settings, Status};
 use weirusher_core::{Answer, Check, Command, Ending, Engine, Key, Keyring, Output, Report, Verdict};
 
 const START: f64 = 1_000_000.0;
@@ -39,7 +39,7 @@
     let status = prop_oneof![
         Just(Status::Ok),
         Just(Status::Error),
-        Just(Status::Full),
+        Just(Status::Rejected),
         Just(Status::Timeout),
         Just(Status::ConnectFailed),
         Just(Status::Reset),
@@ -64,15 +64,15 @@
 fn engine() -> Engine {
     let mut settings = Settings::default();
     let mut plan = Plan::default();
-    (plan.rate, plan.burst, plan.open) = (50.0, 50.0, 20);
+    (plan.rate, plan.burst, plan.max_concurrent) = (50.0, 50.0, 20);
     let mut unsafe_class = Class::default();
-    unsafe_class.effect = Effect::Unsafe;
+    unsafe_class.idempotency = Idempotency::NonIdempotent;
     settings.plans = vec![plan];
     settings.classes = vec![Class::default(), unsafe_class];
-    (settings.has_counter, settings.max_attempts, settings.max_open) = (true, 3, 1000);
+    (settings.has_counter, settings.max_attempts, settings.max_open_requests) = (true, 3, 1000);
     let mut engine = Engine::new(settings, ring(), 5, 7, START).unwrap();
-    let server = |n: u32| Server::warm(format!("127.0.0.1:{n}"));
-    engine.list(START, ListKind::Full, (1..=4).map(server).collect());
+    let server = |n: u32| Endpoint::warm(format!("127.0.0.1:{n}"));
+    engine.update_endpoints(START, EndpointListKind::Snapshot, (1..=4).map(server).collect());
     engine
 }
 
@@ -122,7 +122,7 @@
                     self.last = Some(delivery);
                 }
             }
-            Output::Command(Command::Count { call, .. }) => self.calls.push(call),
+            Output::Command(Command::AddToCounter { call, .. }) => self.calls.push(call),
             Output::Command(_) => {}
         }
         Ok(())
@@ -157,7 +157,7 @@
                 if !self.answers.contains_key(&caller) {
                     self.gone.insert(caller);
                 }
-                self.engine.gone(self.now, caller);
+                self.engine.caller_gone(self.now, caller);
             }
             Step::Report { ticket, status, over } if !self.tickets.is_empty() => {
                 let (text, (request, attempt)) = self.tickets[ticket % self.tickets.len()].clone();
@@ -165,7 +165,7 @@
                 let verdict = self
                     .engine
                     .report(self.now, &Report { ticket: &text, ending, spent: None, settled: None });
-                let never = matches!(status, Status::Full | Status::ConnectFailed);
+                let never = matches!(status, Status::Rejected | Status::ConnectFailed);
                 if verdict == Verdict::Closed && never && self.risky.get(&request) == Some(&attempt) {
                     self.risky.remove(&request);
                 }
@@ -177,7 +177,7 @@
             }
             Step::Counted { status } if !self.calls.is_empty() => {
                 let call = self.calls.remove(0);
-                self.engine.counted(self.now, call, status, 1.0, 0.002);
+                self.engine.counter_response(self.now, call, status, 1.0, 0.002);
             }
             Step::Wait { millis } => {
                 self.now += millis as f64 / 1000.0;
@@ -216,7 +216,7 @@
             let answered = world.answers.contains_key(&caller);
             prop_assert!(answered || world.gone.contains(&caller), "caller {} waits for ever", caller);
         }
-        prop_assert_eq!((world.engine.owed(), world.engine.open()), (0, 0));
+        prop_assert_eq!((world.engine.owed(), world.engine.open_requests()), (0, 0));
     }
 }
 
--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
-use weirusher::{Class, JobId, ListKind, Load, Plan, Server, Settings, Status};
+use weirusher::{Class, Endpoint, EndpointListKind, LoadReport, Plan, RequestId, Settings, Status};
 use weirusher_core::{Arrived, Command, IncomingRequest, ProxyCore, ProxyOutput};
 
 const START: f64 = 1_000_000.0;
@@ -42,10 +42,10 @@
     let status = prop_oneof![
         3 => Just(Status::Ok),
         1 => Just(Status::Error),
-        1 => Just(Status::Full),
+        1 => Just(Status::Rejected),
         1 => Just(Status::ConnectFailed),
         1 => Just(Status::Reset),
-        1 => Just(Status::Moot),
+        1 => Just(Status::NotSent),
     ];
     prop_oneof![
         4 => Just(Step::Arrive),
@@ -65,10 +65,10 @@
 
 fn settings() -> Settings {
     let mut plan = Plan::default();
-    (plan.rate, plan.burst, plan.pays) = (50.0, 50.0, 1.0);
+    (plan.rate, plan.burst, plan.priority_weight) = (50.0, 50.0, 1.0);
     let mut settings = Settings::default();
-    (settings.gateways, settings.has_counter, settings.max_attempts) = (2, true, 3);
-    (settings.second_copies, settings.may_cancel) = (true, true);
+    (settings.instances, settings.has_counter, settings.max_attempts) = (2, true, 3);
+    (settings.hedging, settings.may_cancel) = (true, true);
     settings.plans = vec![plan];
     settings.classes = vec![Class::default()];
     settings
@@ -78,11 +78,11 @@
     proxy: ProxyCore,
     now: f64,
     next: u64,
-    out: Vec<(JobId, u32)>,
-    jobs: Vec<JobId>,
-    answered: HashMap<JobId, u32>,
-    left: HashSet<JobId>,
-    arrived: HashMap<JobId, f64>,
+    out: Vec<(RequestId, u32)>,
+    jobs: Vec<RequestId>,
+    answered: HashMap<RequestId, u32>,
+    left: HashSet<RequestId>,
+    arrived: HashMap<RequestId, f64>,
     calls: Vec<u64>,
     /// By when a shutdown that has begun wants the last answers.
     respond_by: f64,
@@ -91,7 +91,11 @@
 impl Rig {
     fn new() -> Self {
         let mut proxy = ProxyCore::new(settings(), 7, START).unwrap();
-        proxy.list(START, ListKind::Full, (0..6).map(|n| Server::warm(format!("w{n}"))).collect());
+        proxy.update_endpoints(
+            START,
+            EndpointListKind::Snapshot,
+            (0..6).map(|n| Endpoint::warm(format!("w{n}"))).collect(),
+        );
         let (out, jobs, calls) = Default::default();
         let (answered, left, arrived) = Default::default();
         let respond_by = f64::INFINITY;
@@ -103,25 +107,27 @@
         self.proxy.take_outputs(&mut outputs);
         for output in outputs {
             match output {
-                ProxyOutput::Send { job, attempt, timeout, .. } => {
+                ProxyOutput::Forward { request: job, attempt, timeout, .. } => {
                     assert!(!self.answered.contains_key(&job), "nothing goes out for an answered request");
                     assert!(!self.left.contains(&job), "nothing goes out for a client that left");
                     assert!(self.now + timeout <= self.arrived[&job] + TIME_BUDGET);
                     assert!(self.now + timeout <= self.respond_by + 1e-6, "it ends before the process may");
                     self.out.push((job, attempt));
                 }
-                ProxyOutput::Abort { job, attempt } => self.out.retain(|out| *out != (job.clone(), attempt)),
-                ProxyOutput::Prevented { job, attempt, violation } => {
+                ProxyOutput::Abort { request: job, attempt } => {
+                    self.out.retain(|out| *out != (job.clone(), attempt))
+                }
+                ProxyOutput::Prevented { request: job, attempt, violation } => {
                     panic!("attempt {attempt} of {job}: {violation}")
                 }
-                ProxyOutput::Respond { job, .. } => self.answer(job),
-                ProxyOutput::Command(Command::Count { call, .. }) => self.calls.push(call),
+                ProxyOutput::Respond { request: job, .. } => self.answer(job),
+                ProxyOutput::Command(Command::AddToCounter { call, .. }) => self.calls.push(call),
                 ProxyOutput::Command(_) => {}
             }
         }
     }
 
-    fn answer(&mut self, job: JobId) {
+    fn answer(&mut self, job: RequestId) {
         assert!(!self.left.contains(&job));
         assert!(self.now < self.arrived[&job] + TIME_BUDGET, "answered in time");
         let refused_late = self.arrived[&job] > self.respond_by - 0.1;
@@ -134,7 +140,7 @@
 
     fn arrive(&mut self) {
         self.next += 1;
-        let job: JobId = format!("job{}", self.next).into();
+        let job: RequestId = format!("job{}", self.next).into();
         self.arrived.insert(job.clone(), self.now);
         self.jobs.push(job.clone());
         assert_eq!(self.proxy.request(self.now, arrival(&job)), Arrived::Accepted);
@@ -151,17 +157,17 @@
     }
 
     fn step(&mut self, step: Step) {
-        let job = |jobs: &[JobId], at: usize| jobs.get(at % jobs.len().max(1)).cloned();
+        let job = |jobs: &[RequestId], at: usize| jobs.get(at % jobs.len().max(1)).cloned();
         match step {
             Step::Arrive => self.arrive(),
             Step::Double { job: at } => {
-                if let Some(job) = job(&self.jobs, at).filter(|job| self.proxy.knows(job)) {
+                if let Some(job) = job(&self.jobs, at).filter(|job| self.proxy.contains(job)) {
                     assert_eq!(self.proxy.request(self.now, arrival(&job)), Arrived::Duplicate);
                 }
             }
             Step::End { attempt, status } if !self.out.is_empty() => {
                 let (job, attempt) = self.out.remove(attempt % self.out.len());
-                if self.proxy.ended(self.now, &job, attempt, status, Load::default()) {
+                if self.proxy.attempt_ended(self.now, &job, attempt, status, LoadReport::default()) {
                     assert_eq!(status, Status::Ok);
                     self.answer(job);
                 }
@@ -169,19 +175,25 @@
             Step::Stray { job: at, attempt } => {
                 let Some(job) = job(&self.jobs, at) else { return };
                 if !self.out.contains(&(job.clone(), attempt)) {
-                    assert!(!self.proxy.ended(self.now, &job, attempt, Status::Ok, Load::default()));
+                    assert!(!self.proxy.attempt_ended(
+                        self.now,
+                        &job,
+                        attempt,
+                        Status::Ok,
+                        LoadReport::default()
+                    ));
                 }
             }
             Step::Leave { job: at } => {
                 let Some(job) = job(&self.jobs, at) else { return };
-                self.proxy.left(self.now, &job);
+                self.proxy.client_gone(self.now, &job);
                 if !self.answered.contains_key(&job) {
                     self.left.insert(job);
                 }
             }
             Step::Counted { status } if !self.calls.is_empty() => {
                 let call = self.calls.remove(0);
-                self.proxy.counted(self.now, call, status, 1.0, 0.001);
+                self.proxy.counter_response(self.now, call, status, 1.0, 0.001);
             }
             Step::Stop => self.respond_by = self.proxy.stop(self.now).respond_by(),
             Step::Wait { millis } => self.wait(self.now + millis as f64 / 1e3),
@@ -191,18 +203,18 @@
     }
 }
 
-fn arrival(job: &JobId) -> IncomingRequest {
+fn arrival(job: &RequestId) -> IncomingRequest {
     let (customer, spread) = ("c".into(), (2, 0));
     let job = job.clone();
     IncomingRequest {
-        job,
+        id: job,
         customer,
         plan: 0,
         class: 0,
         units: 1.0,
         time_budget: TIME_BUDGET,
-        spread,
-        repeat: false,
+        customer_instances: spread,
+        is_retry: false,
     }
 }
 
@@ -217,7 +229,7 @@
             let answers = rig.answered.get(job).copied().unwrap_or(0);
             prop_assert_eq!(answers, u32::from(!rig.left.contains(job)), "{}", job);
         }
-        prop_assert_eq!((rig.proxy.pending(), rig.proxy.open(), rig.out.len()), (0, 0, 0));
+        prop_assert_eq!((rig.proxy.pending(), rig.proxy.open_requests(), rig.out.len()), (0, 0, 0));
         prop_assert_eq!(rig.proxy.violations().total(), 0);
     }
 }
@@ -241,7 +253,7 @@
         rig.settle();
         rig.calls.clear();
         while let Some((job, attempt)) = rig.out.pop() {
-            if rig.proxy.ended(rig.now, &job, attempt, Status::Ok, Load::default()) {
+            if rig.proxy.attempt_ended(rig.now, &job, attempt, Status::Ok, LoadReport::default()) {
                 rig.answer(job);
             }
             rig.settle();
@@ -249,6 +261,6 @@
         rig.wait(START + f64::from(round) * 0.1);
     }
     rig.wait(rig.now + TIME_BUDGET);
-    assert_eq!((rig.proxy.pending(), rig.proxy.open()), (0, 0));
+    assert_eq!((rig.proxy.pending(), rig.proxy.open_requests()), (0, 0));
     assert!(rig.proxy.tally().served > 500);
 }
--- a/crates/ext-authz/src/clients/counter.rs
+++ b/crates/ext-authz/src/clients/counter.rs
@@ -132,7 +132,7 @@
     ) -> Result<(), Stopped> {
         if unwritten.len() > MOST_UNWRITTEN || pipeline.send(self.clock.now(), call.call).is_err() {
             self.stats.add(|s| &s.counter_lost);
-            return self.tell(call.call, Status::Full, 0.0, 0.0).await;
+            return self.tell(call.call, Status::Rejected, 0.0, 0.0).await;
         }
         self.stats.add(|s| &s.counter_calls);
         resp::add(unwritten, call.counter, call.amount, call.ttl);
@@ -154,7 +154,7 @@
                 }
                 None => {
                     self.stats.add(|s| &s.counter_errors);
-                    self.tell(call, Status::Full, 0.0, spent).await?; // An error answer: nothing was added.
+                    self.tell(call, Status::Rejected, 0.0, spent).await?; // An error answer: nothing was added.
                 }
             },
         }
--- a/crates/ext-authz/src/clients/discovery.rs
+++ b/crates/ext-authz/src/clients/discovery.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::{Endpoint, Uri};
-use weirusher::ListKind;
+use weirusher::EndpointListKind;
 use weirusher_config::DiscoveryConfig;
 use weirusher_core::Backoff;
 use weirusher_net::Stream;
@@ -47,7 +47,12 @@
 impl DiscoveryClient {
     pub async fn run(mut self) {
         let kept = self.config.keep.as_deref().map_or_else(Vec::new, kept_list::load);
-        if self.world.send(WorldEvent::List { kind: ListKind::Stale, servers: kept }).await.is_err() {
+        if self
+            .world
+            .send(WorldEvent::List { kind: EndpointListKind::StaleSnapshot, servers: kept })
+            .await
+            .is_err()
+        {
             return;
         }
         if self.follow.wait_for(|follow| *follow).await.is_err() {
@@ -61,7 +66,7 @@
                 tracing::warn!(%error, "discovery is not there; the last list stands");
                 told = Some(Instant::now());
             }
-            let failed = WorldEvent::List { kind: ListKind::Failed, servers: Vec::new() };
+            let failed = WorldEvent::List { kind: EndpointListKind::Failed, servers: Vec::new() };
             if self.world.send(failed).await.is_err() {
                 return;
             }
@@ -123,9 +128,9 @@
             tracing::warn!(list.impossible, list.doubled, list.excess, "entries of the list were left out");
         }
         if let Some(keeper) = &self.keeper {
-            keeper.keep(&list.servers);
+            keeper.keep(&list.endpoints);
         }
-        let event = WorldEvent::List { kind: ListKind::Full, servers: list.servers };
+        let event = WorldEvent::List { kind: EndpointListKind::Snapshot, servers: list.endpoints };
         self.world.send(event).await.map_err(|_| "the gateway is stopping".to_string())
     }
 
--- a/crates/ext-authz/src/driver.rs
+++ b/crates/ext-authz/src/driver.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
-use weirusher::{ListKind, Server, Status};
+use weirusher::{Endpoint, EndpointListKind, Status};
 use weirusher_clock::Clock;
 use weirusher_core::{Answer, Caller, Check, Command, Delivery, Ending, Engine, Output, Report, Tally};
 
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub enum WorldEvent {
     Counted { call: u64, status: Status, total: f64, spent: f64 },
-    List { kind: ListKind, servers: Vec<Server> },
+    List { kind: EndpointListKind, servers: Vec<Endpoint> },
 }
 
 /// A call for the counter's task.
@@ -121,9 +121,9 @@
         let now = self.clock.now();
         match event {
             WorldEvent::Counted { call, status, total, spent } => {
-                self.engine.counted(now, call, status, total, spent)
+                self.engine.counter_response(now, call, status, total, spent)
             }
-            WorldEvent::List { kind, servers } => self.engine.list(now, kind, servers),
+            WorldEvent::List { kind, servers } => self.engine.update_endpoints(now, kind, servers),
         }
     }
 
@@ -137,7 +137,7 @@
             }
             FrontEvent::Gone(caller) => {
                 self.waiting.remove(&caller);
-                self.engine.gone(now, caller);
+                self.engine.caller_gone(now, caller);
             }
             FrontEvent::Undelivered(delivery) => self.engine.undelivered(now, delivery),
             FrontEvent::Report { ticket, ending, spent, settled } => {
@@ -153,7 +153,7 @@
         Shown {
             instance: self.identity.0,
             epoch: self.identity.1,
-            open: self.engine.open(),
+            open: self.engine.open_requests(),
             owed: self.engine.owed(),
             ledger: self.engine.tally(),
             process: self.stats.snapshot(),
@@ -181,15 +181,15 @@
                     self.engine.undelivered(self.clock.now(), delivery);
                 }
             }
-            Output::Command(Command::Count { call, counter, amount, ttl }) => {
+            Output::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
                 let call_out = CounterCall { call, counter, amount, ttl };
                 let sent = self.calls.as_ref().is_some_and(|calls| calls.try_send(call_out).is_ok());
                 if !sent {
                     self.stats.add(|s| &s.counter_lost);
-                    self.engine.counted(self.clock.now(), call, Status::Full, 0.0, 0.0);
+                    self.engine.counter_response(self.clock.now(), call, Status::Rejected, 0.0, 0.0);
                 }
             }
-            Output::Command(Command::Watch) => {
+            Output::Command(Command::WatchEndpoints) => {
                 self.follow.send_replace(true);
             }
             Output::Command(Command::Log(text)) => tracing::info!(%text, "module"),
--- a/crates/ext-authz/src/fronts/access_log.rs
+++ b/crates/ext-authz/src/fronts/access_log.rs
@@ -82,7 +82,7 @@
     let flagged = flags.and_then(|f| {
         let found = [
             (f.upstream_connection_failure, End::ConnectFailed),
-            (f.upstream_overflow || f.no_healthy_upstream || f.no_route_found, End::Moot),
+            (f.upstream_overflow || f.no_healthy_upstream || f.no_route_found, End::NotSent),
             (f.upstream_request_timeout || f.duration_timeout || f.stream_idle_timeout, End::Timeout),
             (f.downstream_connection_termination || f.downstream_remote_reset, End::Cancelled),
             (f.upstream_connection_termination || f.upstream_remote_reset, End::Reset),
@@ -91,7 +91,7 @@
         found.into_iter().find(|(set, _)| *set).map(|(_, status)| status)
     });
     flagged.unwrap_or(match code {
-        _ if turned_away => End::Full,
+        _ if turned_away => End::Rejected,
         100..=499 => End::Ok,
         500.. => End::Error,
         0..=99 => End::Reset,
@@ -117,7 +117,7 @@
         assert_eq!(status(Some(&refused), 503, false), End::ConnectFailed);
         assert_eq!(status(None, 200, false), End::Ok);
         assert_eq!(status(None, 500, false), End::Error);
-        assert_eq!(status(None, 503, true), End::Full);
+        assert_eq!(status(None, 503, true), End::Rejected);
         assert_eq!(status(None, 0, false), End::Reset);
     }
 }
--- a/crates/ext-authz/src/kept_list.rs
+++ b/crates/ext-authz/src/kept_list.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::sync::watch;
-use weirusher::{Lifecycle, Server};
+use weirusher::{Endpoint, Lifecycle};
 use weirusher_wire::eds;
 
 /// Pause until a list that could not be kept is tried again.
@@ -24,7 +24,7 @@
 }
 
 /// The servers of the list that is kept; none where there is none, or where the file is damaged, which the log tells.
-pub fn load(path: &Path) -> Vec<Server> {
+pub fn load(path: &Path) -> Vec<Endpoint> {
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(error) => {
@@ -36,7 +36,7 @@
         tracing::warn!(%error, path = %path.display(), "the kept list is damaged; starting without one");
         Vec::new()
     });
-    let server = |kept: KeptServer| Server {
+    let server = |kept: KeptServer| Endpoint {
         id: kept.address.into(),
         zone: kept.zone,
         cell: 0,
@@ -59,9 +59,9 @@
     }
 
     /// Keeps this list, in place of any that was not kept yet.
-    pub fn keep(&self, servers: &[Server]) {
+    pub fn keep(&self, servers: &[Endpoint]) {
         let running = servers.iter().filter(|server| server.lifecycle == Lifecycle::Running);
-        let kept = |server: &Server| KeptServer {
+        let kept = |server: &Endpoint| KeptServer {
             address: server.id.to_string(),
             zone: server.zone,
             started: server.started,
--- a/crates/ext-authz/src/run.rs
+++ b/crates/ext-authz/src/run.rs
@@ -99,8 +99,8 @@
     let seed = fastrand::u64(..);
     let epoch = fastrand::u64(..);
     let ring = Keyring::new(config.keys.clone()).ok_or(StartError::NoKey)?;
-    let me = config.settings.me;
-    let count_limit = config.settings.count_limit;
+    let me = config.settings.instance;
+    let count_limit = config.settings.counter_timeout;
     let engine = Engine::new(config.settings, ring, epoch, seed, clock.now())?;
     let (grpc, ext_authz) = listen(config.ext_authz).await?;
     let (admin_listener, admin) = listen(config.admin).await?;
--- a/crates/fakes/src/discovery.rs
+++ b/crates/fakes/src/discovery.rs
@@ -20,7 +20,7 @@
 use tokio::task::JoinSet;
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status, Streaming};
-use weirusher::{Lifecycle, Server};
+use weirusher::{Endpoint, Lifecycle};
 use weirusher_wire::eds;
 
 /// The cluster it serves.
@@ -33,7 +33,7 @@
 #[derive(Clone, Default)]
 struct State {
     version: u64,
-    servers: Arc<Vec<Server>>,
+    servers: Arc<Vec<Endpoint>>,
     frozen: bool,
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// The list changes.
-    pub fn set(&self, servers: Vec<Server>) {
+    pub fn set(&self, servers: Vec<Endpoint>) {
         self.state.send_modify(|state| {
             state.version += 1;
             state.servers = Arc::new(servers);
@@ -157,7 +157,7 @@
     }
 }
 
-fn stopped(servers: &[Server]) -> Vec<String> {
+fn stopped(servers: &[Endpoint]) -> Vec<String> {
     servers.iter().filter(|s| s.lifecycle != Lifecycle::Running).map(|s| s.id.to_string()).collect()
 }
 
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Its number, from 0.
-    pub me: u16,
+    pub instance: u16,
     /// Where each member can be reached and sends from, this one included, by number.
     pub members: Vec<SocketAddr>,
     /// The fleet's key.
@@ -166,7 +166,7 @@
     /// # Errors
     /// The settings cannot work.
     pub fn new(settings: Settings, incarnation: u64, seed: u64, now: Millis) -> Result<Self, FleetError> {
-        let Settings { me, members, key } = settings;
+        let Settings { instance: me, members, key } = settings;
         let count = members.len();
         let size = u16::try_from(count).ok().filter(|size| (2..=MOST_MEMBERS).contains(&usize::from(*size)));
         let size = size.ok_or(FleetError::Size(count))?;
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -13,7 +13,7 @@
 
 fn fleet() -> Fleet {
     let members = (0..4).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
-    Fleet::new(Settings { me: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap()
+    Fleet::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap()
 }
 
 fn sealed(packet: &Packet) -> Vec<u8> {
@@ -91,7 +91,7 @@
 /// of a second before.
 fn after_gone_copies(age: u16) -> State {
     let members = (0..8).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
-    let mut fleet = Fleet::new(Settings { me: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap();
+    let mut fleet = Fleet::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap();
     let start = 100_000;
     let hear = |fleet: &mut Fleet, from: u16, parts: Vec<Part>, now: u64| {
         let header = Header { size: 8, sequence: now, beat: now as u32, ..header(from, 0) };
@@ -209,7 +209,7 @@
     let near = [rings.watchers(0, |_| false), rings.subjects(0, |_| false)].concat();
     let asker = (1..SIZE).find(|member| !near.contains(member)).unwrap();
     let address = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 2000 + n));
-    let settings = Settings { me: 0, members: (0..SIZE).map(address).collect(), key: KEY.to_vec() };
+    let settings = Settings { instance: 0, members: (0..SIZE).map(address).collect(), key: KEY.to_vec() };
     let mut fleet = Fleet::new(settings, 9, 1, 0).unwrap();
     let asks = Packet { header: Header { size: SIZE, watch: true, ..header(asker, 0) }, parts: Vec::new() };
     fleet.receive(address(asker), &sealed(&asks), 0);
@@ -228,7 +228,10 @@
 fn settings_that_cannot_work_are_refused() {
     let start = |me, ports: &[u16], key: &[u8]| {
         let members = ports.iter().map(|port| ([127, 0, 0, 1], *port).into()).collect();
-        Fleet::new(Settings { me, members, key: key.to_vec() }, 1, 1, 0).map(|_| ()).unwrap_err().to_string()
+        Fleet::new(Settings { instance: me, members, key: key.to_vec() }, 1, 1, 0)
+            .map(|_| ())
+            .unwrap_err()
+            .to_string()
     };
     assert_eq!(start(0, &[1], KEY), "a fleet has 2 to 10,000 members, not 1");
     assert_eq!(start(2, &[1, 2], KEY), "member 2 of 2: numbers run from 0");
--- a/crates/fleet/tests/shared_state.rs
+++ b/crates/fleet/tests/shared_state.rs
@@ -125,7 +125,7 @@
     let mut fleets: Vec<Fleet> = (0..2)
         .map(|me| {
             let members = (0..MEMBERS).map(address).collect();
-            let settings = Settings { me, members, key: vec![7; 32] };
+            let settings = Settings { instance: me, members, key: vec![7; 32] };
             Fleet::new(settings, 100 + u64::from(me), u64::from(me), 0).unwrap()
         })
         .collect();
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use weirusher::{JobId, Load, ServerId, Status};
+use weirusher::{BackendId, LoadReport, RequestId, Status};
 use weirusher_core::{Blocked, Room};
 use weirusher_platform::backend::{MOST_ANSWER, Passed, load, outcome};
 use weirusher_platform::response::{Response, ResponseReader};
@@ -29,9 +29,9 @@
 
 /// An attempt to be made.
 pub struct Attempt {
-    pub job: JobId,
+    pub job: RequestId,
     pub attempt: u32,
-    pub server: ServerId,
+    pub server: BackendId,
     pub address: Option<SocketAddr>,
     /// Seconds within which its last byte must be on its way: past that its effect would come twice.
     pub within: f64,
@@ -73,7 +73,7 @@
 /// Makes the attempt and tells its end.
 pub async fn run(node: Rc<NodeContext>, attempt: Attempt) {
     let (status, load, whole) = match attempt.address {
-        None => (Status::Moot, Load::default(), None),
+        None => (Status::NotSent, LoadReport::default(), None),
         Some(address) => exchange(&node, &attempt, (attempt.server.clone(), address)).await,
     };
     node.ended(&attempt.job, attempt.attempt, status, load, whole);
@@ -83,8 +83,8 @@
     node: &Rc<NodeContext>,
     attempt: &Attempt,
     endpoint: Endpoint,
-) -> (Status, Load, Option<CompleteResponse>) {
-    let nothing = |status| (status, Load::default(), None);
+) -> (Status, LoadReport, Option<CompleteResponse>) {
+    let nothing = |status| (status, LoadReport::default(), None);
     if node.now() > node.current_until.get() {
         // The list ends this one, where it tells that the backend leaves.
         tokio::time::sleep(OVERDUE_LIST).await;
@@ -101,10 +101,10 @@
                 // It serves the next request.
                 lease.keep(endpoint);
             }
-            return nothing(Status::Moot);
+            return nothing(Status::NotSent);
         }
     };
-    let Some(stream) = lease.stream.as_ref() else { return nothing(Status::Moot) };
+    let Some(stream) = lease.stream.as_ref() else { return nothing(Status::NotSent) };
     let mut buffer = BytesMut::with_capacity(FIRST_READ);
     attempt.passed.write_head(&mut buffer, limits.timeout);
     attempt.begun.set(true);
@@ -117,7 +117,7 @@
         Ok(Ok(())) => {}
         Ok(Err(_)) => return nothing(Status::ConnectFailed),
         // Broken off before its last byte: it does not run.
-        Err(_) => return nothing(Status::Moot),
+        Err(_) => return nothing(Status::NotSent),
     }
     buffer.clear();
     let mut permit = node.answers.permit();
@@ -152,14 +152,14 @@
     }
     // One that gives way is dropped here.
     if matches!(node.state.borrow_mut().pool.opening(), Room::Full) {
-        return Err(Status::Moot);
+        return Err(Status::NotSent);
     }
     let mut lease = Lease::new(node, None);
     let limit = limit(within.min(node.connect_timeout));
     let stream = match tokio::time::timeout(limit, weirusher_net::connect(endpoint.1)).await {
         Ok(Ok(stream)) => stream,
         // Its time was cut short by what it carries: that tells nothing of the server.
-        Err(_) if within < node.connect_timeout => return Err(Status::Moot),
+        Err(_) if within < node.connect_timeout => return Err(Status::NotSent),
         _ => return Err(Status::ConnectFailed),
     };
     lease.stream = Some(stream);
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
-use weirusher::{JobId, Reason, Time};
+use weirusher::{Reason, RequestId, Time};
 use weirusher_core::{IncomingRequest, Outcome};
 use weirusher_platform::backend::Passed;
 use weirusher_platform::client::{self, Asked, BadRequest, Demand};
@@ -31,7 +31,7 @@
 /// A request whose client waits; dropped unanswered, the client has left.
 struct Open {
     node: Rc<NodeContext>,
-    job: JobId,
+    job: RequestId,
     answered: bool,
 }
 
@@ -316,8 +316,16 @@
             }
         }
         let time_budget = patience - waited;
-        let request =
-            IncomingRequest { job: job.clone(), customer, plan, class, units, time_budget, spread, repeat };
+        let request = IncomingRequest {
+            id: job.clone(),
+            customer,
+            plan,
+            class,
+            units,
+            time_budget,
+            customer_instances: spread,
+            is_retry: repeat,
+        };
         let Some(reply) = node.request(request, passed, self.socket.clone()) else {
             return self.turn_down(BadRequest::Doubled).await;
         };
@@ -378,11 +386,11 @@
                 client::write_served(&mut out, body.len(), close);
                 body
             }
-            Reply::Decided(Outcome::Refused { reason: Reason::Stopping, .. }) => {
+            Reply::Decided(Outcome::Rejected { reason: Reason::Stopping, .. }) => {
                 client::write_unavailable(&mut out, close);
                 Bytes::new()
             }
-            Reply::Decided(Outcome::Refused { retry_after, .. }) => {
+            Reply::Decided(Outcome::Rejected { retry_after, .. }) => {
                 client::write_refused(&mut out, retry_after, close);
                 Bytes::new()
             }
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot};
 use tokio::task::AbortHandle;
-use weirusher::{JobId, Load, Reason, ServerId, Status};
+use weirusher::{BackendId, LoadReport, Reason, RequestId, Status};
 use weirusher_clock::Clock;
 use weirusher_core::{
     Arrived, Blocked, Command, IncomingRequest, Outcome, Pool, ProxyCore, ProxyOutput, SendLimits, Shutdown,
@@ -29,7 +29,7 @@
 const MOST_CALLS: usize = 4096;
 
 /// Where a connection leads: a backend by name, at the address it has now.
-pub type Endpoint = (ServerId, SocketAddr);
+pub type Endpoint = (BackendId, SocketAddr);
 
 /// A backend's answer, whole, and the room that it takes until it is written.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
 
 /// An attempt that is made.
 struct RunningAttempt {
-    server: ServerId,
+    server: BackendId,
     task: AbortHandle,
     /// Its first byte is on its way: from now on its backend owes it an answer, though it leaves.
     begun: Rc<Cell<bool>>,
@@ -71,11 +71,11 @@
 
 pub struct State {
     pub proxy: ProxyCore,
-    pending: HashMap<JobId, PendingRequest>,
-    attempts: HashMap<(JobId, u32), RunningAttempt>,
+    pending: HashMap<RequestId, PendingRequest>,
+    attempts: HashMap<(RequestId, u32), RunningAttempt>,
     pub pool: Pool<Endpoint, TcpStream>,
     /// Where backends listen that take what is new.
-    addresses: HashMap<ServerId, SocketAddr>,
+    addresses: HashMap<BackendId, SocketAddr>,
     pub slots: Slots,
     last_slot: SlotId,
     /// By connection, how to ask for its close.
@@ -188,7 +188,7 @@
         let (answer, reply) = oneshot::channel();
         {
             let state = &mut *self.state.borrow_mut();
-            let job = request.job.clone();
+            let job = request.id.clone();
             if state.proxy.request(self.now(), request) == Arrived::Duplicate {
                 return None;
             }
@@ -242,12 +242,12 @@
     }
 
     /// The client of a request left.
-    pub fn left(self: &Rc<Self>, job: &JobId) {
+    pub fn left(self: &Rc<Self>, job: &RequestId) {
         {
             let state = &mut *self.state.borrow_mut();
             state.pending.remove(job);
             event!(self, id = %job, "client gone, request withdrawn");
-            state.proxy.left(self.now(), job);
+            state.proxy.client_gone(self.now(), job);
         }
         self.pump();
     }
@@ -255,16 +255,16 @@
     /// An attempt ended; one whose answer serves has it `whole`.
     pub fn ended(
         self: &Rc<Self>,
-        job: &JobId,
+        job: &RequestId,
         attempt: u32,
         status: Status,
-        load: Load,
+        load: LoadReport,
         whole: Option<CompleteResponse>,
     ) {
         {
             let state = &mut *self.state.borrow_mut();
             state.attempts.remove(&(job.clone(), attempt));
-            let serves = state.proxy.ended(self.now(), job, attempt, status, load);
+            let serves = state.proxy.attempt_ended(self.now(), job, attempt, status, load);
             event!(self, id = %job, attempt, ?status, serves, "attempt ended");
             if serves {
                 let reason = Reason::AttemptsFailed;
@@ -289,7 +289,7 @@
 
     /// A counter call ended.
     pub fn counted(self: &Rc<Self>, call: u64, status: Status, total: f64, spent: f64) {
-        self.state.borrow_mut().proxy.counted(self.now(), call, status, total, spent);
+        self.state.borrow_mut().proxy.counter_response(self.now(), call, status, total, spent);
         self.pump();
     }
 
@@ -301,7 +301,7 @@
         }
         {
             let state = &mut *self.state.borrow_mut();
-            if update.kind != weirusher::ListKind::Changes {
+            if update.kind != weirusher::EndpointListKind::Delta {
                 state.addresses.clear();
             }
             for backend in update.addresses {
@@ -313,7 +313,7 @@
             let now = self.now();
             let addresses = &state.addresses;
             state.pool.prune(now, |(name, address)| addresses.get(name) == Some(address));
-            state.proxy.list(now, update.kind, update.servers);
+            state.proxy.update_endpoints(now, update.kind, update.endpoints);
             state.call_back(now);
         }
         self.ready.set(true);
@@ -322,7 +322,7 @@
 
     /// Discovery answered that the list is as it was.
     pub fn list_confirmed(&self) {
-        self.state.borrow_mut().proxy.list_confirmed(self.now());
+        self.state.borrow_mut().proxy.confirm_endpoints(self.now());
     }
 
     /// Lets the proxy core's timers come due.
@@ -341,20 +341,28 @@
         let most_calls = if self.has_counter.get() { MOST_CALLS } else { 0 };
         for output in outputs.drain(..) {
             match output {
-                ProxyOutput::Send { job, attempt, server, timeout, within } => {
+                ProxyOutput::Forward {
+                    request: job,
+                    attempt,
+                    backend: server,
+                    timeout,
+                    start_within: within,
+                } => {
                     self.begin(state, job, attempt, server, (timeout, within));
                 }
-                ProxyOutput::Abort { job, attempt } => {
+                ProxyOutput::Abort { request: job, attempt } => {
                     event!(self, id = %job, attempt, "attempt aborted");
                     if let Some(running) = state.attempts.remove(&(job, attempt)) {
                         running.task.abort();
                     }
                 }
-                ProxyOutput::Prevented { job, attempt, violation } => {
+                ProxyOutput::Prevented { request: job, attempt, violation } => {
                     tracing::error!(id = %job, attempt, %violation, "an attempt would have broken a rule");
                 }
-                ProxyOutput::Respond { job, outcome } => self.reply(state, &job, Reply::Decided(outcome)),
-                ProxyOutput::Command(Command::Count { call, counter, amount, ttl }) => {
+                ProxyOutput::Respond { request: job, outcome } => {
+                    self.reply(state, &job, Reply::Decided(outcome))
+                }
+                ProxyOutput::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
                     if state.calls.len() < most_calls {
                         state.calls.push_back(Call { call, counter, amount, ttl });
                         called = true;
@@ -362,7 +370,7 @@
                         turned_away.push(call);
                     }
                 }
-                ProxyOutput::Command(Command::Watch) => {} // The list is watched from the start.
+                ProxyOutput::Command(Command::WatchEndpoints) => {} // The list is watched from the start.
                 ProxyOutput::Command(Command::Log(text)) => tracing::info!(%text, "module"),
             }
         }
@@ -375,7 +383,7 @@
             return;
         }
         for call in turned_away {
-            state.proxy.counted(self.now(), call, Status::Full, 0.0, 0.0);
+            state.proxy.counter_response(self.now(), call, Status::Rejected, 0.0, 0.0);
         }
         // What was held for these calls is decided now, not with the next event. It ends: a counter that turned calls
         // away is not asked again at once.
@@ -383,10 +391,10 @@
         self.pump();
     }
 
-    fn reply(&self, state: &mut State, job: &JobId, reply: Reply) {
+    fn reply(&self, state: &mut State, job: &RequestId, reply: Reply) {
         match &reply {
             Reply::Served(whole) => event!(self, id = %job, bytes = whole.body.len(), "request served"),
-            Reply::Decided(Outcome::Refused { retry_after, reason }) => {
+            Reply::Decided(Outcome::Rejected { retry_after, reason }) => {
                 event!(self, id = %job, %reason, retry_after, "request refused");
             }
             Reply::Decided(Outcome::Failed { reason }) => event!(self, id = %job, %reason, "request failed"),
@@ -399,9 +407,9 @@
     fn begin(
         self: &Rc<Self>,
         state: &mut State,
-        job: JobId,
+        job: RequestId,
         attempt: u32,
-        server: ServerId,
+        server: BackendId,
         limits: (f64, f64),
     ) {
         let Some(passed) = state.pending.get(&job).map(|w| w.passed.clone()) else { return };
@@ -426,7 +434,7 @@
     /// Ends the attempts that did not begin, their connections still coming up, at backends that take nothing new.
     fn call_back(&mut self, now: f64) {
         let addresses = &self.addresses;
-        let late = |(_, running): &(&(JobId, u32), &mut RunningAttempt)| {
+        let late = |(_, running): &(&(RequestId, u32), &mut RunningAttempt)| {
             !running.begun.get() && !addresses.contains_key(&running.server)
         };
         let ended: Vec<_> = self.attempts.iter_mut().filter(late).map(|(key, _)| key.clone()).collect();
@@ -434,7 +442,7 @@
             if let Some(running) = self.attempts.remove(&key) {
                 running.task.abort();
             }
-            self.proxy.ended(now, &key.0, key.1, Status::Moot, Load::default());
+            self.proxy.attempt_ended(now, &key.0, key.1, Status::NotSent, LoadReport::default());
         }
     }
 
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{AbortHandle, JoinSet};
-use weirusher::ListKind;
+use weirusher::EndpointListKind;
 use weirusher_core::{LineId, ListWatch, WatchStep, WatchTerms};
 use weirusher_platform::list::{ListState, MOST_LIST};
 use weirusher_platform::response::ResponseReader;
@@ -128,7 +128,7 @@
                     tracing::info!("discovery answers again");
                 }
                 // Most answers bring no news: nothing is worked through for them.
-                if update.kind != ListKind::Changes || !update.addresses.is_empty() {
+                if update.kind != EndpointListKind::Delta || !update.addresses.is_empty() {
                     self.node.list(update);
                 } else {
                     self.node.list_confirmed();
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -74,9 +74,9 @@
 impl InFleet {
     async fn start(self, config: &Config) -> Result<(), StartError> {
         let (of, settings) = (&self.config.settings, &config.site.settings);
-        let (me, size) = (of.me, of.members.len());
-        if (u32::from(me), size) != (settings.me, settings.gateways as usize) {
-            return Err(StartError::OtherFleet(me, size, settings.me, settings.gateways));
+        let (me, size) = (of.instance, of.members.len());
+        if (u32::from(me), size) != (settings.instance, settings.instances as usize) {
+            return Err(StartError::OtherFleet(me, size, settings.instance, settings.instances));
         }
         let page = self.config.admin.unwrap_or(config.listen);
         let fail = |error| StartError::Page(page, error);
@@ -163,9 +163,9 @@
         budget,
         requests: ByteBudget::new(budget.body_bytes),
         answers: ByteBudget::new(budget.body_bytes),
-        connect_timeout: site.settings.connect_limit,
-        count_limit: site.settings.count_limit,
-        state: RefCell::new(State::new(proxy, &budget, IDLE_MARGIN * site.conn_idle)),
+        connect_timeout: site.settings.connect_timeout,
+        count_limit: site.settings.counter_timeout,
+        state: RefCell::new(State::new(proxy, &budget, IDLE_MARGIN * site.connection_idle_timeout)),
         timers: Wakeup::default(),
         idlers: Wakeup::default(),
         has_counter: Cell::new(true),
@@ -199,7 +199,7 @@
 
     fn watch(node: &Rc<NodeContext>, config: &Config) -> AbortHandle {
         let (site, address) = (&config.site, config.discovery);
-        let terms = WatchTerms::new(site.stop_within, site.settings.must_ask);
+        let terms = WatchTerms::new(site.drain_grace, site.settings.polls_endpoints);
         spawn_local(discovery::run(node.clone(), address, site.zones.clone(), terms, config.seed))
             .abort_handle()
     }
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -3,7 +3,7 @@
 use crate::client::MOST_BODY;
 use crate::response::Response;
 use bytes::{BufMut, Bytes, BytesMut};
-use weirusher::{Load, Status};
+use weirusher::{LoadReport, Status};
 use weirusher_wire::head::RequestHead;
 
 /// Most bytes of a load report that are read.
@@ -49,22 +49,22 @@
 pub fn outcome(response: &Response) -> Status {
     match response.status {
         200 => Status::Ok,
-        503 | 504 if response.never_ran => Status::Full,
+        503 | 504 if response.never_ran => Status::Rejected,
         _ => Status::Error,
     }
 }
 
 /// Reads a load report; what cannot be read is no report.
-pub fn load(report: &str) -> Load {
-    let mut load = Load::default();
+pub fn load(report: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     if report.len() > MOST_REPORT {
         return load;
     }
     let (_, pairs) = report.trim().split_once(' ').unwrap_or(("", report));
     for pair in pairs.split(',') {
-        let Some((key, value)) = pair.trim().split_once('=') else { return Load::default() };
+        let Some((key, value)) = pair.trim().split_once('=') else { return LoadReport::default() };
         let Some(value) = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0) else {
-            return Load::default();
+            return LoadReport::default();
         };
         match key {
             "inflight" => load.inflight = Some(value),
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, BytesMut};
 use std::collections::HashMap;
-use weirusher::{CustomerId, Effect, JobId, Site};
+use weirusher::{CustomerId, Idempotency, PlatformSettings, RequestId};
 use weirusher_wire::body::Framing;
 use weirusher_wire::head::{Fields, RequestHead};
 use weirusher_wire::http1::HttpError;
@@ -92,14 +92,14 @@
 
 impl Names {
     /// The names of a site.
-    pub fn new(site: &Site) -> Self {
-        let safe = |index: usize| site.settings.classes[index].effect == Effect::Safe;
+    pub fn new(site: &PlatformSettings) -> Self {
+        let safe = |index: usize| site.settings.classes[index].idempotency == Idempotency::Idempotent;
         let class = |(index, name): (usize, &String)| (name.clone(), (index, safe(index)));
         Self {
             classes: site.classes.iter().enumerate().map(class).collect(),
             plans: site.plans.iter().enumerate().map(|(index, name)| (name.clone(), index)).collect(),
-            gateways: site.settings.gateways,
-            most_units: site.settings.max_units.max(1.0),
+            gateways: site.settings.instances,
+            most_units: site.settings.max_request_units.max(1.0),
         }
     }
 }
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Demand {
     /// Its id.
-    pub job: JobId,
+    pub job: RequestId,
     /// Its customer.
     pub customer: CustomerId,
     /// Index of its class.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use weirusher::{ListKind, Site, SiteError};
+use weirusher::{EndpointListKind, PlatformSettings, PlatformSettingsError};
 
 /// The file's form.
 #[derive(Deserialize)]
@@ -49,7 +49,7 @@
     /// discovery tells a younger one.
     pub known: Result<Option<ListUpdate>, BadList>,
     /// What it decides by.
-    pub site: Site,
+    pub site: PlatformSettings,
 }
 
 /// Why a configuration cannot be used.
@@ -60,7 +60,7 @@
     Unreadable(#[from] serde_json::Error),
     /// Its settings cannot be used.
     #[error(transparent)]
-    Settings(#[from] SiteError),
+    Settings(#[from] PlatformSettingsError),
     /// Its seed is no number.
     #[error("seed: neither a number nor hex digits")]
     Seed,
@@ -93,9 +93,10 @@
     /// What of it cannot be used.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_slice(text)?;
-        let site = Site::read(&file.settings)?;
-        let known =
-            file.known.map(|list| Listing::deserialize(list)?.into_update(&site.zones, ListKind::Stale));
+        let site = PlatformSettings::read(&file.settings)?;
+        let known = file.known.map(|list| {
+            Listing::deserialize(list)?.into_update(&site.zones, EndpointListKind::StaleSnapshot)
+        });
         Ok(Self {
             name: file.name,
             listen: file.listen,
--- a/crates/platform/src/counter.rs
+++ b/crates/platform/src/counter.rs
@@ -30,7 +30,7 @@
             let total = text.parse().ok().filter(|total: &f64| total.is_finite())?;
             Some((Status::Ok, total))
         }
-        400 | 404 | 503 => Some((Status::Full, 0.0)),
+        400 | 404 | 503 => Some((Status::Rejected, 0.0)),
         _ => None,
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
-use weirusher::{Lifecycle, ListKind, Server, ServerId};
+use weirusher::{BackendId, Endpoint, EndpointListKind, Lifecycle};
 
 /// Most backends of a list.
 const MOST_BACKENDS: usize = 4096;
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct Endpoint {
+struct ListedEndpoint {
     address: SocketAddr,
     #[serde(default)]
     zone: String,
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackendAddress {
     /// Its name, which is its identity.
-    pub name: ServerId,
+    pub name: BackendId,
     /// Its address here; another may have it later. `None`: it leaves, left, or nothing sure was said of it.
     pub address: Option<SocketAddr>,
 }
@@ -71,9 +71,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListUpdate {
     /// What it holds.
-    pub kind: ListKind,
+    pub kind: EndpointListKind,
     /// Its entries, for the module.
-    pub servers: Vec<Server>,
+    pub endpoints: Vec<Endpoint>,
     /// Its entries' addresses.
     pub addresses: Vec<BackendAddress>,
     /// The entries that cannot be read, some of them by name, and what is wrong.
@@ -120,7 +120,7 @@
             return Ok(None);
         }
         let index = listing.index;
-        let update = listing.into_update(&self.zones, ListKind::Full)?;
+        let update = listing.into_update(&self.zones, EndpointListKind::Snapshot)?;
         self.index = Some(index);
         Ok(Some(update))
     }
@@ -132,16 +132,17 @@
     ///
     /// # Errors
     /// It passes a bound.
-    pub fn into_update(self, zones: &[String], whole: ListKind) -> Result<ListUpdate, BadList> {
+    pub fn into_update(self, zones: &[String], whole: EndpointListKind) -> Result<ListUpdate, BadList> {
         if self.endpoints.len() > MOST_BACKENDS {
             return Err(BadList::Bound("too many backends"));
         }
-        let kind = if self.snapshot { whole } else { ListKind::Changes };
-        let mut update = ListUpdate { kind, servers: Vec::new(), addresses: Vec::new(), unread: Vec::new() };
+        let kind = if self.snapshot { whole } else { EndpointListKind::Delta };
+        let mut update =
+            ListUpdate { kind, endpoints: Vec::new(), addresses: Vec::new(), unread: Vec::new() };
         let empty = self.endpoints.is_empty();
         for entry in self.endpoints {
-            let name: Option<ServerId> = entry.get("name").and_then(Value::as_str).and_then(name);
-            match (name, Endpoint::read(entry)) {
+            let name: Option<BackendId> = entry.get("name").and_then(Value::as_str).and_then(name);
+            match (name, ListedEndpoint::read(entry)) {
                 (Some(name), Ok(endpoint)) => endpoint.add_to(name, zones, &mut update),
                 (name, read) => {
                     let wrong = read.err().unwrap_or_else(|| "a name that is none".into());
@@ -149,14 +150,14 @@
                 }
             }
         }
-        if update.servers.is_empty() && !empty {
+        if update.endpoints.is_empty() && !empty {
             return Err(BadList::Bound("no backend that can be read"));
         }
         Ok(update)
     }
 }
 
-fn name(text: &str) -> Option<ServerId> {
+fn name(text: &str) -> Option<BackendId> {
     (!text.is_empty() && text.len() <= MOST_NAME).then(|| text.into())
 }
 
@@ -171,7 +172,7 @@
     zones.iter().position(|zone| zone == name).map_or_else(unnamed, |place| place as u32)
 }
 
-impl Endpoint {
+impl ListedEndpoint {
     fn read(entry: Value) -> Result<Self, String> {
         let endpoint: Self = serde_json::from_value(entry).map_err(|error| error.to_string())?;
         if !endpoint.since_ms.is_finite() || endpoint.since_ms < 0.0 {
@@ -180,16 +181,16 @@
         Ok(endpoint)
     }
 
-    fn add_to(self, name: ServerId, zones: &[String], update: &mut ListUpdate) {
+    fn add_to(self, name: BackendId, zones: &[String], update: &mut ListUpdate) {
         let lifecycle = match self.status {
             State::Serving => Lifecycle::Running,
             State::Draining | State::Unknown => Lifecycle::Draining,
-            State::Deleted => Lifecycle::Gone,
+            State::Deleted => Lifecycle::Removed,
         };
         if let State::Unknown = self.status {
             update.note(&name, "a status that is not known");
         }
-        update.servers.push(Server {
+        update.endpoints.push(Endpoint {
             id: name.clone(),
             zone: zone(zones, &self.zone),
             cell: self.group,
@@ -203,11 +204,11 @@
 
 impl ListUpdate {
     /// An entry that cannot be read. In a whole list its backend is as one that left; changes say so.
-    fn unread(&mut self, name: Option<ServerId>, wrong: &str) {
+    fn unread(&mut self, name: Option<BackendId>, wrong: &str) {
         self.note(name.as_deref().unwrap_or("?"), wrong);
-        let Some(id) = name.filter(|_| self.kind == ListKind::Changes) else { return };
+        let Some(id) = name.filter(|_| self.kind == EndpointListKind::Delta) else { return };
         let (zone, cell, started, lifecycle) = (0, 0, 0.0, Lifecycle::Draining);
-        self.servers.push(Server { id: id.clone(), zone, cell, started, lifecycle });
+        self.endpoints.push(Endpoint { id: id.clone(), zone, cell, started, lifecycle });
         self.addresses.push(BackendAddress { name: id, address: None });
     }
 
--- a/crates/platform/tests/parsers.rs
+++ b/crates/platform/tests/parsers.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use proptest::prelude::*;
 use serde_json::json;
-use weirusher::{Lifecycle, ListKind, Site, Status};
+use weirusher::{EndpointListKind, Lifecycle, PlatformSettings, Status};
 use weirusher_platform::client::{self, Asked, BadRequest, Demand, Names};
 use weirusher_platform::list::{ListState, MOST_LIST};
 use weirusher_platform::response::{Response, ResponseReader};
@@ -16,7 +16,7 @@
         "Classes": [{"Name": "check-answer", "Effect": "idempotent"}, {"Name": "store", "Effect": "at_most_once"}],
         "Plans": [{"Name": "pieni", "QuotaRate": 1.0, "Depth": 4.0}, {"Name": "iso"}],
     });
-    Names::new(&Site::read(&settings).unwrap())
+    Names::new(&PlatformSettings::read(&settings).unwrap())
 }
 
 const GOOD: &str = "GET /api/00000000b4d65521 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\n\
@@ -58,7 +58,7 @@
     let endpoints: Vec<_> = zones.iter().enumerate().map(entry).collect();
     let list = json!({"index": 1, "snapshot": true, "endpoints": endpoints}).to_string();
     let update = ListState::new(vec!["a".into(), "b".into()]).take(list.as_bytes()).unwrap().unwrap();
-    let found: Vec<u32> = update.servers.iter().map(|server| server.zone).collect();
+    let found: Vec<u32> = update.endpoints.iter().map(|server| server.zone).collect();
     assert_eq!((found[0], found[1], found[4]), (0, 1, 0));
     assert!(found[2] == found[3] && found[2] > 1 && found[5] > 1 && found[2] != found[5], "{found:?}");
 }
@@ -132,7 +132,7 @@
     assert_eq!(one("HTTP/1.1 204 -\r\nContent-Length: 0\r\n\r\n"), Ok(Some(Status::Error)));
     for status in [503, 504] {
         let never = format!("HTTP/1.1 {status} -\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
-        assert_eq!(one(&never), Ok(Some(Status::Full)));
+        assert_eq!(one(&never), Ok(Some(Status::Rejected)));
         assert_eq!(one(&never.replace("Ran: 1", "Ran: 0")), Ok(Some(Status::Error)));
     }
     let interim = "HTTP/1.1 103 -\r\nLink: x\r\n\r\n";
@@ -194,7 +194,7 @@
     assert_eq!(ok("38.25"), Some((Status::Ok, 38.25)));
     assert_eq!(ok("1e2\n"), Some((Status::Ok, 100.0)));
     assert!(ok("").is_none() && ok("NaN").is_none() && ok("<html>").is_none());
-    assert_eq!(update("HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n"), Some((Status::Full, 0.0)));
+    assert_eq!(update("HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n"), Some((Status::Rejected, 0.0)));
     let mut call = BytesMut::new();
     counter::write_call(&mut call, 0xABC, -2.5, 400.0);
     assert!(call.starts_with(b"POST /v2/numbers/abc?delta=-2.500000&life_ms=60000 HTTP/1.1\r\n"));
@@ -221,11 +221,14 @@
     };
     assert!(held.take(list(40, false, "SERVING").as_bytes()).unwrap().is_none(), "changes to nothing");
     let update = held.take(list(41, true, "SERVING").as_bytes()).unwrap().unwrap();
-    assert_eq!((update.kind, update.servers[0].zone, update.servers[0].cell), (ListKind::Full, 1, 3));
-    assert!((update.servers[0].started - 1.5).abs() < 1e-9);
+    assert_eq!(
+        (update.kind, update.endpoints[0].zone, update.endpoints[0].cell),
+        (EndpointListKind::Snapshot, 1, 3)
+    );
+    assert!((update.endpoints[0].started - 1.5).abs() < 1e-9);
     assert_eq!(held.target(5.0), "/api/targets?since=41&timeout_ms=5000");
     let update = held.take(list(43, false, "DELETED").as_bytes()).unwrap().unwrap();
-    assert_eq!((update.kind, update.servers[0].lifecycle), (ListKind::Changes, Lifecycle::Gone));
+    assert_eq!((update.kind, update.endpoints[0].lifecycle), (EndpointListKind::Delta, Lifecycle::Removed));
     assert_eq!(update.addresses[0].address, None);
     for bad in ["", "{", "[]", r#"{"index":1}"#, &list(44, true, "SERVING").replace("10.1", "x")] {
         assert!(held.take(bad.as_bytes()).is_err(), "{bad}");
@@ -257,9 +260,9 @@
             update.addresses.iter().filter(|w| w.address.is_some()).map(|w| &*w.name).collect();
         assert_eq!(serving, ["s-1"], "and those of which nothing sure was said get nothing new");
         let running: Vec<_> =
-            update.servers.iter().filter(|s| s.lifecycle == Lifecycle::Running).map(|s| &*s.id).collect();
+            update.endpoints.iter().filter(|s| s.lifecycle == Lifecycle::Running).map(|s| &*s.id).collect();
         assert_eq!(running, ["s-1"]);
-        let leaving = |name: &str| update.servers.iter().any(|s| &*s.id == name);
+        let leaving = |name: &str| update.endpoints.iter().any(|s| &*s.id == name);
         // A whole list says by leaving it out that a backend left; changes must name it.
         assert_eq!([leaving("s-2"), leaving("s-3"), leaving("s-4")], [true, !whole, !whole]);
         assert!(update.unread.len() == 4 && update.unread[0].starts_with("s-2:"), "{:?}", update.unread);
@@ -281,7 +284,7 @@
         let mut src = BytesMut::from(format!("{head}{text}").as_bytes());
         let response = ResponseReader::new(MOST_LIST).read(&mut src).unwrap().expect("it is whole");
         let update = ListState::default().take(&response.body).unwrap().expect("the first one");
-        assert_eq!((update.servers.len(), update.unread.len()), (many, 0));
+        assert_eq!((update.endpoints.len(), update.unread.len()), (many, 0));
     }
 }
 
--- a/crates/scenarios/benches/ext_authz.rs
+++ b/crates/scenarios/benches/ext_authz.rs
@@ -31,7 +31,7 @@
 use tokio::runtime::Runtime;
 use tokio::sync::mpsc;
 use tonic::{Request, Response, Status};
-use weirusher::Server;
+use weirusher::Endpoint;
 use weirusher_config::Config;
 use weirusher_fakes::{Counter, Discovery, Recorder};
 
@@ -83,7 +83,7 @@
     let any = "127.0.0.1:0".parse().expect("an address");
     let counter = Counter::start(any, Recorder::new(None)).await.expect("a counter");
     let discovery = Discovery::start(any, Duration::ZERO, Recorder::new(None)).await.expect("discovery");
-    let entry = |n: usize| Server::warm(format!("127.0.0.1:{}", 10_000 + n));
+    let entry = |n: usize| Endpoint::warm(format!("127.0.0.1:{}", 10_000 + n));
     discovery.set((0..CHECKERS).map(entry).collect());
     let text = format!(
         "default_plan = \"p\"\n[instance]\nnumber = 0\ngateways = 1\n[listen]\next_authz = \"127.0.0.1:0\"\n\
--- a/crates/scenarios/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 use tokio::task::JoinSet;
-use weirusher::{Lifecycle, Server};
+use weirusher::{Endpoint, Lifecycle};
 use weirusher_core::{Key, Keyring};
 use weirusher_fakes::{
     CHANCE, Cold, ColdBook, Counter, Discovery, Fact, FakeBackend, FakeBackendSpec, Link, LoadGenerator,
@@ -245,7 +245,7 @@
         slot.process = None;
         slot.front.retarget(None);
         slot.front.reset();
-        slot.lifecycle = Lifecycle::Gone;
+        slot.lifecycle = Lifecycle::Removed;
         let server = slot.front.address.to_string();
         self.recorder.note(Fact::Server { server, state: ServerState::Killed });
     }
@@ -256,7 +256,7 @@
 
     /// Tells discovery of the fleet as it is.
     pub fn publish(&self) {
-        let server = |slot: &CheckerSlot| Server {
+        let server = |slot: &CheckerSlot| Endpoint {
             id: slot.front.address.to_string().into(),
             zone: 0,
             cell: 0,
--- a/crates/scenarios/tests/site/mod.rs
+++ b/crates/scenarios/tests/site/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
-use weirusher::{Lifecycle, Server};
+use weirusher::{Endpoint, Lifecycle};
 use weirusher_config::Config;
 use weirusher_core::{Key, Keyring};
 use weirusher_ext_authz::Running;
@@ -135,7 +135,7 @@
     }
 
     pub fn publish(&self, lifecycles: &[Lifecycle]) {
-        let server = |(checker, lifecycle): (&FakeBackend, &Lifecycle)| Server {
+        let server = |(checker, lifecycle): (&FakeBackend, &Lifecycle)| Endpoint {
             id: checker.address.to_string().into(),
             zone: 0,
             cell: 0,
--- a/crates/simulation/src/membership/member.rs
+++ b/crates/simulation/src/membership/member.rs
@@ -61,7 +61,8 @@
 impl Member {
     /// Member `me` of `size`.
     pub fn new(size: u16, me: u16, incarnation: u64, seed: u64, now: Millis) -> Self {
-        let settings = Settings { me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
+        let settings =
+            Settings { instance: me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
         let fleet = Fleet::new(settings, incarnation, seed, now).expect("these settings can work");
         Self { fleet, events: Vec::new() }
     }
--- a/crates/simulation/src/simulator.rs
+++ b/crates/simulation/src/simulator.rs
@@ -5,7 +5,7 @@
 use crate::schedule::{Habit, Schedule, Trouble};
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
-use weirusher::{Class, CustomerId, ListKind, Plan, Server, Settings, Status};
+use weirusher::{Class, CustomerId, Endpoint, EndpointListKind, Plan, Settings, Status};
 use weirusher_core::{Answer, Check, Command, Ending, Engine, Key, Keyring, Output, Report};
 
 /// Unix seconds at which every schedule begins.
@@ -172,15 +172,15 @@
         let mut plan = Plan::default();
         [plan.rate, plan.burst] = self.line.quota;
         [plan.ceiling_rate, plan.ceiling_burst] = self.line.ceiling;
-        plan.pays = 1.0;
+        plan.priority_weight = 1.0;
         (settings.plans, settings.classes) = (vec![plan], vec![Class::default()]);
-        (settings.me, settings.gateways) = (instance as u32, self.line.gateways);
-        (settings.has_counter, settings.count_limit, settings.max_attempts) = (true, LIMIT, 3);
+        (settings.instance, settings.instances) = (instance as u32, self.line.gateways);
+        (settings.has_counter, settings.counter_timeout, settings.max_attempts) = (true, LIMIT, 3);
         let ring = Keyring::new(vec![Key { id: 1, secret: vec![7; 32] }]).expect("one key is given");
         let seed = self.rng.u64(..);
         let mut engine = Engine::new(settings, ring, life, seed, self.now).expect("usable settings");
-        let servers = (0..8).map(|n| Server::warm(format!("127.0.0.1:{}", 7000 + n))).collect();
-        engine.list(self.now, ListKind::Stale, servers);
+        let servers = (0..8).map(|n| Endpoint::warm(format!("127.0.0.1:{}", 7000 + n))).collect();
+        engine.update_endpoints(self.now, EndpointListKind::StaleSnapshot, servers);
         Gateway { engine, line: Line::new(LIMIT, seed), life, timer: f64::INFINITY }
     }
 
@@ -297,7 +297,7 @@
                     self.gateways[instance].engine.report(self.now, &report);
                 }
             }
-            Output::Command(Command::Count { call, counter, amount, ttl }) => {
+            Output::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
                 self.call(instance, call, counter, amount, ttl)
             }
             Output::Command(_) => {}
@@ -309,10 +309,10 @@
         let (now, way) = (self.now, self.way());
         let gateway = &mut self.gateways[instance];
         if !gateway.line.up {
-            return gateway.engine.counted(now, call, Status::ConnectFailed, 0.0, 0.0);
+            return gateway.engine.counter_response(now, call, Status::ConnectFailed, 0.0, 0.0);
         }
         if gateway.line.pipeline.send(now, call).is_err() {
-            return gateway.engine.counted(now, call, Status::Full, 0.0, 0.0);
+            return gateway.engine.counter_response(now, call, Status::Rejected, 0.0, 0.0);
         }
         let made = gateway.line.made;
         // Calls keep their order on a connection, both ways.
@@ -348,7 +348,7 @@
         let late = if let State::Late(seconds) = self.state { seconds } else { 0.0 };
         line.busy = (line.busy.max(self.now) + late).max(self.now + way);
         let (at, wrong) = (line.busy, self.state == State::Wrong);
-        let status = if wrong { Status::Full } else { Status::Ok };
+        let status = if wrong { Status::Rejected } else { Status::Ok };
         self.push(at, Event::Answers { instance, made, status, total });
     }
 
@@ -359,7 +359,7 @@
         }
         gateway.line.answered = true;
         if let Ok(Some((call, spent))) = gateway.line.pipeline.answered(self.now) {
-            gateway.engine.counted(self.now, call, status, total, spent);
+            gateway.engine.counter_response(self.now, call, status, total, spent);
             self.settle(instance);
         }
     }
@@ -370,7 +370,7 @@
             return;
         }
         for (call, spent) in gateway.line.pipeline.give_up(self.now + 1e-9) {
-            gateway.engine.counted(self.now, call, Status::Timeout, 0.0, spent);
+            gateway.engine.counter_response(self.now, call, Status::Timeout, 0.0, spent);
         }
         let dead = gateway.line.pipeline.dead(self.now);
         let next = gateway.line.pipeline.deadline();
@@ -391,7 +391,7 @@
         let (calls, pause) = gateway.line.drop_connection(self.now);
         let made = gateway.line.made;
         for (call, spent) in calls {
-            gateway.engine.counted(self.now, call, Status::Reset, 0.0, spent);
+            gateway.engine.counter_response(self.now, call, Status::Reset, 0.0, spent);
         }
         self.push(self.now + pause, Event::Reconnect { instance, made });
         self.settle(instance);
--- a/crates/wire/src/eds.rs
+++ b/crates/wire/src/eds.rs
@@ -8,12 +8,12 @@
     Address, HealthStatus, Locality, Metadata, SocketAddress, address, socket_address,
 };
 use envoy_types::pb::envoy::config::endpoint::v3::{
-    ClusterLoadAssignment, Endpoint, LbEndpoint, LocalityLbEndpoints, lb_endpoint,
+    ClusterLoadAssignment, Endpoint as EndpointProto, LbEndpoint, LocalityLbEndpoints, lb_endpoint,
 };
 use envoy_types::pb::google::protobuf::{Struct, Value, value};
 use std::collections::{BTreeMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
-use weirusher::{Lifecycle, Server};
+use weirusher::{Endpoint, Lifecycle};
 
 /// The type's name on the wire.
 pub const TYPE_URL: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct List {
     /// The backends.
-    pub servers: Vec<Server>,
+    pub endpoints: Vec<Endpoint>,
     /// Entries without a usable address.
     pub impossible: usize,
     /// Entries that name a backend a second time; the first one counts.
@@ -51,10 +51,10 @@
             };
             if !seen.insert(address) {
                 list.doubled += 1;
-            } else if list.servers.len() >= MOST_SERVERS {
+            } else if list.endpoints.len() >= MOST_SERVERS {
                 list.excess += 1;
             } else {
-                list.servers.push(Server {
+                list.endpoints.push(Endpoint {
                     id: address.to_string().into(),
                     zone: zone as u32,
                     cell: 0,
@@ -70,7 +70,7 @@
 fn lifecycle(status: HealthStatus) -> Lifecycle {
     match status {
         HealthStatus::Draining => Lifecycle::Draining,
-        HealthStatus::Unhealthy | HealthStatus::Timeout => Lifecycle::Gone,
+        HealthStatus::Unhealthy | HealthStatus::Timeout => Lifecycle::Removed,
         HealthStatus::Unknown | HealthStatus::Healthy | HealthStatus::Degraded => Lifecycle::Running,
     }
 }
@@ -96,7 +96,7 @@
 }
 
 /// Writes a list for `cluster`.
-pub fn write(cluster: &str, servers: &[Server], zones: &[String]) -> ClusterLoadAssignment {
+pub fn write(cluster: &str, servers: &[Endpoint], zones: &[String]) -> ClusterLoadAssignment {
     let mut by_zone: BTreeMap<u32, Vec<LbEndpoint>> = BTreeMap::new();
     for server in servers {
         by_zone.entry(server.zone).or_default().extend(endpoint(server));
@@ -110,7 +110,7 @@
     ClusterLoadAssignment { cluster_name: cluster.into(), endpoints, ..ClusterLoadAssignment::default() }
 }
 
-fn endpoint(server: &Server) -> Option<LbEndpoint> {
+fn endpoint(server: &Endpoint) -> Option<LbEndpoint> {
     let address: SocketAddr = server.id.parse().ok()?;
     let port = Some(socket_address::PortSpecifier::PortValue(u32::from(address.port())));
     let socket =
@@ -121,7 +121,7 @@
     let health = match server.lifecycle {
         Lifecycle::Running => HealthStatus::Healthy,
         Lifecycle::Draining => HealthStatus::Draining,
-        Lifecycle::Gone => HealthStatus::Unhealthy,
+        Lifecycle::Removed => HealthStatus::Unhealthy,
     };
     Some(LbEndpoint {
         health_status: health.into(),
@@ -129,9 +129,9 @@
             filter_metadata: [(METADATA.to_string(), fields)].into(),
             ..Metadata::default()
         }),
-        host_identifier: Some(lb_endpoint::HostIdentifier::Endpoint(Endpoint {
+        host_identifier: Some(lb_endpoint::HostIdentifier::Endpoint(EndpointProto {
             address,
-            ..Endpoint::default()
+            ..EndpointProto::default()
         })),
         ..LbEndpoint::default()
     })
@@ -141,8 +141,8 @@
 mod tests {
     use super::*;
 
-    fn server(id: &str, zone: u32, lifecycle: Lifecycle) -> Server {
-        Server { id: id.into(), zone, cell: 0, started: 7.5, lifecycle }
+    fn server(id: &str, zone: u32, lifecycle: Lifecycle) -> Endpoint {
+        Endpoint { id: id.into(), zone, cell: 0, started: 7.5, lifecycle }
     }
 
     #[test]
@@ -151,9 +151,9 @@
         let servers = vec![
             server("127.0.0.1:80", 0, Lifecycle::Running),
             server("127.0.0.1:81", 1, Lifecycle::Draining),
-            server("[::1]:82", 1, Lifecycle::Gone),
+            server("[::1]:82", 1, Lifecycle::Removed),
         ];
-        assert_eq!(read(&write("c", &servers, &zones), &zones).servers, servers);
+        assert_eq!(read(&write("c", &servers, &zones), &zones).endpoints, servers);
     }
 
     #[test]
@@ -163,6 +163,6 @@
         let mut assignment = write("c", &servers, &[]);
         assignment.endpoints[0].lb_endpoints.push(LbEndpoint::default());
         let list = read(&assignment, &[]);
-        assert_eq!((list.servers.len(), list.doubled, list.impossible), (2, 1, 3));
+        assert_eq!((list.endpoints.len(), list.doubled, list.impossible), (2, 1, 3));
     }
 }
--- a/examples/fleet_load.rs
+++ b/examples/fleet_load.rs
@@ -61,7 +61,7 @@
 #[derive(Clone)]
 struct Attempt {
     gateway: usize,
-    job: JobId,
+    job: RequestId,
     number: u32,
     sent: Time,
 }
@@ -100,13 +100,13 @@
     gateways: Vec<Gateway>,
     rates: Vec<f64>,
     stations: Vec<Station>,
-    names: Vec<ServerId>,
-    places: HashMap<ServerId, usize>,
+    names: Vec<BackendId>,
+    places: HashMap<BackendId, usize>,
     /// Mean seconds of work on a request.
     work: f64,
-    open: HashMap<(usize, JobId), Open>,
+    open: HashMap<(usize, RequestId), Open>,
     /// Attempts without an outcome so far.
-    pending: HashSet<(JobId, u32)>,
+    pending: HashSet<(RequestId, u32)>,
     connected: HashSet<(usize, usize)>,
     phases: [Ends; PHASES.len()],
     next: u64,
@@ -114,10 +114,10 @@
 
 fn settings(me: usize, gateways: usize, work: f64) -> Settings {
     let mut settings = Settings::default();
-    (settings.me, settings.gateways) = (me as u32, gateways as u32);
-    (settings.second_copies, settings.max_attempts, settings.may_cancel) = (true, 3, true);
+    (settings.instance, settings.instances) = (me as u32, gateways as u32);
+    (settings.hedging, settings.max_attempts, settings.may_cancel) = (true, 3, true);
     let mut class = Class::default();
-    (class.aim, class.deadline, class.late_worth) = (AIM * work, DEADLINE * work, 0.0);
+    (class.latency_objective, class.deadline, class.late_weight) = (AIM * work, DEADLINE * work, 0.0);
     (settings.classes, settings.plans) = (vec![class], vec![Plan::default()]);
     settings
 }
@@ -130,7 +130,7 @@
         let rates = weights.iter().map(|weight| RATE * gateways as f64 * weight / sum).collect();
         let capacity = RATE * gateways as f64 / LOAD / servers as f64;
         let work = SLOTS as f64 / capacity;
-        let names: Vec<ServerId> = (0..servers).map(|n| format!("s-{n:04}").into()).collect();
+        let names: Vec<BackendId> = (0..servers).map(|n| format!("s-{n:04}").into()).collect();
         let places = names.iter().cloned().enumerate().map(|(place, name)| (name, place)).collect();
         let gateway = |me: usize| Gateway::new(settings(me, gateways, work), seed ^ (me as u64 * 7919 + 1));
         let gateways = (0..gateways).map(|me| gateway(me).expect("usable settings")).collect();
@@ -163,9 +163,12 @@
     }
 
     fn run(&mut self) {
-        let servers: Vec<Server> = self.names.iter().cloned().map(Server::warm).collect();
+        let servers: Vec<Endpoint> = self.names.iter().cloned().map(Endpoint::warm).collect();
         for gateway in 0..self.gateways.len() {
-            self.handle(gateway, Event::List { kind: ListKind::Stale, servers: servers.clone() });
+            self.handle(
+                gateway,
+                Event::EndpointList { kind: EndpointListKind::StaleSnapshot, endpoints: servers.clone() },
+            );
             self.next_arrival(gateway);
         }
         while let Some(Entry { at, due, .. }) = self.due.pop() {
@@ -194,20 +197,20 @@
     fn arrive(&mut self, gateway: usize) {
         self.next_arrival(gateway);
         self.next += 1;
-        let job: JobId = format!("{}", self.next).into();
+        let job: RequestId = format!("{}", self.next).into();
         let phase = self.phase();
         self.phases[phase].offered += 1;
         self.open.insert((gateway, job.clone()), Open { arrived: self.now, phase, attempts: 0 });
         let request = Request {
-            job,
+            id: job,
             units: 1.0,
-            expires: self.now + DEADLINE * self.work,
+            deadline: self.now + DEADLINE * self.work,
             plan: 0,
-            spread: 1,
-            first: 0,
+            customer_instances: 1,
+            first_instance: 0,
             class: 0,
             customer: "customer".into(),
-            repeat: false,
+            is_retry: false,
         };
         self.handle(gateway, Event::Request(request));
     }
@@ -217,22 +220,24 @@
         self.gateways[gateway].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { job, server, timeout, .. } => self.begin(gateway, job, &server, timeout),
-                Action::Timer { token, at } => self.push(at, Due::Timer { gateway, token }),
-                Action::Refuse { job, .. } => self.close(gateway, &job, |ends| ends.refused += 1),
-                Action::Fail { job, .. } => self.close(gateway, &job, |ends| ends.failed += 1),
+                Action::Forward { request: job, backend: server, timeout, .. } => {
+                    self.begin(gateway, job, &server, timeout)
+                }
+                Action::SetTimer { token, at } => self.push(at, Due::Timer { gateway, token }),
+                Action::Reject { request: job, .. } => self.close(gateway, &job, |ends| ends.refused += 1),
+                Action::Fail { request: job, .. } => self.close(gateway, &job, |ends| ends.failed += 1),
                 _ => {}
             }
         }
     }
 
-    fn close(&mut self, gateway: usize, job: &JobId, count: impl FnOnce(&mut Ends)) {
+    fn close(&mut self, gateway: usize, job: &RequestId, count: impl FnOnce(&mut Ends)) {
         if let Some(open) = self.open.remove(&(gateway, job.clone())) {
             count(&mut self.phases[open.phase]);
         }
     }
 
-    fn begin(&mut self, gateway: usize, job: JobId, server: &ServerId, timeout: f64) {
+    fn begin(&mut self, gateway: usize, job: RequestId, server: &BackendId, timeout: f64) {
         let server = self.places[server];
         self.connected.insert((gateway, server));
         let Some(open) = self.open.get_mut(&(gateway, job.clone())) else { return };
@@ -284,10 +289,19 @@
         }
         let server = self.names[server].clone();
         let spent = self.now - sent;
-        let load = Load::default();
+        let load = LoadReport::default();
         self.handle(
             gateway,
-            Event::Outcome { job, attempt: number, server, status, spent, over, settled: None, load },
+            Event::AttemptEnded {
+                request: job,
+                attempt: number,
+                backend: server,
+                status,
+                elapsed: spent,
+                request_ended: over,
+                settled_units: None,
+                load,
+            },
         );
     }
 }
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -13,7 +13,7 @@
     now: Time,
     out: Vec<(Time, Event)>,
     counts: BTreeMap<u64, f64>,
-    attempts: BTreeMap<JobId, u32>,
+    attempts: BTreeMap<RequestId, u32>,
     digest: fnv::FnvHasher,
     actions: u64,
     starts: Vec<Time>,
@@ -37,17 +37,17 @@
     match kind {
         Deployment::Quotas => {}
         Deployment::Caps => {
-            s.max_units = 3.0;
+            s.max_request_units = 3.0;
             for plan in &mut s.plans {
-                (plan.excess_worth, plan.overrun_cost) = (0.3, 0.1);
+                (plan.over_quota_weight, plan.over_quota_cost) = (0.3, 0.1);
             }
-            (s.plans[0].open, s.plans[0].rate, s.plans[1].open) = (4, 0.0, 9);
+            (s.plans[0].max_concurrent, s.plans[0].rate, s.plans[1].max_concurrent) = (4, 0.0, 9);
         }
         Deployment::Alone => {
-            (s.has_counter, s.must_ask, s.second_copies, s.retry_after) = (false, true, false, false);
-            s.max_open = 40;
-            s.classes[2].effect = Effect::Keyed { group: Group::Cell, window: 1.0 };
-            s.classes[0].late_worth = 0.5;
+            (s.has_counter, s.polls_endpoints, s.hedging, s.sends_retry_after) = (false, true, false, false);
+            s.max_open_requests = 40;
+            s.classes[2].idempotency = Idempotency::Keyed { scope: DedupScope::Cell, window: 1.0 };
+            s.classes[0].late_weight = 0.5;
         }
     }
     s
@@ -55,22 +55,28 @@
 
 fn settings(gateways: u32) -> Settings {
     let mut s = Settings::default();
-    (s.gateways, s.has_counter, s.second_copies, s.max_attempts) = (gateways, true, true, 4);
-    (s.cold, s.cold_from, s.fall_multiple, s.fall, s.max_retry_after) = (10.0, 0.2, 2.0, 1.0, 5.0);
+    (s.instances, s.has_counter, s.hedging, s.max_attempts) = (gateways, true, true, 4);
+    (
+        s.slow_start_seconds,
+        s.slow_start_min_capacity,
+        s.overload_multiple,
+        s.overload_seconds,
+        s.max_retry_after,
+    ) = (10.0, 0.2, 2.0, 1.0, 5.0);
     let class = |effect| {
         let mut class = Class::default();
-        class.effect = effect;
+        class.idempotency = effect;
         class
     };
     s.classes = vec![
-        class(Effect::Safe),
-        class(Effect::Unsafe),
-        class(Effect::Keyed { group: Group::Zone, window: 3.0 }),
+        class(Idempotency::Idempotent),
+        class(Idempotency::NonIdempotent),
+        class(Idempotency::Keyed { scope: DedupScope::Zone, window: 3.0 }),
     ];
     for (rate, ceiling) in [(2.0, 0.0), (20.0, 0.0), (50.0, 90.0)] {
         let mut plan = Plan::default();
-        (plan.rate, plan.burst, plan.pays, plan.ceiling_rate) = (rate, rate * 3.0, 1.0, ceiling);
-        (plan.ceiling_burst, plan.excess_worth) = (ceiling * 3.0, ceiling / 400.0);
+        (plan.rate, plan.burst, plan.priority_weight, plan.ceiling_rate) = (rate, rate * 3.0, 1.0, ceiling);
+        (plan.ceiling_burst, plan.over_quota_weight) = (ceiling * 3.0, ceiling / 400.0);
         s.plans.push(plan);
     }
     s
@@ -79,16 +85,18 @@
 /// An action as text of its own form, so that a renamed type or field leaves the digest as it is.
 fn decision(action: &Action) -> String {
     match action {
-        Action::Send { job, server, timeout, within } => {
+        Action::Forward { request: job, backend: server, timeout, start_within: within } => {
             format!("send {job} {server} {timeout:?} {within:?}")
         }
-        Action::Refuse { job, retry_after, reason } => format!("refuse {job} {retry_after:?} {reason}"),
-        Action::Fail { job, reason } => format!("fail {job} {reason}"),
-        Action::Cancel { job, attempt } => format!("cancel {job} {attempt}"),
-        Action::Timer { token, at } => format!("timer {token} {at:?}"),
-        Action::Probe { server } => format!("probe {server}"),
-        Action::Count { counter, amount, ttl } => format!("count {counter} {amount:?} {ttl:?}"),
-        Action::Watch => "watch".to_string(),
+        Action::Reject { request: job, retry_after, reason } => {
+            format!("refuse {job} {retry_after:?} {reason}")
+        }
+        Action::Fail { request: job, reason } => format!("fail {job} {reason}"),
+        Action::CancelAttempt { request: job, attempt } => format!("cancel {job} {attempt}"),
+        Action::SetTimer { token, at } => format!("timer {token} {at:?}"),
+        Action::HealthCheck { backend: server } => format!("probe {server}"),
+        Action::AddToCounter { counter, amount, ttl } => format!("count {counter} {amount:?} {ttl:?}"),
+        Action::WatchEndpoints => "watch".to_string(),
         Action::Log(text) => format!("log {text}"),
         _ => unreachable!("every action has its text"),
     }
@@ -99,7 +107,7 @@
         self.actions += 1;
         self.digest.write(decision(action).as_bytes());
         match action {
-            Action::Send { job, server, timeout, .. } => {
+            Action::Forward { request: job, backend: server, timeout, .. } => {
                 let drawn = self.rng.f64();
                 let work = 0.02 + 0.1 * drawn * drawn;
                 let (status, spent) = match self.rng.u32(..100) {
@@ -107,7 +115,7 @@
                     2..=3 => (Status::Error, work),
                     4 => (Status::ConnectFailed, 0.001),
                     5 => (Status::Reset, work),
-                    6 => (Status::Full, 0.001),
+                    6 => (Status::Rejected, 0.001),
                     _ => (Status::Ok, work),
                 };
                 let attempts = self.attempts.entry(job.clone()).or_default();
@@ -115,19 +123,33 @@
                 *attempts += 1;
                 let over = status == Status::Ok;
                 let settled = Some(1.0 + (work * 100.0).floor() / 8.0).filter(|_| over && self.settles);
-                let (job, server, load) = (job.clone(), server.clone(), Load::default());
-                let end = Event::Outcome { job, attempt, server, status, spent, over, settled, load };
+                let (job, server, load) = (job.clone(), server.clone(), LoadReport::default());
+                let end = Event::AttemptEnded {
+                    request: job,
+                    attempt,
+                    backend: server,
+                    status,
+                    elapsed: spent,
+                    request_ended: over,
+                    settled_units: settled,
+                    load,
+                };
                 self.out.push((self.now + spent, end));
             }
-            Action::Count { counter, amount, .. } => {
+            Action::AddToCounter { counter, amount, .. } => {
                 let total = self.counts.entry(*counter).or_default();
                 *total += amount;
                 let slow: f64 = if (self.now as u64 / 20) % 3 == 0 { 0.08 } else { 0.002 };
                 let status = if slow > 0.05 { Status::Timeout } else { Status::Ok };
-                let end = Event::Counted { counter: *counter, status, total: *total, spent: slow.min(0.05) };
+                let end = Event::CounterResponse {
+                    counter: *counter,
+                    status,
+                    total: *total,
+                    elapsed: slow.min(0.05),
+                };
                 self.out.push((self.now + slow.min(0.05), end));
             }
-            Action::Timer { token, at } => self.out.push((*at, Event::Timer { token: *token })),
+            Action::SetTimer { token, at } => self.out.push((*at, Event::Timer { token: *token })),
             _ => {}
         }
     }
@@ -140,7 +162,7 @@
         }
     }
     let lifecycle = |n: u32| if n == 0 { Lifecycle::Draining } else { Lifecycle::Running };
-    let entry = |i: usize, world: &mut World| Server {
+    let entry = |i: usize, world: &mut World| Endpoint {
         id: format!("10.0.{}.{}:80", i / 250, i % 250).into(),
         zone: (i % 3) as u32,
         cell: (i % 4) as u32,
@@ -148,7 +170,7 @@
         lifecycle: lifecycle(world.rng.u32(..20)),
     };
     let servers = (0..servers).map(|i| entry(i, world)).collect();
-    Event::List { kind: ListKind::Full, servers }
+    Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: servers }
 }
 
 fn play(kind: Deployment, gateways: u32, servers: usize, customers: u64, seed: u64) -> (u64, u64) {
@@ -172,15 +194,15 @@
             next += 1;
             let customer = world.rng.u64(..customers);
             Event::Request(Request {
-                job: format!("{next}").into(),
+                id: format!("{next}").into(),
                 units: 1.0 + world.rng.u32(..2) as f64,
-                expires: world.now + 3.0,
+                deadline: world.now + 3.0,
                 plan: (customer % 3) as usize,
-                spread: 1 + customer as u32 % gateways.min(4),
-                first: 0,
+                customer_instances: 1 + customer as u32 % gateways.min(4),
+                first_instance: 0,
                 class: world.rng.usize(..3),
                 customer: format!("c{customer}").into(),
-                repeat: false,
+                is_retry: false,
             })
         };
         world.now += world.rng.f64() * 0.004;
--- a/src/bin/weirusher-benchlink.rs
+++ b/src/bin/weirusher-benchlink.rs
@@ -47,36 +47,36 @@
         Ok(match self.text(i, "Outcome")? {
             "S" => Status::Ok,
             "E" => Status::Error,
-            "F" => Status::Full,
+            "F" => Status::Rejected,
             "T" => Status::Timeout,
             "C" => Status::ConnectFailed,
             "R" => Status::Reset,
             "X" => Status::Cancelled,
-            "N" => Status::Moot,
+            "N" => Status::NotSent,
             _ => return Err(format!("{}.Outcome is unknown", self.1)),
         })
     }
-    fn load(&self, i: usize) -> Load {
+    fn load(&self, i: usize) -> LoadReport {
         let value = |key: &str| self.0.get(i).and_then(|r| r.get(key)).and_then(Value::as_f64);
-        let mut load = Load::default();
+        let mut load = LoadReport::default();
         load.inflight = value("busy_reqs");
         load.util = value("cpu_share");
         load
     }
 }
 
-fn entries(items: &Value) -> Fallible<Vec<Server>> {
+fn entries(items: &Value) -> Fallible<Vec<Endpoint>> {
     let items = items.as_array().ok_or("DIRECTORY.Items is not an array")?;
     let entry = |item: &Value| {
         let row = Row(item.as_array().ok_or("DIRECTORY.Items holds no rows")?, "DIRECTORY");
-        Ok(Server {
+        Ok(Endpoint {
             cell: row.num_or(0, "Cell", 0.0)? as u32,
             started: row.num_or(1, "StartTime", 0.0)?,
             zone: row.num_or(3, "Zone", 0.0)? as u32,
             lifecycle: match row.text(4, "Lifecycle")? {
                 "Running" => Lifecycle::Running,
                 "Stopping" => Lifecycle::Draining,
-                "Deleted" => Lifecycle::Gone,
+                "Deleted" => Lifecycle::Removed,
                 _ => return Err("DIRECTORY.Lifecycle is unknown".to_string()),
             },
             id: row.text(5, "Worker")?.into(),
@@ -85,65 +85,69 @@
     items.iter().map(entry).collect()
 }
 
-fn event(name: &str, values: &[Value], pages: &BTreeMap<u64, Vec<Server>>) -> Fallible<Option<Event>> {
+fn event(name: &str, values: &[Value], pages: &BTreeMap<u64, Vec<Endpoint>>) -> Fallible<Option<Event>> {
     let row = |label| Row(values, label);
     Ok(Some(match name {
         "PEERS_KNOWN" => {
             let row = row("PEERS_KNOWN");
             let kind = match row.text(2, "How")? {
-                "D" => ListKind::Changes,
-                "F" => ListKind::Full,
-                "C" => ListKind::Stale,
-                "X" => ListKind::Failed,
+                "D" => EndpointListKind::Delta,
+                "F" => EndpointListKind::Snapshot,
+                "C" => EndpointListKind::StaleSnapshot,
+                "X" => EndpointListKind::Failed,
                 _ => return Err("PEERS_KNOWN.How is unknown".into()),
             };
             let servers = match kind {
-                ListKind::Failed => Vec::new(),
+                EndpointListKind::Failed => Vec::new(),
                 _ => pages.get(&row.int(1, "Page")?).cloned().ok_or("PEERS_KNOWN.Page is unknown")?,
             };
-            Event::List { kind, servers }
+            Event::EndpointList { kind, endpoints: servers }
         }
         "DEMAND" => {
             let row = row("DEMAND");
             Event::Request(Request {
-                job: row.text(0, "Job")?.into(),
+                id: row.text(0, "Job")?.into(),
                 units: row.num_or(1, "Weight", 1.0)?,
-                first: row.num_or(2, "FromNo", 0.0)? as u32,
-                expires: row.num(3, "Expires")?,
+                first_instance: row.num_or(2, "FromNo", 0.0)? as u32,
+                deadline: row.num(3, "Expires")?,
                 plan: row.num_or(4, "GradeOfService", 0.0)? as usize,
-                spread: row.num_or(5, "NEntries", 1.0)? as u32,
+                customer_instances: row.num_or(5, "NEntries", 1.0)? as u32,
                 class: row.num_or(6, "Category", 0.0)? as usize,
                 customer: row.text(7, "Customer").unwrap_or("").into(),
-                repeat: row.num_or(8, "StateBits", 0.0)? as u64 & 2 != 0,
+                is_retry: row.num_or(8, "StateBits", 0.0)? as u64 & 2 != 0,
             })
         }
-        "HEAD_RECEIVED" => Event::FirstByte { job: row("HEAD_RECEIVED").text(0, "Job")?.into() },
+        "HEAD_RECEIVED" => Event::ResponseStarted { request: row("HEAD_RECEIVED").text(0, "Job")?.into() },
         "DONE" => {
             let row = row("DONE");
-            Event::Outcome {
-                job: row.text(0, "Job")?.into(),
+            Event::AttemptEnded {
+                request: row.text(0, "Job")?.into(),
                 attempt: row.int(1, "RoundNo")? as u32,
-                server: row.text(2, "Worker")?.into(),
+                backend: row.text(2, "Worker")?.into(),
                 status: row.status(3)?,
-                spent: row.num_or(4, "Spent", 0.0)?,
-                over: row.at(5, "NoMore")?.as_bool().ok_or("DONE.NoMore is not a bool")?,
-                settled: Some(row.num_or(7, "Settled", 0.0)?).filter(|u| *u > 0.0),
+                elapsed: row.num_or(4, "Spent", 0.0)?,
+                request_ended: row.at(5, "NoMore")?.as_bool().ok_or("DONE.NoMore is not a bool")?,
+                settled_units: Some(row.num_or(7, "Settled", 0.0)?).filter(|u| *u > 0.0),
                 load: row.load(8),
             }
         }
-        "LEFT" => Event::Left { job: row("LEFT").text(0, "Job")?.into() },
+        "LEFT" => Event::ClientGone { request: row("LEFT").text(0, "Job")?.into() },
         "ELAPSED" => Event::Timer { token: row("ELAPSED").int(0, "Name")? },
         "HEALTH_RESULT" => {
             let row = row("HEALTH_RESULT");
-            Event::Probed { server: row.text(0, "Worker")?.into(), status: row.status(1)?, load: row.load(3) }
+            Event::HealthChecked {
+                backend: row.text(0, "Worker")?.into(),
+                status: row.status(1)?,
+                load: row.load(3),
+            }
         }
         "TALLIED" => {
             let row = row("TALLIED");
-            Event::Counted {
+            Event::CounterResponse {
                 counter: row.int(0, "Counter")?,
                 status: row.status(1)?,
                 total: row.num_or(2, "Value", 0.0)?,
-                spent: row.num_or(3, "Spent", 0.0)?,
+                elapsed: row.num_or(3, "Spent", 0.0)?,
             }
         }
         "NOTE_FROM" => return Ok(None),
@@ -153,14 +157,16 @@
 
 fn reply(action: Action) -> Value {
     match action {
-        Action::Send { job, server, timeout, .. } => json!(["PLACE", &*job, timeout, &*server]),
-        Action::Refuse { job, retry_after, .. } => json!(["PUSH_BACK", &*job, retry_after]),
-        Action::Fail { job, .. } => json!(["SURRENDER", &*job]),
-        Action::Cancel { job, attempt } => json!(["REVOKE", &*job, attempt]),
-        Action::Timer { token, at } => json!(["DEFER", token, at]),
-        Action::Probe { server } => json!(["POLL", &*server]),
-        Action::Count { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
-        Action::Watch => json!(["SUBSCRIBE", true]),
+        Action::Forward { request: job, backend: server, timeout, .. } => {
+            json!(["PLACE", &*job, timeout, &*server])
+        }
+        Action::Reject { request: job, retry_after, .. } => json!(["PUSH_BACK", &*job, retry_after]),
+        Action::Fail { request: job, .. } => json!(["SURRENDER", &*job]),
+        Action::CancelAttempt { request: job, attempt } => json!(["REVOKE", &*job, attempt]),
+        Action::SetTimer { token, at } => json!(["DEFER", token, at]),
+        Action::HealthCheck { backend: server } => json!(["POLL", &*server]),
+        Action::AddToCounter { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
+        Action::WatchEndpoints => json!(["SUBSCRIBE", true]),
         Action::Log(text) => json!(["DEBUG", text]),
         other => json!(["PANIC", format!("no wire form for {other:?}")]),
     }
@@ -170,7 +176,7 @@
 #[derive(Default)]
 struct Host {
     gateways: BTreeMap<u64, Gateway>,
-    pages: BTreeMap<u64, Vec<Server>>,
+    pages: BTreeMap<u64, Vec<Endpoint>>,
 }
 
 impl Host {
@@ -179,7 +185,8 @@
         match name.as_str().ok_or("an event's name is not a string")? {
             "NEW_INSTANCE" => {
                 let row = Row(values, "NEW_INSTANCE");
-                let settings = Site::read(row.at(1, "Options")?).map_err(|e| e.to_string())?.settings;
+                let settings =
+                    PlatformSettings::read(row.at(1, "Options")?).map_err(|e| e.to_string())?.settings;
                 let gateway = Gateway::new(settings, row.int(0, "Nonce64")?)
                     .map_err(|e| format!("NEW_INSTANCE.Options: {e}"))?;
                 self.gateways.insert(id, gateway);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -5,15 +5,15 @@
 /// Seconds on the caller's monotonic clock; the origin is the caller's affair.
 pub type Time = f64;
 /// A request, unique for the life of a gateway.
-pub type JobId = Arc<str>;
+pub type RequestId = Arc<str>;
 /// A server's address, opaque.
-pub type ServerId = Arc<str>;
+pub type BackendId = Arc<str>;
 /// A customer, opaque.
 pub type CustomerId = Arc<str>;
 
 /// Which servers discard repeats of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -24,18 +24,18 @@
 
 /// What repeating a request may do.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
-    Safe,
+    Idempotent,
     /// Repeats are discarded by the servers of `group` for `window` seconds after the first send.
     Keyed {
         /// The servers that remember the request.
-        group: Group,
+        scope: DedupScope,
         /// For how long, in seconds.
         window: f64,
     },
     /// May run once at most.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// One class of requests.
@@ -43,20 +43,26 @@
 #[non_exhaustive]
 pub struct Class {
     /// The answer earns its full worth within this many seconds.
-    pub aim: f64,
+    pub latency_objective: f64,
     /// Share of the worth that a later answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Seconds that a client waits at most, over all its tries.
     pub deadline: f64,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The answer streams.
     pub streamed: bool,
 }
 
 impl Default for Class {
     fn default() -> Self {
-        Self { aim: 1.0, late_worth: 0.0, deadline: 1.0, effect: Effect::Safe, streamed: false }
+        Self {
+            latency_objective: 1.0,
+            late_weight: 0.0,
+            deadline: 1.0,
+            idempotency: Idempotency::Idempotent,
+            streamed: false,
+        }
     }
 }
 
@@ -69,13 +75,13 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts that may be out at once; 0: no such limit.
-    pub open: u32,
+    pub max_concurrent: u32,
     /// Worth of a unit, relative to other plans.
-    pub pays: f64,
+    pub priority_weight: f64,
     /// Share of its worth that a request sent beyond the quota earns.
-    pub excess_worth: f64,
+    pub over_quota_weight: f64,
     /// Share of its worth that such a request costs.
-    pub overrun_cost: f64,
+    pub over_quota_cost: f64,
     /// Units a second that refill the hard ceiling; 0: none.
     pub ceiling_rate: f64,
     /// Units the ceiling holds.
@@ -87,9 +93,9 @@
 #[non_exhaustive]
 pub struct Settings {
     /// This gateway's number, from 0.
-    pub me: u32,
+    pub instance: u32,
     /// How many gateways there are.
-    pub gateways: u32,
+    pub instances: u32,
     /// The zone this gateway is in.
     pub zone: u32,
     /// Request classes, by index.
@@ -99,11 +105,11 @@
     /// The counter service may be called.
     pub has_counter: bool,
     /// A counter call is given up after this many seconds.
-    pub count_limit: f64,
+    pub counter_timeout: f64,
     /// Seconds within which a connection to a server comes up, or counts as failed.
-    pub connect_limit: f64,
+    pub connect_timeout: f64,
     /// Most units that one request takes.
-    pub max_units: f64,
+    pub max_request_units: f64,
     /// True units come with the answer; a request's own are a guess.
     pub post_paid: bool,
     /// Probes are allowed.
@@ -111,55 +117,55 @@
     /// Attempts may be called off.
     pub may_cancel: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Requests a gateway may have open.
-    pub max_open: u32,
+    pub max_open_requests: u32,
     /// Clients receive the advice to stay away.
-    pub retry_after: bool,
+    pub sends_retry_after: bool,
     /// The longest advice that clients honour, in seconds.
     pub max_retry_after: f64,
     /// The list of servers must be asked for.
-    pub must_ask: bool,
+    pub polls_endpoints: bool,
     /// The least share of its capacity that a server starts with.
-    pub cold_from: f64,
+    pub slow_start_min_capacity: f64,
     /// A server is warm after this many seconds at most.
-    pub cold: f64,
+    pub slow_start_seconds: f64,
     /// A cold server falls over when sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this many seconds.
-    pub fall: f64,
+    pub overload_seconds: f64,
     /// Least time between two batches of events, in seconds.
-    pub step: f64,
+    pub event_interval: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            me: 0,
-            gateways: 1,
+            instance: 0,
+            instances: 1,
             zone: 0,
             classes: Vec::new(),
             plans: Vec::new(),
             has_counter: false,
-            count_limit: 0.05,
-            connect_limit: 0.25,
-            max_units: 1.0,
+            counter_timeout: 0.05,
+            connect_timeout: 0.25,
+            max_request_units: 1.0,
             post_paid: false,
             may_probe: false,
             may_cancel: false,
-            second_copies: false,
+            hedging: false,
             max_attempts: 1,
-            max_open: u32::MAX,
-            retry_after: true,
+            max_open_requests: u32::MAX,
+            sends_retry_after: true,
             max_retry_after: 1.0,
-            must_ask: false,
-            cold_from: 1.0,
-            cold: 0.0,
-            fall_multiple: 1.0,
-            fall: 1.0,
-            step: 0.001,
+            polls_endpoints: false,
+            slow_start_min_capacity: 1.0,
+            slow_start_seconds: 0.0,
+            overload_multiple: 1.0,
+            overload_seconds: 1.0,
+            event_interval: 0.001,
         }
     }
 }
@@ -169,19 +175,19 @@
 #[non_exhaustive]
 pub enum SettingsError {
     /// There are no gateways.
-    NoGateways,
+    NoInstances,
     /// This gateway's number is not below the count of gateways.
-    MeOutOfRange,
+    InstanceOutOfRange,
     /// The named figure is negative, infinite or not a number.
-    BadNumber(&'static str),
+    InvalidNumber(&'static str),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoGateways => f.write_str("there are no gateways"),
-            Self::MeOutOfRange => f.write_str("this gateway's number is out of range"),
-            Self::BadNumber(name) => write!(f, "{name} is not a usable number"),
+            Self::NoInstances => f.write_str("there are no gateways"),
+            Self::InstanceOutOfRange => f.write_str("this gateway's number is out of range"),
+            Self::InvalidNumber(name) => write!(f, "{name} is not a usable number"),
         }
     }
 }
@@ -196,14 +202,14 @@
     /// Wraps up; is sent nothing new.
     Draining,
     /// Is gone.
-    Gone,
+    Removed,
 }
 
 /// One server as the list shows it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Server {
+pub struct Endpoint {
     /// Its address.
-    pub id: ServerId,
+    pub id: BackendId,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
@@ -214,22 +220,22 @@
     pub lifecycle: Lifecycle,
 }
 
-impl Server {
+impl Endpoint {
     /// A server that has run for long, in the first zone and cell.
-    pub fn warm(id: impl Into<ServerId>) -> Self {
+    pub fn warm(id: impl Into<BackendId>) -> Self {
         Self { id: id.into(), zone: 0, cell: 0, started: 0.0, lifecycle: Lifecycle::Running }
     }
 }
 
 /// What a list event holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointListKind {
     /// Changed entries only.
-    Changes,
+    Delta,
     /// The whole list.
-    Full,
+    Snapshot,
     /// The whole list as last held, perhaps stale.
-    Stale,
+    StaleSnapshot,
     /// Asking failed; no entries.
     Failed,
 }
@@ -242,7 +248,7 @@
     /// An error answer; it may have run.
     Error,
     /// Turned away unexamined.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection.
@@ -252,7 +258,7 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// Why a request is refused or failed without a server's response.
@@ -263,16 +269,16 @@
     Invalid,
     /// Too little of its time is left to decide in.
     TooLate,
-    /// As many requests are open as [`Settings::max_open`] allows.
-    TooManyOpen,
+    /// As many requests are open as [`Settings::max_open_requests`] allows.
+    TooManyOpenRequests,
     /// The fleet's servers have no room for it.
     Overload,
     /// Its customer is beyond its quota.
     Quota,
     /// Its customer has as many attempts out as its plan allows.
-    OpenCap,
+    ConcurrencyLimit,
     /// No server may take it now.
-    NoServer,
+    NoBackend,
     /// Its attempts ended without a response that may be passed on, and no retry is allowed.
     AttemptsFailed,
     /// Its deadline came before a decision.
@@ -286,11 +292,11 @@
     pub const ALL: [Self; 10] = [
         Self::Invalid,
         Self::TooLate,
-        Self::TooManyOpen,
+        Self::TooManyOpenRequests,
         Self::Overload,
         Self::Quota,
-        Self::OpenCap,
-        Self::NoServer,
+        Self::ConcurrencyLimit,
+        Self::NoBackend,
         Self::AttemptsFailed,
         Self::DeadlineExceeded,
         Self::Stopping,
@@ -301,11 +307,11 @@
         match self {
             Self::Invalid => "invalid",
             Self::TooLate => "too_late",
-            Self::TooManyOpen => "too_many_open",
+            Self::TooManyOpenRequests => "too_many_open",
             Self::Overload => "overload",
             Self::Quota => "quota",
-            Self::OpenCap => "open_cap",
-            Self::NoServer => "no_server",
+            Self::ConcurrencyLimit => "open_cap",
+            Self::NoBackend => "no_server",
             Self::AttemptsFailed => "attempts_failed",
             Self::DeadlineExceeded => "deadline_exceeded",
             Self::Stopping => "stopping",
@@ -322,7 +328,7 @@
 /// A load report; values a server did not give are `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[non_exhaustive]
-pub struct Load {
+pub struct LoadReport {
     /// Requests held.
     pub inflight: Option<f64>,
     /// Share of the processor in use.
@@ -333,23 +339,23 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
     /// Its id.
-    pub job: JobId,
+    pub id: RequestId,
     /// Units it takes from the quota.
     pub units: f64,
     /// When the client abandons it.
-    pub expires: Time,
+    pub deadline: Time,
     /// Index of its plan.
     pub plan: usize,
     /// How many gateways carry this customer's requests.
-    pub spread: u32,
+    pub customer_instances: u32,
     /// The number of the first of them; the rest follow in order, and 0 comes after the last.
-    pub first: u32,
+    pub first_instance: u32,
     /// Index of its class.
     pub class: usize,
     /// Its customer.
     pub customer: CustomerId,
     /// It is a client's marked repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// What happens to a gateway.
@@ -357,42 +363,42 @@
 #[non_exhaustive]
 pub enum Event {
     /// The list of servers.
-    List {
+    EndpointList {
         /// What it holds.
-        kind: ListKind,
+        kind: EndpointListKind,
         /// Its entries.
-        servers: Vec<Server>,
+        endpoints: Vec<Endpoint>,
     },
     /// A request arrived; it is owed one final answer.
     Request(Request),
     /// A streamed answer began.
-    FirstByte {
+    ResponseStarted {
         /// The request.
-        job: JobId,
+        request: RequestId,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// Which attempt, from 0.
         attempt: u32,
         /// The server.
-        server: ServerId,
+        backend: BackendId,
         /// How it ended.
         status: Status,
         /// Seconds since it was sent.
-        spent: f64,
+        elapsed: f64,
         /// The request is over.
-        over: bool,
+        request_ended: bool,
         /// True units, where they are settled afterwards.
-        settled: Option<f64>,
+        settled_units: Option<f64>,
         /// The server's report, if one came.
-        load: Load,
+        load: LoadReport,
     },
     /// The client left; nothing more is owed.
-    Left {
+    ClientGone {
         /// The request.
-        job: JobId,
+        request: RequestId,
     },
     /// A timer is due.
     Timer {
@@ -400,16 +406,16 @@
         token: u64,
     },
     /// A probe ended.
-    Probed {
+    HealthChecked {
         /// The server.
-        server: ServerId,
+        backend: BackendId,
         /// How it ended.
         status: Status,
         /// The server's report, if one came.
-        load: Load,
+        load: LoadReport,
     },
     /// A counter call ended.
-    Counted {
+    CounterResponse {
         /// The count's name.
         counter: u64,
         /// How it ended; with [`Status::Error`] it was added, but its total cannot be read.
@@ -417,7 +423,7 @@
         /// The count after the call, valid with [`Status::Ok`].
         total: f64,
         /// Seconds since the call.
-        spent: f64,
+        elapsed: f64,
     },
 }
 
@@ -426,21 +432,21 @@
 #[non_exhaustive]
 pub enum Action {
     /// Begin an attempt; a request's attempts are numbered from 0 in this order.
-    Send {
+    Forward {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// The server.
-        server: ServerId,
+        backend: BackendId,
         /// Seconds until it is given up.
         timeout: f64,
         /// Seconds within which its last byte must be on its way, or it must not begin: past that, the earlier
         /// attempt is forgotten and the effect would come twice. Infinity: no matter when.
-        within: f64,
+        start_within: f64,
     },
     /// Final answer: refused; a retry does no harm.
-    Refuse {
+    Reject {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// Seconds the client should stay away; 0: no advice.
         retry_after: f64,
         /// Why.
@@ -449,31 +455,31 @@
     /// Final answer: failed, with no promise.
     Fail {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// Why.
         reason: Reason,
     },
     /// Call off an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
-        job: JobId,
+        request: RequestId,
         /// Which attempt.
         attempt: u32,
     },
     /// Ask for an [`Event::Timer`].
-    Timer {
+    SetTimer {
         /// Its token.
         token: u64,
         /// When it is due.
         at: Time,
     },
     /// Check a server.
-    Probe {
+    HealthCheck {
         /// The server.
-        server: ServerId,
+        backend: BackendId,
     },
     /// Add to a count and get the total.
-    Count {
+    AddToCounter {
         /// The count's name, below 2^63.
         counter: u64,
         /// What to add; 0 only reads.
@@ -482,7 +488,7 @@
         ttl: f64,
     },
     /// Follow the list of servers from now on.
-    Watch,
+    WatchEndpoints,
     /// A line for the operators' log.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,10 +7,10 @@
 #![warn(missing_docs)]
 
 mod interface;
+mod platform_settings;
 mod policy;
-mod site;
 mod validation;
 
 pub use interface::*;
+pub use platform_settings::{PlatformSettings, PlatformSettingsError};
 pub use policy::Gateway;
-pub use site::{Site, SiteError};
--- a/src/site.rs
+++ b/src/platform_settings.rs
@@ -7,7 +7,7 @@
 /// What a settings object tells: the module's settings, and what a front and its pools need beside them.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
-pub struct Site {
+pub struct PlatformSettings {
     /// The module's own settings.
     pub settings: Settings,
     /// Names of the classes, by index.
@@ -17,24 +17,24 @@
     /// Names of the zones, by index.
     pub zones: Vec<String>,
     /// Seconds of idleness after which a server's machine closes a connection.
-    pub conn_idle: f64,
+    pub connection_idle_timeout: f64,
     /// Answers carry load reports.
-    pub reports: bool,
+    pub load_reports: bool,
     /// Seconds within which nothing new may begin at a server that is told to leave.
-    pub stop_within: f64,
+    pub drain_grace: f64,
 }
 
 /// A settings object that cannot be used: where, and what is wrong there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SiteError(String);
+pub struct PlatformSettingsError(String);
 
-impl fmt::Display for SiteError {
+impl fmt::Display for PlatformSettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "settings: {}", self.0)
     }
 }
 
-impl std::error::Error for SiteError {}
+impl std::error::Error for PlatformSettingsError {}
 
 /// An object, read by key; unknown keys are ignored.
 struct Keys<'a>(&'a Value);
@@ -46,10 +46,10 @@
     fn list(&self, key: &str) -> &'a [Value] {
         self.0.get(key).and_then(Value::as_array).map_or(&[], Vec::as_slice)
     }
-    fn num(&self, key: &str, default: f64) -> Result<f64, SiteError> {
+    fn num(&self, key: &str, default: f64) -> Result<f64, PlatformSettingsError> {
         match self.0.get(key) {
             None | Some(Value::Null) => Ok(default),
-            Some(v) => v.as_f64().ok_or_else(|| SiteError(format!("{key} is not a number"))),
+            Some(v) => v.as_f64().ok_or_else(|| PlatformSettingsError(format!("{key} is not a number"))),
         }
     }
     fn flag(&self, key: &str) -> bool {
@@ -60,79 +60,79 @@
     }
 }
 
-fn class(value: &Value) -> Result<Class, SiteError> {
+fn class(value: &Value) -> Result<Class, PlatformSettingsError> {
     let keys = Keys(value);
     let group = match keys.text("Group") {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
+        _ => DedupScope::All,
     };
-    let aim = keys.num("Slo", Class::default().aim)?;
+    let aim = keys.num("Slo", Class::default().latency_objective)?;
     Ok(Class {
-        aim,
-        late_worth: keys.num("LateWorth", 0.0)?,
+        latency_objective: aim,
+        late_weight: keys.num("LateWorth", 0.0)?,
         // The shortest that it may be where it is not told: a shutdown then counts on the earliest kill.
         deadline: keys.num("Deadline", aim)?,
         streamed: keys.flag("Streamed"),
-        effect: match keys.text("Effect") {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed { group, window: keys.num("Window", 0.0)? },
-            "at_most_once" => Effect::Unsafe,
-            _ => return Err(SiteError("Classes.Effect is unknown".into())),
+        idempotency: match keys.text("Effect") {
+            "idempotent" => Idempotency::Idempotent,
+            "deduplicated" => Idempotency::Keyed { scope: group, window: keys.num("Window", 0.0)? },
+            "at_most_once" => Idempotency::NonIdempotent,
+            _ => return Err(PlatformSettingsError("Classes.Idempotency is unknown".into())),
         },
     })
 }
 
-fn plan(value: &Value) -> Result<Plan, SiteError> {
+fn plan(value: &Value) -> Result<Plan, PlatformSettingsError> {
     let keys = Keys(value);
     Ok(Plan {
         rate: keys.num("QuotaRate", 0.0)?,
         burst: keys.num("Depth", 0.0)?,
-        open: keys.num("Open", 0.0)? as u32,
-        pays: keys.num("Pays", 1.0)?,
-        excess_worth: keys.num("ExcessWorth", 0.0)?,
-        overrun_cost: keys.num("OverrunCost", 0.0)?,
+        max_concurrent: keys.num("Open", 0.0)? as u32,
+        priority_weight: keys.num("Pays", 1.0)?,
+        over_quota_weight: keys.num("ExcessWorth", 0.0)?,
+        over_quota_cost: keys.num("OverrunCost", 0.0)?,
         ceiling_rate: keys.num("CeilingRate", 0.0)?,
         ceiling_burst: keys.num("CeilingBurst", 0.0)?,
     })
 }
 
-fn settings(keys: &Keys<'_>) -> Result<Settings, SiteError> {
+fn settings(keys: &Keys<'_>) -> Result<Settings, PlatformSettingsError> {
     let (limits, domain, rules) = (keys.sub("Limits"), keys.sub("Domain"), keys.sub("Rules"));
     let plain = Settings::default();
     Ok(Settings {
-        me: keys.num("Me", 0.0)? as u32,
-        gateways: keys.num("PeersTotal", 1.0)? as u32,
+        instance: keys.num("Me", 0.0)? as u32,
+        instances: keys.num("PeersTotal", 1.0)? as u32,
         zone: keys.num("Locality", 0.0)? as u32,
-        step: keys.num("Step", plain.step)?,
+        event_interval: keys.num("Step", plain.event_interval)?,
         classes: keys.list("Classes").iter().map(class).collect::<Result<_, _>>()?,
         plans: keys.list("Plans").iter().map(plan).collect::<Result<_, _>>()?,
-        must_ask: keys.text("Discovery") == "ask",
+        polls_endpoints: keys.text("Discovery") == "ask",
         has_counter: domain.flag("HasCounter"),
-        connect_limit: limits.num("ConnectTimeout", plain.connect_limit)?,
-        count_limit: domain.num("CountLimit", plain.count_limit)?,
-        max_units: domain.num("MaxUnits", plain.max_units)?,
+        connect_timeout: limits.num("ConnectTimeout", plain.connect_timeout)?,
+        counter_timeout: domain.num("CountLimit", plain.counter_timeout)?,
+        max_request_units: domain.num("MaxUnits", plain.max_request_units)?,
         post_paid: domain.flag("PostPaid"),
         may_probe: limits.flag("MayProbe"),
         may_cancel: limits.flag("Cancelling"),
-        second_copies: limits.flag("SecondCopies"),
+        hedging: limits.flag("SecondCopies"),
         max_attempts: limits.num("SendCap", 1.0)? as u32,
-        max_open: limits.num("OpenCap", f64::from(u32::MAX))? as u32,
-        retry_after: limits.flag("RetryAfter"),
+        max_open_requests: limits.num("OpenCap", f64::from(u32::MAX))? as u32,
+        sends_retry_after: limits.flag("RetryAfter"),
         max_retry_after: limits.num("MaxRetryAfter", plain.max_retry_after)?,
-        cold_from: rules.num("ColdFrom", plain.cold_from)?,
-        cold: rules.num("Cold", plain.cold)?,
-        fall_multiple: rules.num("FallMultiple", plain.fall_multiple)?,
-        fall: rules.num("Fall", plain.fall)?,
+        slow_start_min_capacity: rules.num("ColdFrom", plain.slow_start_min_capacity)?,
+        slow_start_seconds: rules.num("Cold", plain.slow_start_seconds)?,
+        overload_multiple: rules.num("FallMultiple", plain.overload_multiple)?,
+        overload_seconds: rules.num("Fall", plain.overload_seconds)?,
     })
 }
 
-impl Site {
+impl PlatformSettings {
     /// Reads a settings object; unknown keys are ignored, missing ones take their defaults.
     ///
     /// # Errors
     /// A figure that is no number, or a class whose effect is unknown.
-    pub fn read(value: &Value) -> Result<Self, SiteError> {
+    pub fn read(value: &Value) -> Result<Self, PlatformSettingsError> {
         let keys = Keys(value);
         let (limits, report) = (keys.sub("Limits"), keys.sub("Report"));
         let names = |key: &str| keys.list(key).iter().map(|v| Keys(v).text("Name").to_string()).collect();
@@ -142,9 +142,9 @@
             classes: names("Classes"),
             plans: names("Plans"),
             zones: keys.list("Dcs").iter().map(zone).collect(),
-            conn_idle: limits.num("ConnIdle", 10.0)?,
-            reports: report.text("Source") == "answers",
-            stop_within: keys.sub("Rules").num("StopSendingWithin", 0.5)?,
+            connection_idle_timeout: limits.num("ConnIdle", 10.0)?,
+            load_reports: report.text("Source") == "answers",
+            drain_grace: keys.sub("Rules").num("StopSendingWithin", 0.5)?,
         })
     }
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -7,19 +7,20 @@
 use crate::interface::*;
 
 impl Gateway {
-    pub(super) fn send_first_attempt(&mut self, id: JobId) {
+    pub(super) fn send_first_attempt(&mut self, id: RequestId) {
         self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
         if !self.send(&id) {
-            self.respond_locally(&id, self.settings.max_retry_after, Reason::NoServer);
+            self.respond_locally(&id, self.settings.max_retry_after, Reason::NoBackend);
         }
     }
 
     /// Begins an attempt where the rules and a server's bound allow one.
-    pub(super) fn send(&mut self, id: &JobId) -> bool {
+    pub(super) fn send(&mut self, id: &RequestId) -> bool {
         let Some(mut job) = self.requests.remove(id) else { return false };
         let class = self.settings.classes[job.request.class].clone();
-        let useful = if class.late_worth > 0.0 { f64::INFINITY } else { job.arrived + class.aim };
-        let timeout = (useful - 2.0 * self.settings.step).min(job.request.expires) - self.now;
+        let useful =
+            if class.late_weight > 0.0 { f64::INFINITY } else { job.arrived + class.latency_objective };
+        let timeout = (useful - 2.0 * self.settings.event_interval).min(job.request.deadline) - self.now;
         let tries = job.attempts.len() < self.settings.max_attempts as usize;
         let server = if tries && timeout > 0.0 && !job.over { self.choose_backend(&job) } else { None };
         if let Some((place, within)) = server {
@@ -32,10 +33,15 @@
                 customer.open_attempts += 1;
             }
             add_decaying(&mut self.sent_units, self.now, job.request.units, RATE_MEMORY);
-            self.actions.push(Action::Send { job: id.clone(), server, timeout, within });
+            self.actions.push(Action::Forward {
+                request: id.clone(),
+                backend: server,
+                timeout,
+                start_within: within,
+            });
             job.attempts.push(Attempt { backend: place, sent: self.now, progress: Progress::Pending });
-            let delay = (HEDGE_DELAY_SHARE * class.aim).max(3.0 * self.latency);
-            if self.settings.second_copies && delay < timeout {
+            let delay = (HEDGE_DELAY_SHARE * class.latency_objective).max(3.0 * self.latency);
+            if self.settings.hedging && delay < timeout {
                 self.set_timer(self.now + delay, Timer::Hedge(id.clone()));
             }
         }
@@ -45,7 +51,7 @@
 
     pub(super) fn attempt_ended(
         &mut self,
-        id: &JobId,
+        id: &RequestId,
         attempt: u32,
         status: Status,
         over: bool,
@@ -54,7 +60,7 @@
         let Some(job) = self.requests.get_mut(id) else { return };
         let Some(tried) = job.attempts.get_mut(attempt as usize) else { return };
         if tried.progress == Progress::Pending {
-            let never = matches!(status, Status::Full | Status::ConnectFailed | Status::Moot);
+            let never = matches!(status, Status::Rejected | Status::ConnectFailed | Status::NotSent);
             tried.progress = if never { Progress::NeverRan } else { Progress::MayHaveRun };
             if let Some(customer) = self.customers.get_mut(&job.request.customer) {
                 customer.open_attempts = customer.open_attempts.saturating_sub(1);
@@ -76,7 +82,7 @@
         self.respond_locally(id, self.latency, Reason::AttemptsFailed);
     }
 
-    pub(super) fn send_hedge(&mut self, id: &JobId) {
+    pub(super) fn send_hedge(&mut self, id: &RequestId) {
         let waits =
             self.requests.get(id).is_some_and(|j| !j.over && !j.streaming && j.pending_attempts() == 1);
         if waits && self.retry_budget >= 1.0 && self.has_capacity(SPARE_CAPACITY_SHARE) && self.send(id) {
@@ -85,26 +91,26 @@
     }
 
     /// Gives the one response, refusing where a retry is known to do no harm.
-    pub(super) fn respond_locally(&mut self, id: &JobId, retry_after: f64, reason: Reason) {
+    pub(super) fn respond_locally(&mut self, id: &RequestId, retry_after: f64, reason: Reason) {
         let Some(job) = self.requests.get(id).filter(|j| !j.over) else { return };
         let clean = job.attempts.iter().all(|a| a.progress == Progress::NeverRan);
-        let harmless = match self.settings.classes.get(job.request.class).map(|c| c.effect) {
-            Some(Effect::Unsafe) => clean,
-            Some(Effect::Keyed { group, .. }) => clean || group == Group::All,
+        let harmless = match self.settings.classes.get(job.request.class).map(|c| c.idempotency) {
+            Some(Idempotency::NonIdempotent) => clean,
+            Some(Idempotency::Keyed { scope: group, .. }) => clean || group == DedupScope::All,
             _ => true,
         };
         if harmless {
-            let most = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
+            let most = if self.settings.sends_retry_after { self.settings.max_retry_after } else { 0.0 };
             let retry_after = retry_after.max(0.0).min(most);
-            self.actions.push(Action::Refuse { job: id.clone(), retry_after, reason });
+            self.actions.push(Action::Reject { request: id.clone(), retry_after, reason });
         } else {
-            self.actions.push(Action::Fail { job: id.clone(), reason });
+            self.actions.push(Action::Fail { request: id.clone(), reason });
         }
         self.close_request(id);
     }
 
     /// The request is over; it is kept only while attempts are out.
-    pub(super) fn close_request(&mut self, id: &JobId) {
+    pub(super) fn close_request(&mut self, id: &RequestId) {
         if let Some(job) = self.requests.get_mut(id) {
             job.over = true;
             if job.pending_attempts() == 0 {
--- a/src/policy/backend.rs
+++ b/src/policy/backend.rs
@@ -8,7 +8,7 @@
 /// A backend, and what attempts have told of it.
 #[derive(Debug, Default)]
 pub(super) struct Backend {
-    pub(super) id: ServerId,
+    pub(super) id: BackendId,
     pub(super) zone: u32,
     pub(super) cell: u32,
     /// It is listed and takes new requests.
@@ -33,14 +33,16 @@
 }
 
 impl Gateway {
-    pub(super) fn update_list(&mut self, kind: ListKind, servers: Vec<Server>) {
-        if self.settings.must_ask && matches!(kind, ListKind::Stale | ListKind::Failed) {
-            self.actions.push(Action::Watch);
+    pub(super) fn update_list(&mut self, kind: EndpointListKind, servers: Vec<Endpoint>) {
+        if self.settings.polls_endpoints
+            && matches!(kind, EndpointListKind::StaleSnapshot | EndpointListKind::Failed)
+        {
+            self.actions.push(Action::WatchEndpoints);
         }
-        if kind == ListKind::Stale {
+        if kind == EndpointListKind::StaleSnapshot {
             self.set_timer(self.now + IDLE_CUSTOMER_SECONDS, Timer::Sweep);
         }
-        if kind == ListKind::Full {
+        if kind == EndpointListKind::Snapshot {
             self.backends.iter_mut().for_each(|h| h.running = false);
         }
         let latency = self.latency;
@@ -79,14 +81,14 @@
     }
 
     /// Learns from an attempt's end. Slow, failing and vanished servers all show here, whatever the cause.
-    pub(super) fn record_attempt(&mut self, server: &ServerId, status: Status, spent: f64) {
+    pub(super) fn record_attempt(&mut self, server: &BackendId, status: Status, spent: f64) {
         let Some(&place) = self.backend_index.get(server) else { return };
         let backend = &mut self.backends[place];
         let beside = self.inflight;
         backend.inflight = (backend.inflight - 1.0).max(0.0);
         self.inflight = (self.inflight - 1.0).max(0.0);
         match status {
-            Status::Moot | Status::Cancelled => return,
+            Status::NotSent | Status::Cancelled => return,
             Status::Ok => {
                 if backend.unreachable {
                     // It was unreachable and answers again: it may have restarted untold, so suspect it cold.
@@ -94,9 +96,9 @@
                 }
                 (backend.failures, backend.ejection_seconds) = (0, EJECTION_SECONDS.0);
             }
-            Status::Full => self.mean_inflight *= 1.0 - GAIN, // The bound shrinks with it.
+            Status::Rejected => self.mean_inflight *= 1.0 - GAIN, // The bound shrinks with it.
             // One that did not come up in time may be late: it counts once, as other failures do.
-            Status::ConnectFailed if spent < REFUSAL_SHARE * self.settings.connect_limit => {
+            Status::ConnectFailed if spent < REFUSAL_SHARE * self.settings.connect_timeout => {
                 backend.failures = EJECT_AFTER
             }
             Status::Timeout => {} // Its latency below says it: in overload all time out, and none is sick.
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -9,7 +9,7 @@
     /// the aim, whoever loads the servers, and room for chance, which fades as answers slow down, later where
     /// few are out. A fraction lets in by chance, so that many gateways of little load keep it together.
     pub(super) fn has_capacity(&mut self, share: f64) -> bool {
-        let least = MIN_ATTEMPTS_PER_SERVER * self.running.len() as f64 / f64::from(self.settings.gateways);
+        let least = MIN_ATTEMPTS_PER_SERVER * self.running.len() as f64 / f64::from(self.settings.instances);
         let ease = (LATENCY_SHARE * self.aim() / self.median_latency.max(1e-3)).min(LIMIT_GROWTH);
         let mean = (self.mean_inflight + least) * ease;
         let fade = (1.0 - 1.0 / ease + (1.0 + mean).powi(-2)).clamp(0.0, 1.0);
@@ -26,13 +26,14 @@
         let mean = self.peak_units.level / among as f64 * self.listed_share();
         let backend = &mut self.backends[place];
         let age = self.now - backend.started;
-        if backend.started <= 0.0 || age >= self.settings.cold {
+        if backend.started <= 0.0 || age >= self.settings.slow_start_seconds {
             return f64::INFINITY;
         }
-        let warmth =
-            self.settings.cold_from + (1.0 - self.settings.cold_from) * (age / self.settings.cold).max(0.0);
-        let rate = warmth * self.settings.fall_multiple * SLOW_START_SHARE * mean;
-        backend.slow_start.refill(self.now, rate, (rate * self.settings.fall / 2.0).max(1.0))
+        let warmth = self.settings.slow_start_min_capacity
+            + (1.0 - self.settings.slow_start_min_capacity)
+                * (age / self.settings.slow_start_seconds).max(0.0);
+        let rate = warmth * self.settings.overload_multiple * SLOW_START_SHARE * mean;
+        backend.slow_start.refill(self.now, rate, (rate * self.settings.overload_seconds / 2.0).max(1.0))
     }
 
     /// Running servers as a share of the most of late. Guards against a list that shrinks as servers restart:
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -21,7 +21,7 @@
         let CounterFailures { count, since } = self.failing;
         self.now < self.settling_until
             || count >= UNAVAILABLE_AFTER.0
-                && self.now - since > UNAVAILABLE_AFTER.1 * self.settings.count_limit
+                && self.now - since > UNAVAILABLE_AFTER.1 * self.settings.counter_timeout
     }
 
     pub(super) fn request_lease(&mut self, key: &CustomerId, plan: &Plan) {
@@ -45,7 +45,7 @@
         let uncounted = self.take_uncounted(key, plan);
         self.add_to_count(key, window, want + uncounted + thin, Purpose::Lease { want, uncounted }, plan);
         let token = self.set_timer(
-            self.now + COUNTER_WAIT_SHARE * self.settings.count_limit,
+            self.now + COUNTER_WAIT_SHARE * self.settings.counter_timeout,
             Timer::CounterWait(key.clone()),
         );
         let customer = self.customers.get_mut(key).expect("seen above");
@@ -94,7 +94,7 @@
         let call = Call { customer: key.clone(), window, step, purpose };
         self.calls.entry(counter).or_default().push_back(call);
         self.call_budget.level -= 1.0;
-        self.actions.push(Action::Count {
+        self.actions.push(Action::AddToCounter {
             counter,
             amount: step,
             ttl: (2.2 * window_length(plan)).min(60.0),
@@ -106,7 +106,7 @@
     pub(super) fn pace_calls(&mut self, status: Status, spent: f64) {
         // An answer that is spoilt, or broken off, shows no crowd.
         let came = matches!(status, Status::Ok | Status::Error | Status::Reset);
-        let quick = came && spent < CROWDED_SHARE * self.settings.count_limit;
+        let quick = came && spent < CROWDED_SHARE * self.settings.counter_timeout;
         let (root, slow, lost) = CALL_RATE_STEP;
         if !quick && self.now - spent >= self.call_rate_cut {
             // Once for all that was out at that moment: they met the same line.
@@ -155,7 +155,7 @@
         }
     }
 
-    pub(super) fn admit_waiting(&mut self, id: JobId, answered: bool, plan: &Plan) {
+    pub(super) fn admit_waiting(&mut self, id: RequestId, answered: bool, plan: &Plan) {
         let Some(job) = self.requests.get(&id).filter(|j| !j.over) else { return };
         let (units, customer) = (job.request.units, &self.customers[&job.request.customer]);
         if customer.lease >= units {
--- a/src/policy/customer.rs
+++ b/src/policy/customer.rs
@@ -40,7 +40,7 @@
     /// Nothing waits for that call any more.
     pub(super) call_late: bool,
     /// Requests that wait for that call.
-    pub(super) waiting: VecDeque<JobId>,
+    pub(super) waiting: VecDeque<RequestId>,
     pub(super) open_attempts: u32,
     pub(super) last_used: Time,
 }
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -29,7 +29,7 @@
     /// already. It is dealt in whole requests: each falls due to the next of the customer's gateways in turn
     /// and holds for burst over rate, so all together stay within the room even where one holds less.
     pub(super) fn ceiling_share_covers(&mut self, key: &CustomerId, plan: &Plan, units: f64) -> bool {
-        let most = self.settings.max_units.max(1.0);
+        let most = self.settings.max_request_units.max(1.0);
         let customer = self.customers.get_mut(key).expect("asked for known customers only");
         let rate = plan.rate.min(CEILING_SHARE * (plan.ceiling_rate - plan.rate)).max(1e-9);
         let burst = plan.burst.min(CEILING_SHARE * (plan.ceiling_burst - plan.burst)).max(0.0);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -35,7 +35,7 @@
     /// Requests have waited long enough for a lease of this customer.
     CounterWait(CustomerId),
     /// A hedged request of this request may go out.
-    Hedge(JobId),
+    Hedge(RequestId),
     /// Idle customers are forgotten.
     Sweep,
 }
@@ -65,7 +65,7 @@
     /// What the event at hand asks to be done.
     actions: Vec<Action>,
     rng: Option<fastrand::Rng>,
-    requests: HashMap<JobId, OpenRequest>,
+    requests: HashMap<RequestId, OpenRequest>,
     customers: HashMap<CustomerId, Customer>,
     timers: HashMap<u64, Timer>,
     next_token: u64,
@@ -73,7 +73,7 @@
     /// All backends ever listed.
     backends: Vec<Backend>,
     /// Places of them among `backends`.
-    backend_index: HashMap<ServerId, usize>,
+    backend_index: HashMap<BackendId, usize>,
     /// Places of the running ones, in the order of their names.
     running: Vec<usize>,
     /// Where among the running ones, from 0 to 1, this gateway's own subset begins.
@@ -125,9 +125,9 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let rng = fastrand::Rng::with_seed(seed);
-        let call_rate = (CALL_RATE.1 / f64::from(settings.gateways)).max(CALL_RATE.0);
+        let call_rate = (CALL_RATE.1 / f64::from(settings.instances)).max(CALL_RATE.0);
         let thin_shares = vec![ThinShares::default(); settings.plans.len()];
-        let (subset_start, rng) = (subset_start(settings.me), Some(rng));
+        let (subset_start, rng) = (subset_start(settings.instance), Some(rng));
         Ok(Self {
             settings,
             thin_shares,
@@ -143,19 +143,28 @@
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::List { kind, servers } => self.update_list(kind, servers),
+            Event::EndpointList { kind, endpoints: servers } => self.update_list(kind, servers),
             Event::Request(request) => self.accept_request(request),
-            Event::FirstByte { job } => {
+            Event::ResponseStarted { request: job } => {
                 self.requests.get_mut(&job).into_iter().for_each(|j| j.streaming = true)
             }
-            Event::Outcome { job, attempt, server, status, spent, over, settled, load: _ } => {
+            Event::AttemptEnded {
+                request: job,
+                attempt,
+                backend: server,
+                status,
+                elapsed: spent,
+                request_ended: over,
+                settled_units: settled,
+                load: _,
+            } => {
                 self.record_attempt(&server, status, spent);
                 self.attempt_ended(&job, attempt, status, over, settled);
             }
-            Event::Left { job } => self.close_request(&job),
+            Event::ClientGone { request: job } => self.close_request(&job),
             Event::Timer { token } => self.timer_expired(token),
-            Event::Probed { .. } => {} // None is asked for: attempts tell enough, and probes cost.
-            Event::Counted { counter, status, total, spent } => {
+            Event::HealthChecked { .. } => {} // None is asked for: attempts tell enough, and probes cost.
+            Event::CounterResponse { counter, status, total, elapsed: spent } => {
                 self.counter_response(counter, status, total, spent)
             }
         }
@@ -168,13 +177,13 @@
     }
 
     fn aim(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.aim).reduce(f64::min).unwrap_or(1.0).max(1e-3)
+        self.settings.classes.iter().map(|c| c.latency_objective).reduce(f64::min).unwrap_or(1.0).max(1e-3)
     }
 
     fn set_timer(&mut self, at: Time, due: Timer) -> u64 {
         self.next_token += 1;
         self.timers.insert(self.next_token, due);
-        self.actions.push(Action::Timer { token: self.next_token, at });
+        self.actions.push(Action::SetTimer { token: self.next_token, at });
         self.next_token
     }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -27,9 +27,9 @@
                 continue;
             }
             let in_group = match group {
-                Group::All => true,
-                Group::Zone => backend.zone == zone,
-                Group::Cell => backend.cell == cell && backend.zone == zone,
+                DedupScope::All => true,
+                DedupScope::Zone => backend.zone == zone,
+                DedupScope::Cell => backend.cell == cell && backend.zone == zone,
             };
             if self.now < backend.ejected_until || !in_group || job.attempts.iter().any(|a| a.backend == at) {
                 continue;
@@ -58,18 +58,18 @@
     }
 
     /// Rule 2: `None`: no retry may go out; else within how long, and in which group.
-    pub(super) fn retry_scope(&self, job: &OpenRequest) -> Option<(f64, Group, u32, u32)> {
-        let anywhere = Some((f64::INFINITY, Group::All, 0, 0));
-        if job.pending_attempts() > 0 && !self.settings.second_copies {
+    pub(super) fn retry_scope(&self, job: &OpenRequest) -> Option<(f64, DedupScope, u32, u32)> {
+        let anywhere = Some((f64::INFINITY, DedupScope::All, 0, 0));
+        if job.pending_attempts() > 0 && !self.settings.hedging {
             return None;
         }
         let Some(first) = job.attempts.iter().find(|a| a.progress != Progress::NeverRan) else {
             return anywhere;
         };
-        match self.settings.classes[job.request.class].effect {
-            Effect::Safe => anywhere,
-            Effect::Unsafe => None,
-            Effect::Keyed { group, window } => {
+        match self.settings.classes[job.request.class].idempotency {
+            Idempotency::Idempotent => anywhere,
+            Idempotency::NonIdempotent => None,
+            Idempotency::Keyed { scope: group, window } => {
                 let (backend, within) = (&self.backends[first.backend], first.sent + window - self.now);
                 (within > 0.0).then_some((within, group, backend.zone, backend.cell))
             }
