--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -54,7 +54,7 @@
                 }
                 // Whoever came first is putting it right: others do so only where it stays so.
                 let since = if customer.emptied_since > 0.0 { customer.emptied_since } else { self.now };
-                let put_right = emptied && (first || self.now - since > 2.0 * self.settings.count_limit);
+                let put_right = emptied && (first || self.now - since > 2.0 * self.settings.counter_timeout);
                 customer.emptied_since = if emptied && !put_right { since } else { 0.0 };
                 let lapsed = before - if put_right { left } else { unlapsed };
                 let granted = want.min((left - uncounted + 1e-6).floor().max(0.0));
@@ -69,7 +69,7 @@
                 customer.fallback.refill(self.now, plan.rate / spread, f64::INFINITY);
                 if quiet {
                     customer.fallback.level = customer.fallback.level.min((level + uncounted - due) / spread);
-                } else if plan.burst >= spread * self.settings.max_units.max(1.0) {
+                } else if plan.burst >= spread * self.settings.max_request_units.max(1.0) {
                     // What was spent while this call was out is not on the count yet.
                     customer.fallback.level = level / spread - customer.uncounted.level.max(0.0);
                 }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -17,7 +17,7 @@
     /// Servers in the subset: enough for [`SUBSET_GATEWAYS`] to meet at each, but not many more than a
     /// gateway's own traffic keeps in use, while [`SUBSET_GATEWAYS_LEAST`] still meet.
     pub(super) fn subset_size(&self) -> usize {
-        let (running, gateways) = (self.running.len(), self.settings.gateways as usize);
+        let (running, gateways) = (self.running.len(), self.settings.instances as usize);
         let most = SUBSET_MOST.max(SUBSET_GATEWAYS_LEAST * running / gateways);
         let shared = (SUBSET_GATEWAYS * running / gateways).min(most);
         shared.max(SUBSET_LEAST).min(running)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,34 +11,40 @@
 
 pub fn plan(rate: f64, burst: f64) -> Plan {
     let mut plan = Plan::default();
-    (plan.rate, plan.burst, plan.pays) = (rate, burst, 1.0);
+    (plan.rate, plan.burst, plan.priority_weight) = (rate, burst, 1.0);
     plan
 }
 
 pub fn settings() -> Settings {
     let mut s = Settings::default();
-    (s.gateways, s.has_counter, s.second_copies, s.max_attempts) = (2, true, true, 3);
-    (s.may_cancel, s.cold, s.cold_from, s.fall_multiple, s.fall) = (true, 10.0, 0.2, 2.0, 1.0);
+    (s.instances, s.has_counter, s.hedging, s.max_attempts) = (2, true, true, 3);
+    (
+        s.may_cancel,
+        s.slow_start_seconds,
+        s.slow_start_min_capacity,
+        s.overload_multiple,
+        s.overload_seconds,
+    ) = (true, 10.0, 0.2, 2.0, 1.0);
     s.classes = vec![Class::default()];
     s.plans = vec![plan(10.0, 20.0)];
     s
 }
 
-pub fn server(name: &str, lifecycle: Lifecycle, started: Time) -> Server {
-    Server { id: name.into(), zone: 0, cell: 0, started, lifecycle }
+pub fn server(name: &str, lifecycle: Lifecycle, started: Time) -> Endpoint {
+    Endpoint { id: name.into(), zone: 0, cell: 0, started, lifecycle }
 }
 
 pub fn request(job: &str, now: Time) -> Request {
     Request {
-        job: job.into(),
+        id: job.into(),
         units: 1.0,
-        expires: now + 3.0,
+        deadline: now + 3.0,
         plan: 0,
-        spread: 2,
-        first: 0,
+        customer_instances: 2,
+        first_instance: 0,
         class: 0,
         customer: "c".into(),
-        repeat: false,
+        is_retry: false,
     }
 }
 
@@ -46,7 +52,7 @@
     pub fn new(settings: Settings) -> Self {
         let mut rig = Self::empty(settings);
         let servers = ["a", "b", "c"].map(|n| server(n, Lifecycle::Running, 0.0)).to_vec();
-        rig.list(ListKind::Stale, servers);
+        rig.list(EndpointListKind::StaleSnapshot, servers);
         rig
     }
 
@@ -54,8 +60,8 @@
         Self { gateway: Gateway::new(settings, 7).expect("usable settings"), now: 100.0, actions: Vec::new() }
     }
 
-    pub fn list(&mut self, kind: ListKind, servers: Vec<Server>) {
-        self.event(Event::List { kind, servers });
+    pub fn list(&mut self, kind: EndpointListKind, servers: Vec<Endpoint>) {
+        self.event(Event::EndpointList { kind, endpoints: servers });
     }
 
     /// Handles one event and returns what it led to.
@@ -72,41 +78,41 @@
     }
 
     pub fn counted(&mut self, counter: u64, status: Status, total: f64) -> Vec<Action> {
-        self.event(Event::Counted { counter, status, total, spent: 0.002 })
+        self.event(Event::CounterResponse { counter, status, total, elapsed: 0.002 })
     }
 
-    pub fn outcome(&mut self, job: &str, attempt: u32, server: &ServerId, status: Status) -> Vec<Action> {
-        self.event(Event::Outcome {
-            job: job.into(),
+    pub fn outcome(&mut self, job: &str, attempt: u32, server: &BackendId, status: Status) -> Vec<Action> {
+        self.event(Event::AttemptEnded {
+            request: job.into(),
             attempt,
-            server: server.clone(),
+            backend: server.clone(),
             status,
-            spent: 0.1,
-            over: status == Status::Ok,
-            settled: None,
-            load: Load::default(),
+            elapsed: 0.1,
+            request_ended: status == Status::Ok,
+            settled_units: None,
+            load: LoadReport::default(),
         })
     }
 }
 
 pub fn counts(actions: &[Action]) -> Vec<(u64, f64)> {
     let count = |a: &Action| match a {
-        Action::Count { counter, amount, .. } => Some((*counter, *amount)),
+        Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
         _ => None,
     };
     actions.iter().filter_map(count).collect()
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(JobId, ServerId)> {
+pub fn sends(actions: &[Action]) -> Vec<(RequestId, BackendId)> {
     let send = |a: &Action| match a {
-        Action::Send { job, server, .. } => Some((job.clone(), server.clone())),
+        Action::Forward { request: job, backend: server, .. } => Some((job.clone(), server.clone())),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
 }
 
 pub fn refused(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
 pub fn failed(actions: &[Action]) -> usize {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,30 +5,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use weirusher::*;
 
-fn fleet(n: u32, settings: &Settings, servers: &[Server]) -> Vec<Rig> {
+fn fleet(n: u32, settings: &Settings, servers: &[Endpoint]) -> Vec<Rig> {
     seeded_fleet(n, settings, servers, 0)
 }
 
-fn seeded_fleet(n: u32, settings: &Settings, servers: &[Server], seed: u64) -> Vec<Rig> {
+fn seeded_fleet(n: u32, settings: &Settings, servers: &[Endpoint], seed: u64) -> Vec<Rig> {
     let rig = |me: u32| {
         let mut s = settings.clone();
-        (s.me, s.gateways) = (me, n);
+        (s.instance, s.instances) = (me, n);
         let gateway = Gateway::new(s, seed << 32 | (u64::from(me) * 7919 + 1)).expect("usable settings");
         let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
-        rig.list(ListKind::Stale, servers.to_vec());
+        rig.list(EndpointListKind::StaleSnapshot, servers.to_vec());
         rig
     };
     (0..n).map(rig).collect()
 }
 
-fn servers(n: u32) -> Vec<Server> {
+fn servers(n: u32) -> Vec<Endpoint> {
     (0..n).map(|i| server(&format!("s{i:03}"), Lifecycle::Running, 0.0)).collect()
 }
 
 /// One request through `rig`, answered in 50 ms if sent; the server it went to.
-fn one(rig: &mut Rig, job: &str, spread: u32) -> Option<ServerId> {
+fn one(rig: &mut Rig, job: &str, spread: u32) -> Option<BackendId> {
     let mut request = request(job, rig.now);
-    request.spread = spread;
+    request.customer_instances = spread;
     let out = rig.event(Event::Request(request));
     let (job, server) = sends(&out).pop()?;
     rig.outcome(&job, 0, &server, Status::Ok);
@@ -52,7 +52,7 @@
             rig.now = now;
             if step == 70 {
                 let fresh = |i| server(&format!("s{i:03}"), Lifecycle::Running, now);
-                rig.list(ListKind::Changes, (0..cold).map(fresh).collect());
+                rig.list(EndpointListKind::Delta, (0..cold).map(fresh).collect());
             }
             if (i + step) % 5 == 0 {
                 let server = one(rig, &format!("{i}-{step}"), gateways);
@@ -78,8 +78,9 @@
             (0..PLAYS).map(|seed| around_a_cold_start(&s, gateways, count, 1, seed)).collect();
         let each = plays.iter().map(|(each, _)| each).sum::<f64>() / PLAYS as f64;
         for age in 0..5 {
-            let warmth = s.cold_from + (1.0 - s.cold_from) * age as f64 / s.cold;
-            let planned = s.fall_multiple * warmth * each * s.fall;
+            let warmth = s.slow_start_min_capacity
+                + (1.0 - s.slow_start_min_capacity) * age as f64 / s.slow_start_seconds;
+            let planned = s.overload_multiple * warmth * each * s.overload_seconds;
             let allowed = planned + 3.0 * planned.sqrt() + 3.0;
             let most = plays.iter().map(|(_, to_cold)| to_cold[0][age]).fold(0.0, f64::max);
             let mean = plays.iter().map(|(_, to_cold)| to_cold[0][age]).sum::<f64>() / PLAYS as f64;
@@ -87,7 +88,7 @@
             assert!(mean <= 0.7 * planned, "{mean} sent at the age of {age} s, {planned} it may be");
         }
         // Those that keep to it use what it surely can do: a fleet half of which is cold needs that half.
-        let can = (s.cold_from + (1.0 - s.cold_from) * 0.25) * each * 5.0;
+        let can = (s.slow_start_min_capacity + (1.0 - s.slow_start_min_capacity) * 0.25) * each * 5.0;
         let sent =
             plays.iter().map(|(_, to_cold)| to_cold[0].iter().sum::<f64>()).sum::<f64>() / PLAYS as f64;
         assert!(sent >= 0.4 * can, "{sent} sent in its first 5 s, {can} it can surely do");
@@ -100,7 +101,7 @@
 fn a_fleet_half_of_which_is_cold_plans_with_the_multiple_that_rule_four_allows() {
     let to_cold = |fall_multiple: f64| {
         let mut s = settings();
-        (s.plans, s.fall_multiple) = (vec![Plan::default()], fall_multiple);
+        (s.plans, s.overload_multiple) = (vec![Plan::default()], fall_multiple);
         let (_, to_cold) = around_a_cold_start(&s, 200, 60, 30, 0);
         to_cold.iter().flatten().sum::<f64>()
     };
@@ -137,9 +138,9 @@
     let mut s = settings();
     s.plans = vec![Plan::default()];
     let mut rigs = fleet(100, &s, &servers(60));
-    let all: BTreeSet<ServerId> = (0..200).filter_map(|i| one(&mut rigs[3], &format!("j{i}"), 1)).collect();
+    let all: BTreeSet<BackendId> = (0..200).filter_map(|i| one(&mut rigs[3], &format!("j{i}"), 1)).collect();
     assert!((2..=12).contains(&all.len()), "{} servers used", all.len());
-    let firsts: BTreeSet<ServerId> = rigs.iter_mut().filter_map(|rig| one(rig, "first", 1)).collect();
+    let firsts: BTreeSet<BackendId> = rigs.iter_mut().filter_map(|rig| one(rig, "first", 1)).collect();
     assert!(firsts.len() >= 30, "together they use the fleet: {}", firsts.len());
 }
 
@@ -147,9 +148,9 @@
 fn gateways_by_server(gateways: u32, count: u32) -> Vec<usize> {
     let mut s = settings();
     s.plans = vec![Plan::default()];
-    let mut users: BTreeMap<ServerId, usize> = servers(count).into_iter().map(|s| (s.id, 0)).collect();
+    let mut users: BTreeMap<BackendId, usize> = servers(count).into_iter().map(|s| (s.id, 0)).collect();
     for rig in &mut fleet(gateways, &s, &servers(count)) {
-        let used: BTreeSet<ServerId> = (0..400).filter_map(|i| one(rig, &format!("j{i}"), 1)).collect();
+        let used: BTreeSet<BackendId> = (0..400).filter_map(|i| one(rig, &format!("j{i}"), 1)).collect();
         used.iter().for_each(|server| *users.get_mut(server).expect("it is listed") += 1);
     }
     users.into_values().collect()
@@ -175,10 +176,10 @@
     let mut s = settings();
     s.plans = vec![Plan::default()];
     let mut used = |gateways: u32, count: u32| {
-        s.gateways = gateways;
+        s.instances = gateways;
         let mut rig = Rig::empty(s.clone());
-        rig.list(ListKind::Stale, servers(count));
-        let all: BTreeSet<ServerId> = (0..4000).filter_map(|i| one(&mut rig, &format!("j{i}"), 1)).collect();
+        rig.list(EndpointListKind::StaleSnapshot, servers(count));
+        let all: BTreeSet<BackendId> = (0..4000).filter_map(|i| one(&mut rig, &format!("j{i}"), 1)).collect();
         all.len() as f64
     };
     let usual = used(300, 200);
@@ -192,7 +193,7 @@
 /// Of 300 requests at one gateway, how many are turned away at once when `lost` in ten attempts never answer.
 fn refused_when_lost(lost: usize) -> usize {
     let mut s = settings();
-    (s.plans, s.gateways) = (vec![Plan::default()], 20);
+    (s.plans, s.instances) = (vec![Plan::default()], 20);
     let mut rig = Rig::new(s);
     let mut total = 0;
     for i in 0..300 {
@@ -202,8 +203,17 @@
         for (job, server) in sends(&out) {
             let (status, spent) = if i * 3 % 10 < lost { (Status::Timeout, 1.0) } else { (Status::Ok, 0.03) };
             let over = status == Status::Ok;
-            let load = Load::default();
-            rig.event(Event::Outcome { job, attempt: 0, server, status, spent, over, settled: None, load });
+            let load = LoadReport::default();
+            rig.event(Event::AttemptEnded {
+                request: job,
+                attempt: 0,
+                backend: server,
+                status,
+                elapsed: spent,
+                request_ended: over,
+                settled_units: None,
+                load,
+            });
         }
     }
     total
@@ -238,7 +248,8 @@
 ) -> f64 {
     let (count, step, busiest) = (12, 0.02, 8.0);
     let mut s = settings();
-    (s.plans, s.fall_multiple, s.fall, s.cold_from, s.cold) = (vec![Plan::default()], 4.0, 1.0, 0.25, 10.0);
+    (s.plans, s.overload_multiple, s.overload_seconds, s.slow_start_min_capacity, s.slow_start_seconds) =
+        (vec![Plan::default()], 4.0, 1.0, 0.25, 10.0);
     let mut rng = fastrand::Rng::with_seed(seed);
     let weights: Vec<f64> = (0..gateways).map(|_| 1.0 + (busiest - 1.0) * rng.f64().powi(4)).collect();
     let sum: f64 = weights.iter().sum();
@@ -254,7 +265,7 @@
                 rig.now = now;
                 let mut rest: Vec<_> = servers(left);
                 rest.iter_mut().take(cold as usize).for_each(|server| server.started = start);
-                rig.list(ListKind::Full, rest);
+                rig.list(EndpointListKind::Snapshot, rest);
             }
         }
         // Traffic comes in waves: half as much again, then as much less.
@@ -271,10 +282,12 @@
         }
     }
     let allowed_at = |at: f64| {
-        let warmth = s.cold_from + (1.0 - s.cold_from) * ((at - start) / s.cold).clamp(0.0, 1.0);
-        allowed(s.fall_multiple * warmth * (each / 0.7) * s.fall)
+        let warmth = s.slow_start_min_capacity
+            + (1.0 - s.slow_start_min_capacity) * ((at - start) / s.slow_start_seconds).clamp(0.0, 1.0);
+        allowed(s.overload_multiple * warmth * (each / 0.7) * s.overload_seconds)
     };
-    let within = |at: f64| arrivals.iter().filter(|a| **a > at - s.fall && **a <= at).count() as f64;
+    let within =
+        |at: f64| arrivals.iter().filter(|a| **a > at - s.overload_seconds && **a <= at).count() as f64;
     arrivals.iter().map(|at| within(*at) - allowed_at(*at)).fold(f64::NEG_INFINITY, f64::max)
 }
 
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -9,7 +9,7 @@
     let timers = std::mem::take(&mut rig.actions);
     rig.now = at;
     for timer in timers {
-        if let Action::Timer { token, at: due } = timer
+        if let Action::SetTimer { token, at: due } = timer
             && due <= at
         {
             let out = rig.event(Event::Timer { token });
@@ -31,7 +31,7 @@
     assert_eq!(counter.ask_many(&mut rig, "a", 60), 20, "the burst, to the unit");
     let out = rig.ask("b");
     assert_eq!((refused(&out), counts(&out).len()), (1, 0), "a level known to be nothing needs no call");
-    assert!(matches!(out[0], Action::Refuse { retry_after, .. } if retry_after > 0.0));
+    assert!(matches!(out[0], Action::Reject { retry_after, .. } if retry_after > 0.0));
 }
 
 #[test]
@@ -111,7 +111,7 @@
 #[test]
 fn an_open_cap_is_an_even_share_of_it() {
     let mut s = settings();
-    s.plans[0].open = 4;
+    s.plans[0].max_concurrent = 4;
     let (mut rig, mut counter) = (Rig::new(s), Counter::default());
     let mut out = Vec::new();
     for i in 0..6 {
@@ -147,10 +147,10 @@
 /// One of many gateways, where a share is less than a request, and a request of some customer.
 fn one_of_many() -> (Rig, impl Fn(&mut Rig, &str) -> Vec<Action>) {
     let mut s = settings();
-    (s.gateways, s.plans[0]) = (100, plan(1.0, 4.0));
+    (s.instances, s.plans[0]) = (100, plan(1.0, 4.0));
     let ask = |rig: &mut Rig, customer: &str| {
         let mut request = request(&format!("{customer}-{}", rig.now), rig.now);
-        (request.spread, request.customer) = (100, customer.into());
+        (request.customer_instances, request.customer) = (100, customer.into());
         rig.event(Event::Request(request))
     };
     (Rig::new(s), ask)
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -17,13 +17,13 @@
 
 #[derive(Default)]
 struct World {
-    deadline: BTreeMap<JobId, Time>,
-    ended: BTreeSet<JobId>,
-    attempts: BTreeMap<JobId, Vec<bool>>,
-    out: Vec<(JobId, u32, ServerId, Time)>,
+    deadline: BTreeMap<RequestId, Time>,
+    ended: BTreeSet<RequestId>,
+    attempts: BTreeMap<RequestId, Vec<bool>>,
+    out: Vec<(RequestId, u32, BackendId, Time)>,
     calls: Vec<u64>,
     timers: Vec<(Time, u64)>,
-    stopped: BTreeSet<ServerId>,
+    stopped: BTreeSet<BackendId>,
     counter: BTreeMap<u64, f64>,
 }
 
@@ -31,7 +31,7 @@
     fn check(&mut self, now: Time, unsafe_class: bool, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Send { job, server, timeout, .. } => {
+                Action::Forward { request: job, backend: server, timeout, .. } => {
                     assert!(!self.ended.contains(job), "sent after its end");
                     assert!(!self.stopped.contains(server), "sent to a server that drains or is gone");
                     let attempts = self.attempts.entry(job.clone()).or_default();
@@ -39,18 +39,18 @@
                     self.out.push((job.clone(), attempts.len() as u32, server.clone(), now + timeout));
                     attempts.push(false);
                 }
-                Action::Refuse { job, .. } | Action::Fail { job, .. } => {
+                Action::Reject { request: job, .. } | Action::Fail { request: job, .. } => {
                     let clean = self.attempts.get(job).is_none_or(|a| a.iter().all(|never| *never));
-                    let refuses = matches!(action, Action::Refuse { .. });
+                    let refuses = matches!(action, Action::Reject { .. });
                     assert!(!(unsafe_class && refuses) || clean, "refused though it may have run");
                     assert!(self.ended.insert(job.clone()), "ended twice");
                     assert!(now <= self.deadline[job] + 0.008, "answered too late");
                 }
-                Action::Count { counter, amount, .. } => {
+                Action::AddToCounter { counter, amount, .. } => {
                     *self.counter.entry(*counter).or_default() += amount;
                     self.calls.push(*counter);
                 }
-                Action::Timer { token, at } => self.timers.push((*at, *token)),
+                Action::SetTimer { token, at } => self.timers.push((*at, *token)),
                 _ => {}
             }
         }
@@ -61,9 +61,10 @@
     let (mut dice, mut world) = (Dice(seed), World::default());
     let unsafe_class = seed % 3 == 0;
     let mut s = settings();
-    s.classes[0].effect = if unsafe_class { Effect::Unsafe } else { Effect::Safe };
+    s.classes[0].idempotency =
+        if unsafe_class { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
     s.plans.push(plan(1.0, 3.0));
-    s.plans[1].open = 2;
+    s.plans[1].max_concurrent = 2;
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (20.0, 40.0);
     s.plans.push(Plan::default());
     let mut rig = Rig::new(s);
@@ -83,18 +84,19 @@
         let out = match dice.roll(10) {
             0..4 => {
                 let mut r = request(&format!("j{n}"), rig.now);
-                (r.plan, r.spread) = (dice.roll(3) as usize, 1 + dice.roll(3) as u32);
+                (r.plan, r.customer_instances) = (dice.roll(3) as usize, 1 + dice.roll(3) as u32);
                 r.customer = format!("c{}", dice.roll(4)).as_str().into();
-                r.expires = rig.now + 0.01 * dice.roll(100) as f64;
-                world.deadline.insert(r.job.clone(), r.expires);
+                r.deadline = rig.now + 0.01 * dice.roll(100) as f64;
+                world.deadline.insert(r.id.clone(), r.deadline);
                 rig.event(Event::Request(r))
             }
             4..7 if !world.out.is_empty() => {
                 let i = dice.roll(world.out.len() as u64) as usize;
                 let (job, attempt, server, _) = world.out.remove(i);
-                let ends = [Status::Ok, Status::Error, Status::Full, Status::ConnectFailed, Status::Reset];
+                let ends =
+                    [Status::Ok, Status::Error, Status::Rejected, Status::ConnectFailed, Status::Reset];
                 let status = ends[dice.roll(5) as usize];
-                let never = matches!(status, Status::Full | Status::ConnectFailed);
+                let never = matches!(status, Status::Rejected | Status::ConnectFailed);
                 world.attempts.get_mut(&job).expect("sent")[attempt as usize] = never;
                 if status == Status::Ok {
                     world.ended.insert(job.clone());
@@ -106,18 +108,22 @@
                 if dice.roll(200) == 0 {
                     world.counter.clear();
                 }
-                let ends = [Status::Ok, Status::Ok, Status::Ok, Status::Timeout, Status::Full];
+                let ends = [Status::Ok, Status::Ok, Status::Ok, Status::Timeout, Status::Rejected];
                 let total = world.counter.get(&name).copied().unwrap_or(0.0);
                 rig.counted(name, ends[dice.roll(5) as usize], total)
             }
             _ => {
                 let name = ["a", "b", "c"][dice.roll(3) as usize];
-                let life = [Lifecycle::Running, Lifecycle::Draining, Lifecycle::Gone][dice.roll(3) as usize];
+                let life =
+                    [Lifecycle::Running, Lifecycle::Draining, Lifecycle::Removed][dice.roll(3) as usize];
                 match life {
                     Lifecycle::Running => world.stopped.remove(name),
                     _ => world.stopped.insert(name.into()),
                 };
-                rig.event(Event::List { kind: ListKind::Changes, servers: vec![server(name, life, rig.now)] })
+                rig.event(Event::EndpointList {
+                    kind: EndpointListKind::Delta,
+                    endpoints: vec![server(name, life, rig.now)],
+                })
             }
         };
         world.check(rig.now, unsafe_class, &out);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,21 +4,21 @@
 use common::*;
 use weirusher::*;
 
-fn plain(effect: Effect) -> Settings {
+fn plain(effect: Idempotency) -> Settings {
     let mut s = settings();
     s.plans = vec![Plan::default()];
-    s.classes[0].effect = effect;
+    s.classes[0].idempotency = effect;
     s
 }
 
 #[test]
 fn a_request_ends_once_whatever_comes_later() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Idempotency::Idempotent));
     let (_, server) = sends(&rig.ask("j")).remove(0);
     assert!(rig.ask("j").is_empty(), "an id is taken once");
     rig.outcome("j", 0, &server, Status::Ok);
     assert!(rig.outcome("j", 0, &server, Status::Error).is_empty(), "a late outcome leads to nothing");
-    assert!(rig.event(Event::Left { job: "j".into() }).is_empty());
+    assert!(rig.event(Event::ClientGone { request: "j".into() }).is_empty());
 }
 
 #[test]
@@ -30,7 +30,7 @@
     let out = rig.ask("j");
     assert!(sends(&out).is_empty() && refused(&out) == 0, "held for the counter");
     let timer = out.iter().find_map(|a| match a {
-        Action::Timer { token, at } => Some((*token, *at)),
+        Action::SetTimer { token, at } => Some((*token, *at)),
         _ => None,
     });
     let (token, at) = timer.expect("a hold has its timer");
@@ -44,37 +44,37 @@
 fn a_deadline_nearer_than_the_holds_is_refused_at_once() {
     let mut rig = Rig::new(settings());
     let mut near = request("j", rig.now);
-    near.expires = rig.now + 0.003;
+    near.deadline = rig.now + 0.003;
     assert_eq!(refused(&rig.event(Event::Request(near))), 1);
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
-    let mut rig = Rig::new(plain(Effect::Unsafe));
+    let mut rig = Rig::new(plain(Idempotency::NonIdempotent));
     let (_, server) = sends(&rig.ask("j")).remove(0);
     let out = rig.outcome("j", 0, &server, Status::Reset);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1));
     let (_, server) = sends(&rig.ask("k")).remove(0);
-    let out = rig.outcome("k", 0, &server, Status::Full);
+    let out = rig.outcome("k", 0, &server, Status::Rejected);
     assert_eq!(sends(&out).len(), 1, "one that surely never ran goes out again");
 }
 
 #[test]
 fn a_keyed_request_stays_in_its_group_and_window() {
-    let mut s = plain(Effect::Keyed { group: Group::Zone, window: 1.0 });
+    let mut s = plain(Idempotency::Keyed { scope: DedupScope::Zone, window: 1.0 });
     s.max_attempts = 9;
     let mut rig = Rig::empty(s);
-    let mut list: Vec<Server> =
+    let mut list: Vec<Endpoint> =
         ["a", "b", "c", "d"].map(|n| server(n, Lifecycle::Running, 0.0)).into_iter().collect();
     (list[2].zone, list[3].zone) = (1, 1);
-    rig.list(ListKind::Stale, list);
-    let zone = |id: &ServerId| usize::from(id.as_ref() >= "c");
+    rig.list(EndpointListKind::StaleSnapshot, list);
+    let zone = |id: &BackendId| usize::from(id.as_ref() >= "c");
     let (_, first) = sends(&rig.ask("j")).remove(0);
     rig.now += 0.4;
     let (_, second) = sends(&rig.outcome("j", 0, &first, Status::Error)).remove(0);
     assert_eq!(zone(&first), zone(&second), "only the group discards the repeat");
     let within = |action: &Action| match action {
-        Action::Send { within, .. } => Some(*within),
+        Action::Forward { start_within: within, .. } => Some(*within),
         _ => None,
     };
     let within: Vec<f64> = rig.actions.iter().filter_map(within).collect();
@@ -87,20 +87,20 @@
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
-    let mut s = plain(Effect::Safe);
-    s.second_copies = false;
+    let mut s = plain(Idempotency::Idempotent);
+    s.hedging = false;
     let mut rig = Rig::new(s);
     let out = rig.ask("j");
     assert_eq!(sends(&out).len(), 1);
-    assert!(!out.iter().any(|a| matches!(a, Action::Timer { .. })), "no hedge is even planned");
+    assert!(!out.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedge is even planned");
 }
 
 #[test]
 fn a_draining_or_missing_server_gets_nothing_new() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    rig.list(ListKind::Changes, vec![server("a", Lifecycle::Draining, 0.0)]);
+    let mut rig = Rig::new(plain(Idempotency::Idempotent));
+    rig.list(EndpointListKind::Delta, vec![server("a", Lifecycle::Draining, 0.0)]);
     rig.list(
-        ListKind::Full,
+        EndpointListKind::Snapshot,
         vec![server("a", Lifecycle::Draining, 0.0), server("b", Lifecycle::Running, 0.0)],
     );
     for i in 0..20 {
@@ -109,14 +109,14 @@
             rig.outcome(&job, 0, &to, Status::Ok);
         }
     }
-    rig.list(ListKind::Full, vec![]);
+    rig.list(EndpointListKind::Snapshot, vec![]);
     assert_eq!(refused(&rig.ask("last")), 1, "with all servers gone it is refused, not held");
 }
 
 #[test]
 fn a_cold_server_gets_a_small_part() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    rig.list(ListKind::Changes, vec![server("a", Lifecycle::Running, 99.9)]);
+    let mut rig = Rig::new(plain(Idempotency::Idempotent));
+    rig.list(EndpointListKind::Delta, vec![server("a", Lifecycle::Running, 99.9)]);
     let mut cold = 0;
     for i in 0..90 {
         rig.now += 0.01;
@@ -130,8 +130,8 @@
 
 #[test]
 fn a_server_that_comes_back_untold_is_suspected_cold() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    rig.list(ListKind::Full, vec![server("a", Lifecycle::Running, 0.0)]);
+    let mut rig = Rig::new(plain(Idempotency::Idempotent));
+    rig.list(EndpointListKind::Snapshot, vec![server("a", Lifecycle::Running, 0.0)]);
     rig.ask("j0");
     rig.outcome("j0", 0, &"a".into(), Status::ConnectFailed);
     rig.now += 2.0;
@@ -156,7 +156,7 @@
 
 #[test]
 fn time_outs_in_overload_do_not_put_the_fleet_out() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Idempotency::Idempotent));
     for i in 0..12 {
         for (job, to) in sends(&rig.ask(&format!("j{i}"))) {
             rig.outcome(&job, 0, &to, Status::Timeout);
@@ -169,7 +169,7 @@
 /// Of 20 requests that follow `failures` attempts at one server, each of which took `spent` seconds to fail to connect,
 /// how many go there.
 fn sent_after_failed_connections(failures: u32, spent: f64) -> usize {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Idempotency::Idempotent));
     let mut out = 0;
     for i in 0..90 {
         let asked = format!("a{i}");
@@ -177,15 +177,15 @@
             let fails = server.as_ref() == "a" && out < failures;
             out += u32::from(fails);
             let (status, spent) = if fails { (Status::ConnectFailed, spent) } else { (Status::Ok, 0.1) };
-            let load = Load::default();
-            rig.event(Event::Outcome {
-                job,
+            let load = LoadReport::default();
+            rig.event(Event::AttemptEnded {
+                request: job,
                 attempt: 0,
-                server,
+                backend: server,
                 status,
-                spent,
-                over: true,
-                settled: None,
+                elapsed: spent,
+                request_ended: true,
+                settled_units: None,
                 load,
             });
             if out == failures {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -12,11 +12,17 @@
 
 #[test]
 fn impossible_settings_are_a_typed_error() {
-    assert_eq!(refused_settings(|s| s.gateways = 0), SettingsError::NoGateways);
-    assert_eq!(refused_settings(|s| s.me = 2), SettingsError::MeOutOfRange);
-    assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
-    assert_eq!(refused_settings(|s| s.count_limit = f64::NAN), SettingsError::BadNumber("count_limit"));
-    assert_eq!(refused_settings(|s| s.classes[0].aim = f64::INFINITY), SettingsError::BadNumber("aim"));
+    assert_eq!(refused_settings(|s| s.instances = 0), SettingsError::NoInstances);
+    assert_eq!(refused_settings(|s| s.instance = 2), SettingsError::InstanceOutOfRange);
+    assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::InvalidNumber("rate"));
+    assert_eq!(
+        refused_settings(|s| s.counter_timeout = f64::NAN),
+        SettingsError::InvalidNumber("count_limit")
+    );
+    assert_eq!(
+        refused_settings(|s| s.classes[0].latency_objective = f64::INFINITY),
+        SettingsError::InvalidNumber("aim")
+    );
 }
 
 #[test]
@@ -26,7 +32,7 @@
         (|r: &mut Request| r.class = 9) as fn(&mut Request),
         |r| r.plan = 9,
         |r| r.units = f64::NAN,
-        |r| r.expires = 1.0,
+        |r| r.deadline = 1.0,
     ]
     .iter()
     .enumerate()
@@ -39,5 +45,5 @@
     assert!(rig.event(Event::Timer { token: 999 }).is_empty());
     assert!(rig.counted(5, Status::Ok, 1.0).is_empty());
     assert!(rig.outcome("never", 0, &"nowhere".into(), Status::Reset).is_empty());
-    assert!(rig.event(Event::Left { job: "never".into() }).is_empty());
+    assert!(rig.event(Event::ClientGone { request: "never".into() }).is_empty());
 }
