--- /dev/null
+++ b/crates/cli/src/commands/fleet.rs
@@ -0,0 +1,124 @@
+//! `fleet`: a running gateway's view of the other gateways.
+
+use crate::error::CommandError;
+use std::fmt::Write as _;
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::process::ExitCode;
+use std::time::Duration;
+use weirusher_fleet::{Counters, MemberView, State, View};
+use weirusher_peers::page;
+
+/// Limit for the response of the admin page.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Milliseconds since the last direct heartbeat with which a member is listed as not heard. After a longer time it is
+/// normal: the member sends its heartbeats to others by then.
+const NOT_HEARD_MS: Range<u64> = 2_000..60_000;
+/// Members in one line of the table.
+const MEMBERS_PER_LINE: usize = 12;
+
+/// Prints a gateway's view, as a table or as JSON.
+pub async fn show(admin: SocketAddr, json: bool) -> Result<ExitCode, CommandError> {
+    let response = tokio::time::timeout(PAGE_TIMEOUT, page::get(admin, "/fleet")).await;
+    let response = response.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()));
+    let response = response.map_err(|error| CommandError::Admin { admin, error })?;
+    let body = String::from_utf8_lossy(&response.body);
+    match serde_json::from_slice::<View>(&response.body) {
+        Ok(_) if json => println!("{body}"),
+        Ok(view) => print!("{}", table(&view)),
+        Err(_) => return Err(CommandError::NoFleet { admin, body: body.trim().to_string() }),
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// A view as a table for people: reachability, members by state, datagrams.
+fn table(view: &View) -> String {
+    let mut text = format!("gateway {}, incarnation {}\n", view.number, view.incarnation);
+    write_reachability(&mut text, view);
+    write_members(&mut text, view);
+    write_datagrams(&mut text, view);
+    text
+}
+
+fn write_reachability(text: &mut String, view: &View) {
+    let hearing = view.hearing;
+    let last = hearing.age_ms.map_or_else(|| "none yet".to_string(), |ms| format!("{ms} ms ago"));
+    let superseded = if hearing.superseded { "; superseded by another process under its number" } else { "" };
+    let _ = writeln!(
+        text,
+        "  reachable  {:.0} % of the fleet; last heartbeat: {last}{superseded}",
+        100.0 * hearing.share(),
+    );
+    let _ = writeln!(
+        text,
+        "  hears      {} of {} directly; {} of {} others alive",
+        hearing.heard, hearing.expected, hearing.alive, hearing.others
+    );
+    let _ = writeln!(
+        text,
+        "  heard by   {} of {} that it sends to; {} report that they do not hear it",
+        hearing.confirmed, hearing.watchers, hearing.denied
+    );
+    let not_hearing = numbers(view.members.iter().filter(|member| member.denies));
+    let not_heard = numbers(view.members.iter().filter(|member| is_not_heard(member)));
+    for (label, members) in [("unheard by", not_hearing), ("not heard", not_heard)] {
+        if !members.is_empty() {
+            let _ = writeln!(text, "  {label:<10} {}", members.join(", "));
+        }
+    }
+}
+
+/// Whether a member is alive and was heard directly some time ago, but not since.
+fn is_not_heard(member: &MemberView) -> bool {
+    member.state == State::Alive && member.direct_ms.is_some_and(|ms| NOT_HEARD_MS.contains(&ms))
+}
+
+fn numbers<'a>(members: impl Iterator<Item = &'a MemberView>) -> Vec<String> {
+    members.map(|member| member.number.to_string()).collect()
+}
+
+/// Counts of members by state, and which ones are in a state other than alive.
+fn write_members(text: &mut String, view: &View) {
+    for state in [State::Alive, State::Suspected, State::Gone, State::Unknown] {
+        let members: Vec<_> = view.members.iter().filter(|member| member.state == state).collect();
+        let _ = writeln!(text, "  {:<10} {}", format!("{state:?}").to_lowercase(), members.len());
+        if state == State::Alive {
+            continue;
+        }
+        for line in members.chunks(MEMBERS_PER_LINE) {
+            let since = |m: &&MemberView| format!("{} for {:.1} s", m.number, m.for_ms as f64 / 1000.0);
+            let _ = writeln!(text, "    {}", line.iter().map(since).collect::<Vec<_>>().join(", "));
+        }
+    }
+}
+
+fn write_datagrams(text: &mut String, view: &View) {
+    let counters = &view.counters;
+    let _ = writeln!(
+        text,
+        "  sent       {} datagrams, {} bytes; deferred {}; gossip updates waiting {}, dropped {}",
+        counters.sent, counters.sent_bytes, counters.put_off, view.rumors, counters.rumors_dropped
+    );
+    let _ =
+        writeln!(text, "  received   {} datagrams; rejected: {}", counters.received, rejections(counters));
+}
+
+/// Why datagrams were rejected and how many; causes that never occurred are left out.
+fn rejections(counters: &Counters) -> String {
+    let causes = [
+        ("oversized", counters.oversized),
+        ("from another address", counters.misplaced),
+        ("flood", counters.flooded),
+        ("other key or forged", counters.forged),
+        ("malformed", counters.malformed),
+        ("other fleet size", counters.other_size),
+        ("for another member", counters.misdelivered),
+        ("replayed", counters.replayed),
+        ("from an ended incarnation", counters.stale),
+        ("to an ended incarnation", counters.unproven),
+        ("unreadable state", counters.unreadable),
+    ];
+    let occurred = causes.iter().filter(|(_, count)| *count > 0);
+    let listed: Vec<String> = occurred.map(|(cause, count)| format!("{cause} {count}")).collect();
+    if listed.is_empty() { "none".to_string() } else { listed.join(", ") }
+}
--- /dev/null
+++ b/crates/cli/src/commands/simulate.rs
@@ -0,0 +1,46 @@
+//! `simulate`: random schedules of counter faults in virtual time.
+
+use crate::error::FAILED;
+use crate::output::print_json;
+use serde_json::json;
+use std::io::IsTerminal;
+use std::process::ExitCode;
+
+/// Simulates so many schedules from a first seed, and prints the result; fails where one exceeds the bound on overshoot.
+pub fn run(first_seed: u64, schedules: u64, json: bool) -> ExitCode {
+    let threads = std::thread::available_parallelism().map_or(1, usize::from);
+    let visible = std::io::stderr().is_terminal();
+    let result = weirusher_simulation::prove_many(first_seed, schedules, threads, |done| {
+        if visible {
+            eprint!("\r{done} of {schedules} schedules ");
+        }
+    });
+    if visible {
+        eprintln!();
+    }
+    if json {
+        print_json(&json!(result));
+    } else {
+        let percent = |(due, served): (u64, u64)| 100.0 * served as f64 / due.max(1) as f64;
+        println!(
+            "{} schedules from seed {first_seed}: {} beyond the bound, {} beyond one burst without a restart or a \
+             loss of the counter\n  served of what is due: {:.1} % within their rate, {:.1} % beyond it",
+            result.timelines,
+            result.broken,
+            result.past_aim,
+            percent(result.within),
+            percent(result.hot)
+        );
+        println!(
+            "  {:>10} {:>11} {:>13} {:>7} {:>13}",
+            "seed", "gateways", "units beyond", "bursts", "units allowed"
+        );
+        for run in &result.worst {
+            println!(
+                "  {:>10} {:>11} {:>13.1} {:>7.2} {:>13.1}",
+                run.seed, run.gateways, run.beyond, run.bursts, run.allowed
+            );
+        }
+    }
+    if result.broken == 0 { ExitCode::SUCCESS } else { ExitCode::from(FAILED) }
+}
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs by tracing, bounded under a flood.
+//! Logging to standard error, bounded under a flood of lines.
 
 use std::io::{self, IsTerminal, Write};
 use std::sync::Mutex;
@@ -6,87 +6,97 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines a second, and lines that may come at once; further ones are dropped and counted.
-const LINES: (f64, f64) = (200.0, 1000.0);
+/// Log lines a second; further ones are dropped and counted.
+const LINES_PER_SECOND: f64 = 200.0;
+/// Log lines that may be written at once.
+const BURST_LINES: f64 = 1000.0;
+/// The filter where RUST_LOG has none.
+const DEFAULT_FILTER: &str = "warn,weirusher_node=info";
 
-/// Standard error behind a token bucket: what fails thousands of times a second must not fill a disk.
-struct Bounded {
-    state: Mutex<State>,
-}
-
-struct State {
+/// A token bucket of log lines: what fails thousands of times a second must not fill a disk.
+struct LineBudget {
     level: f64,
-    at: Instant,
+    refilled: Instant,
     dropped: u64,
 }
 
-/// One line's writer: standard error, or nothing.
-enum Out {
-    Pass,
+/// Whether a line may be written.
+#[derive(Debug, PartialEq, Eq)]
+enum Decision {
+    /// It may, and so many lines were dropped before it.
+    Write {
+        dropped_before: u64,
+    },
     Drop,
 }
 
-impl Write for Out {
-    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        match self {
-            Self::Pass => io::stderr().write(bytes),
-            Self::Drop => Ok(bytes.len()),
-        }
+impl LineBudget {
+    fn new() -> Self {
+        Self { level: BURST_LINES, refilled: Instant::now(), dropped: 0 }
     }
 
-    fn flush(&mut self) -> io::Result<()> {
-        io::stderr().flush()
-    }
-}
-
-impl State {
-    fn take(&mut self) -> (bool, u64) {
+    fn take(&mut self) -> Decision {
         let now = Instant::now();
-        self.level = (self.level + now.duration_since(self.at).as_secs_f64() * LINES.0).min(LINES.1);
-        self.at = now;
+        let refill = now.duration_since(self.refilled).as_secs_f64() * LINES_PER_SECOND;
+        self.level = (self.level + refill).min(BURST_LINES);
+        self.refilled = now;
         if self.level < 1.0 {
             self.dropped += 1;
-            return (false, 0);
+            return Decision::Drop;
         }
         self.level -= 1.0;
-        (true, std::mem::take(&mut self.dropped))
+        Decision::Write { dropped_before: std::mem::take(&mut self.dropped) }
+    }
+}
+
+/// Makes the writer of each log line.
+struct BoundedStderr(Mutex<LineBudget>);
+
+/// The writer of one line.
+enum LineWriter {
+    Stderr,
+    Discard,
+}
+
+impl Write for LineWriter {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        match self {
+            Self::Stderr => io::stderr().write(bytes),
+            Self::Discard => Ok(bytes.len()),
+        }
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        io::stderr().flush()
     }
 }
 
-impl<'a> MakeWriter<'a> for Bounded {
-    type Writer = Out;
+impl<'a> MakeWriter<'a> for BoundedStderr {
+    type Writer = LineWriter;
 
-    fn make_writer(&'a self) -> Out {
-        let (pass, dropped) = self.state.lock().expect("no holder panics").take();
-        if dropped > 0 {
-            let _ = writeln!(io::stderr(), "{dropped} log lines were dropped"); // Nowhere else to say it.
+    fn make_writer(&'a self) -> LineWriter {
+        match self.0.lock().expect("no holder panics").take() {
+            Decision::Drop => LineWriter::Discard,
+            Decision::Write { dropped_before } => {
+                if dropped_before > 0 {
+                    // There is nowhere else to report a failure.
+                    let _ = writeln!(io::stderr(), "{dropped_before} log lines were dropped");
+                }
+                LineWriter::Stderr
+            }
         }
-        if pass { Out::Pass } else { Out::Drop }
     }
 }
 
-/// Starts logging to standard error.
+/// Starts logging, as text or as JSON.
 pub fn start(json: bool) {
-    let state = State { level: LINES.1, at: Instant::now(), dropped: 0 };
-    let filter =
-        EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("warn,weirusher_node=info"));
+    let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(io::stderr().is_terminal())
-        .with_writer(Bounded { state: Mutex::new(state) });
+        .with_writer(BoundedStderr(Mutex::new(LineBudget::new())));
     if json { builder.json().init() } else { builder.init() }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_flood_is_dropped_and_counted() {
-        let mut state =
-            State { level: 2.0, at: Instant::now() + std::time::Duration::from_secs(3600), dropped: 0 };
-        let taken: Vec<bool> = (0..5).map(|_| state.take().0).collect();
-        assert_eq!(taken.iter().filter(|t| **t).count(), 2);
-        assert_eq!(state.dropped, 3);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/cli/src/output.rs
@@ -0,0 +1,18 @@
+//! What commands print beside their log.
+
+use crate::error::CommandError;
+use std::io::Write;
+
+/// Prints one line of JSON to standard output, for the program that started this one.
+pub fn print_json(value: &serde_json::Value) {
+    let mut out = std::io::stdout().lock();
+    let _ = writeln!(out, "{value}").and_then(|()| out.flush()); // Nobody may be reading any more.
+}
+
+/// Prints why the command failed to standard error.
+pub fn report_error(error: &CommandError) {
+    if let CommandError::Config { listing, .. } = error {
+        eprint!("{listing}");
+    }
+    eprintln!("weirusher: {error}");
+}
--- a/crates/cli/tests/kept_list.rs
+++ b/crates/cli/tests/kept_list.rs
@@ -1,9 +1,10 @@
 //! The file in which `weirusher run` keeps its last list: a folder that takes nothing for a while, and kills at each step
 //! of a write. At the next start the last whole list is read, or the file is passed over with a warning that names it.
 
-mod common;
+#[path = "support/process.rs"]
+mod process;
 
-use common::ended;
+use process::ended;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/cli/tests/node/backends.rs
+++ b/crates/cli/tests/node/backends.rs
@@ -59,7 +59,7 @@
 
 #[tokio::test]
 async fn an_answer_that_breaks_off_serves_nobody() {
-    spoilt(|_| Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal".into())).await;
+    spoilt(|_| Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal".into())).await;
 }
 
 /// An answer whose end is that of its connection.
@@ -69,14 +69,14 @@
 
 #[tokio::test]
 async fn an_answer_without_a_length_that_is_reset_serves_nobody() {
-    spoilt(|request| Reply::Reset(without_a_length(request).into())).await;
+    spoilt(|request| Reply::BytesThenReset(without_a_length(request).into())).await;
 }
 
 #[tokio::test]
 async fn an_answer_without_a_length_is_whole_as_its_connection_ends() {
     let site = Site::start(1).await;
     let mut client = site.client().await;
-    site.workers[0].set_script(|request| Reply::Last(without_a_length(request).into()));
+    site.workers[0].set_script(|request| Reply::BytesThenClose(without_a_length(request).into()));
     for n in 1..=3 {
         let id = id();
         assert_eq!(client.ask(&store(&id, "x")).await.unwrap().2, format!("done {id}"));
@@ -153,7 +153,7 @@
 async fn a_second_answer_some_milliseconds_late_serves_nobody() {
     let site = Site::start(1).await;
     site.workers[0].set_script(|request| match echo(request) {
-        Reply::Bytes(bytes) => Reply::Twice(Duration::from_millis(5), bytes),
+        Reply::Bytes(bytes) => Reply::Duplicate(Duration::from_millis(5), bytes),
         other => other,
     });
     let mut client = site.client().await;
@@ -189,10 +189,10 @@
         client.send(&request(&id(), "iso", 9000)).await;
         clients.push(client);
     }
-    site.workers[0].wait_for(1).await;
+    site.workers[0].wait_for_requests(1).await;
     let own = site.workers[0].address;
-    site.discovery.tell(3, list(3, &[("s-0", own, "SERVING"), ("s-late", address, "DRAINING")]));
-    site.discovery.taken(3).await;
+    site.discovery.set_list(3, list(3, &[("s-0", own, "SERVING"), ("s-late", address, "DRAINING")]));
+    site.discovery.wait_until_list_received(3).await;
     // From here on its connections come up, some when they are tried again.
     let before = waiting.len();
     drop(waiting);
@@ -208,7 +208,7 @@
     for mut client in clients {
         assert_eq!(client.answer().await.unwrap().0, 200);
     }
-    assert_eq!(site.workers[0].came().len(), 2, "each at the one that stays");
+    assert_eq!(site.workers[0].received().len(), 2, "each at the one that stays");
     assert!(!came.is_finished(), "nothing came at the one that leaves");
 }
 
@@ -225,8 +225,8 @@
     for _ in 0..60 {
         assert_eq!(client.ask(&request(&id(), "iso", 9000)).await.unwrap().0, 200);
     }
-    site.discovery.tell(3, list(3, &[("s-0", own, "SERVING"), ("s-late", address, "SERVING")]));
-    site.discovery.taken(3).await;
+    site.discovery.set_list(3, list(3, &[("s-0", own, "SERVING"), ("s-late", address, "SERVING")]));
+    site.discovery.wait_until_list_received(3).await;
     site.workers[0].set_script(slow(300));
     // Of several at once some are for the late worker, and a second copy of each is answered by the other.
     let mut clients = Vec::new();
@@ -251,8 +251,8 @@
         }
     };
     let up = tokio::time::timeout(LIMIT, come_up).await.expect("a connection of the gateway");
-    site.discovery.tell(4, list(4, &[("s-0", own, "DRAINING"), ("s-late", address, "SERVING")]));
-    site.discovery.taken(4).await;
+    site.discovery.set_list(4, list(4, &[("s-0", own, "DRAINING"), ("s-late", address, "SERVING")]));
+    site.discovery.wait_until_list_received(4).await;
     client.send(&request(&id(), "iso", 9000)).await;
     // The first that comes on it, or on any later one, is of the next request.
     let mut reads = tokio::task::JoinSet::new();
@@ -298,10 +298,10 @@
     let (paid, mut client) = (id(), site.client().await);
     let sent = std::time::Instant::now();
     client.send(&store(&paid, "x").replace("X-Qos: store", "X-Qos: pay").replace("3000m", "20000m")).await;
-    site.workers[0].wait_for(1).await;
+    site.workers[0].wait_for_requests(1).await;
     let own = site.workers[0].address;
-    site.discovery.tell(3, list(3, &[("s-0", own, "SERVING"), ("s-late", address, "SERVING")]));
-    site.discovery.taken(3).await;
+    site.discovery.set_list(3, list(3, &[("s-0", own, "SERVING"), ("s-late", address, "SERVING")]));
+    site.discovery.wait_until_list_received(3).await;
     open.send(true).unwrap();
     assert!(sent.elapsed().as_secs_f64() < WINDOW, "the repeat is decided on within its window");
     tokio::time::sleep(Duration::from_secs_f64(WINDOW)).await;
@@ -341,18 +341,18 @@
     let (open, gate) = watch::channel(false);
     site.counter.set_script(move |_| {
         let whole = frame(200, "", "1");
-        Reply::Parts(whole.slice(..12), gate.clone(), whole.slice(12..))
+        Reply::GatedRest(whole.slice(..12), gate.clone(), whole.slice(12..))
     });
     let mut client = site.client().await;
     assert_eq!(client.ask(&request(&id(), "iso", 20_000)).await.unwrap().0, 200);
-    site.counter.wait_for(1).await;
+    site.counter.wait_for_requests(1).await;
     // Past its limit, and well within the one more that an answer gets that has begun.
     tokio::time::sleep(limit * 5 / 4).await;
     open.send(true).unwrap();
     // One call of a customer is out at a time: the second shows that the first has ended.
-    while site.counter.came().len() < 2 {
+    while site.counter.received().len() < 2 {
         assert_eq!(client.ask(&request(&id(), "iso", 20_000)).await.unwrap().0, 200);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(site.counter.came()[1].connection, 1, "its line was kept");
+    assert_eq!(site.counter.received()[1].connection, 1, "its line was kept");
 }
--- a/crates/cli/tests/node/clients.rs
+++ b/crates/cli/tests/node/clients.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
-use weirusher_fakes::{Reply, Scripted, frame};
+use weirusher_fakes::{Reply, ScriptedServer, frame};
 
 #[tokio::test]
 async fn a_request_passes_unchanged_and_its_own_answer_comes_back() {
@@ -19,7 +19,7 @@
     }
     let id = id();
     assert_eq!(client.ask(&store(&id, "essay")).await.unwrap().0, 200);
-    let came: Vec<_> = site.workers.iter().flat_map(Scripted::came).collect();
+    let came: Vec<_> = site.workers.iter().flat_map(ScriptedServer::received).collect();
     let stored = came.iter().find(|c| c.request.headers.get("x-trace-id") == Some(&id)).unwrap();
     assert_eq!((&*stored.request.method, &*stored.request.body), ("POST", &b"essay"[..]));
     assert!(
@@ -27,7 +27,7 @@
             .filter(|c| c.request.method == "GET")
             .all(|c| c.request.path == "/api/00000000b4d65521?a=b")
     );
-    let connections: u64 = site.workers.iter().map(Scripted::connections).sum();
+    let connections: u64 = site.workers.iter().map(ScriptedServer::connections).sum();
     assert!(connections <= 2, "pooled: {connections}");
 }
 
@@ -47,7 +47,7 @@
         }
         assert_eq!(client.answer().await.unwrap().2, format!("done {id}"));
         assert_eq!(client.answer().await.unwrap().0, 200);
-        let came: Vec<_> = site.workers[0].came();
+        let came: Vec<_> = site.workers[0].received();
         let stored = came.iter().find(|c| c.request.headers.get("x-trace-id") == Some(&id)).unwrap();
         assert_eq!(&*stored.request.body, b"essay");
     }
@@ -90,7 +90,7 @@
         let (status, _, body) = client.ask(&text).await.unwrap();
         assert_eq!((status, body.len()), (200, long.len() + 1));
     }
-    assert!(site.workers[0].came().iter().all(|came| came.request.body == long));
+    assert!(site.workers[0].received().iter().all(|came| came.request.body == long));
 }
 
 #[tokio::test]
@@ -112,7 +112,7 @@
         client.send(&store(&id(), &"x".repeat(1 << 20))).await;
         tokio::select! {
             answer = client.answer() => break answer.unwrap(),
-            () = site.workers[0].wait_for(clients.len() + 1) => clients.push(client),
+            () = site.workers[0].wait_for_requests(clients.len() + 1) => clients.push(client),
         }
     };
     assert_eq!((refused.0, clients.len()), (503, 3));
@@ -166,7 +166,7 @@
     let id = id();
     let mut first = site.client().await;
     first.send(&request(&id, "iso", 3000)).await;
-    site.workers[0].wait_for(1).await;
+    site.workers[0].wait_for_requests(1).await;
     assert_eq!(site.client().await.ask(&request(&id, "iso", 3000)).await.unwrap().0, 409);
     assert_eq!(first.answer().await.unwrap().2, format!("done {id}"));
     assert_eq!(site.tries(&id), 1);
@@ -238,8 +238,8 @@
 async fn sent(site: &Site) {
     let [one, other] = &site.workers[..] else { panic!("two workers") };
     tokio::select! {
-        () = one.wait_for(1) => {}
-        () = other.wait_for(1) => {}
+        () = one.wait_for_requests(1) => {}
+        () = other.wait_for_requests(1) => {}
     }
 }
 
@@ -336,7 +336,7 @@
     assert_eq!(client.answer().await, None, "nothing is owed to one that has gone");
     let (stays, mut other) = (id(), site.client().await);
     other.send(&request(&stays, "iso", 200_000)).await;
-    site.counter.wait_for(1).await;
+    site.counter.wait_for_requests(1).await;
     open.send(true).unwrap();
     assert_eq!(other.answer().await.unwrap().2, format!("done {stays}"));
     assert_eq!(site.tries(&gone), 0);
--- a/crates/cli/tests/node/clocks.rs
+++ b/crates/cli/tests/node/clocks.rs
@@ -1,7 +1,8 @@
 //! Wall clocks that are stepped: the gateway's own, and those that a list's times were read from. Slow start goes by what
 //! was notified when, on the monotonic clock.
 
-use crate::common::{STOP_WITHIN, configuration, ended};
+use crate::platform::{STOP_WITHIN, configuration};
+use crate::process::ended;
 use crate::support::*;
 use nix::sys::signal::Signal;
 use serde_json::Value;
@@ -49,7 +50,7 @@
 
 /// Clients ask for a while; the share that came to the last server.
 async fn share_of_the_last(site: &Site, seconds: f64) -> f64 {
-    let counts = || site.workers.iter().map(|worker| worker.came().len()).collect::<Vec<_>>();
+    let counts = || site.workers.iter().map(|worker| worker.received().len()).collect::<Vec<_>>();
     let before = counts();
     let end = Instant::now() + Duration::from_secs_f64(seconds);
     let ask = async || {
@@ -76,8 +77,8 @@
 async fn three_of_four(shim: &FaultShim) -> Site {
     let site = Site::shimmed(4, shim, slow_start).await;
     take_time(&site);
-    site.discovery.tell(3, started(&site, 3, &[0, 0, 0]));
-    site.discovery.taken(3).await;
+    site.discovery.set_list(3, started(&site, 3, &[0, 0, 0]));
+    site.discovery.wait_until_list_received(3).await;
     share_of_the_last(&site, 1.0).await;
     site
 }
@@ -90,8 +91,8 @@
         shim.set_clock_offset(at_start * SECOND);
         let site = three_of_four(&shim).await;
         shim.set_clock_offset((at_start + step) * SECOND);
-        site.discovery.tell(4, started(&site, 4, &[0, 0, 0, now_ms(0)]));
-        site.discovery.taken(4).await;
+        site.discovery.set_list(4, started(&site, 4, &[0, 0, 0, now_ms(0)]));
+        site.discovery.wait_until_list_received(4).await;
         let share = share_of_the_last(&site, MEASURED).await;
         assert!(
             share <= MOST,
@@ -105,8 +106,8 @@
     for offset in [-3600, -5, 5, 3600] {
         let shim = FaultShim::new().unwrap();
         let site = three_of_four(&shim).await;
-        site.discovery.tell(4, started(&site, 4, &[0, 0, 0, now_ms(offset)]));
-        site.discovery.taken(4).await;
+        site.discovery.set_list(4, started(&site, 4, &[0, 0, 0, now_ms(offset)]));
+        site.discovery.wait_until_list_received(4).await;
         let share = share_of_the_last(&site, MEASURED).await;
         assert!(share <= MOST, "{share:.3} with its start read {offset} s off");
     }
@@ -120,8 +121,8 @@
         take_time(&site);
         let warm = share_of_the_last(&site, 1.0).await;
         assert!(warm > MOST, "{warm:.3}: it runs for a minute or longer");
-        site.discovery.tell(3, started(&site, 3, &[0, 0, 0, now_ms(now)]));
-        site.discovery.taken(3).await;
+        site.discovery.set_list(3, started(&site, 3, &[0, 0, 0, now_ms(now)]));
+        site.discovery.wait_until_list_received(3).await;
         let share = share_of_the_last(&site, MEASURED).await;
         assert!(share <= MOST, "{share:.3} after a start {before} s and then {now} s from now");
     }
@@ -133,11 +134,11 @@
     let quick = |text| slow_start(text).replace(r#""Cold":12.0"#, r#""Cold":1.0"#);
     let site = Site::shimmed(4, &shim, quick).await;
     take_time(&site);
-    site.discovery.tell(3, started(&site, 3, &[0, 0, 0]));
-    site.discovery.taken(3).await;
+    site.discovery.set_list(3, started(&site, 3, &[0, 0, 0]));
+    site.discovery.wait_until_list_received(3).await;
     share_of_the_last(&site, 1.0).await;
-    site.discovery.tell(4, started(&site, 4, &[0, 0, 0, now_ms(3600)]));
-    site.discovery.taken(4).await;
+    site.discovery.set_list(4, started(&site, 4, &[0, 0, 0, now_ms(3600)]));
+    site.discovery.wait_until_list_received(4).await;
     share_of_the_last(&site, 1.2).await;
     let share = share_of_the_last(&site, 1.0).await;
     assert!(share > 0.15, "{share:.3} once it is warm");
--- a/crates/cli/tests/node/ends.rs
+++ b/crates/cli/tests/node/ends.rs
@@ -1,6 +1,6 @@
 //! The gateway's own end.
 
-use crate::common::ended;
+use crate::process::ended;
 use crate::support::*;
 use std::time::Duration;
 use weirusher_fakes::Reply;
@@ -70,7 +70,7 @@
     let mut site = Site::start(2).await;
     let mut idle = site.client().await;
     assert_eq!(idle.ask(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
-    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::Silence));
+    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::NoReply));
     let patience = 1500;
     let mut clients = Vec::new();
     for nth in 0..4 {
@@ -99,7 +99,7 @@
 #[tokio::test]
 async fn told_to_stop_before_it_is_ready_it_answers_what_it_took_and_ends() {
     let (mut site, silent) = Site::without_a_list().await;
-    silent.wait_for(1).await;
+    silent.wait_for_requests(1).await;
     let mut front = site.client().await;
     assert_eq!(front.ask(READY).await.unwrap().0, 503);
     let mut client = site.client().await;
--- a/crates/cli/tests/node/held_up.rs
+++ b/crates/cli/tests/node/held_up.rs
@@ -34,7 +34,7 @@
     };
     let shim = FaultShim::new().unwrap();
     let site = Site::shimmed(2, &shim, keyed).await;
-    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::Silence));
+    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::NoReply));
     let (id, mut client) = (id(), site.client().await);
     client.send(&store(&id, "x").replace("X-Qos: store", "X-Qos: pay").replace("3000m", "4000m")).await;
     while site.tries(&id) == 0 {
@@ -42,8 +42,8 @@
     }
     let held_up = held_up_before_sending(&shim, &site);
     assert!(client.answer().await.expect("a whole response").0 >= 400);
-    let came = site.workers.iter().flat_map(|worker| worker.came());
-    let mut arrived: Vec<Instant> = came.map(|came| came.at).collect();
+    let came = site.workers.iter().flat_map(|worker| worker.received());
+    let mut arrived: Vec<Instant> = came.map(|came| came.received_at).collect();
     arrived.sort();
     let last = (*arrived.last().unwrap() - arrived[0]).as_secs_f64();
     (held_up.into_iter().map(|fault| shim.end(fault)).sum(), last)
@@ -68,11 +68,11 @@
         client.send(&store(&id, "x")).await;
         let sent = Instant::now();
         assert_eq!(client.answer().await.expect("a whole response").0, 200);
-        let came = site.workers.iter().flat_map(|worker| worker.came());
+        let came = site.workers.iter().flat_map(|worker| worker.received());
         let attempt =
             came.into_iter().find(|came| came.request.headers.get("x-trace-id") == Some(&id)).unwrap();
         let told = attempt.request.headers.get("x-expires-in").unwrap().trim_end_matches('u').to_string();
-        let left = 3.0 - (attempt.at - sent).as_secs_f64();
+        let left = 3.0 - (attempt.received_at - sent).as_secs_f64();
         let told = told.parse::<f64>().unwrap() / 1e6;
         assert!(told <= left + 0.15, "told {told:.3} s with {left:.3} left");
     }
@@ -97,12 +97,13 @@
     };
     let drain = async {
         tokio::time::sleep(Duration::from_millis(700)).await;
-        site.discovery.tell(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
+        site.discovery
+            .set_list(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
         Instant::now()
     };
     let (told, _) = tokio::join!(drain, futures::future::join_all((0..6).map(|_| ask())));
     assert!(held_up.into_iter().map(|fault| shim.end(fault)).sum::<u64>() > 5);
-    let came = site.workers[0].came();
-    let last = came.last().unwrap().at.saturating_duration_since(told).as_secs_f64();
+    let came = site.workers[0].received();
+    let last = came.last().unwrap().received_at.saturating_duration_since(told).as_secs_f64();
     assert!(came.len() > 1 && last <= grace + SLACK, "{last:.3} s after it was told");
 }
--- a/crates/cli/tests/node/limits.rs
+++ b/crates/cli/tests/node/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the platform: descriptors, one process, what the deploy file starts.
 
-use crate::common::STOP_WITHIN;
+use crate::platform::STOP_WITHIN;
 use crate::support::*;
 use object::Endianness;
 use object::elf::DT_NEEDED;
@@ -36,7 +36,7 @@
 #[tokio::test]
 async fn idle_clients_fill_the_descriptors_while_discovery_is_down_and_its_news_are_kept() {
     let site = Site::with(2, 64, &[]).await;
-    site.discovery.fall_silent();
+    site.discovery.stop_answering();
     let idle = idle_clients(&site, 34).await;
     // No descriptor is missing for the calls that are made anew, nor for whoever asks meanwhile.
     let last = last_at_a_leaving_worker(&site, &site.discovery).await;
@@ -50,7 +50,7 @@
     let site = Site::with(2, limit, &[]).await;
     let process = procfs::process::Process::new(site.child.id() as i32).unwrap();
     let taken = || process.fd_count().unwrap();
-    site.discovery.fall_silent();
+    site.discovery.stop_answering();
     let mut idle = Vec::new();
     for _ in 0..4 {
         idle.extend(idle_clients(&site, 4).await);
--- a/crates/cli/tests/node/main.rs
+++ b/crates/cli/tests/node/main.rs
@@ -1,8 +1,9 @@
-//! The gateway on the platform as a real process between scripted parties; judged from what passed on the
-//! sockets.
+//! The gateway on the platform as a process between scripted servers; judged from what passed on the sockets.
 
-#[path = "../common/mod.rs"]
-mod common;
+#[path = "../support/platform.rs"]
+mod platform;
+#[path = "../support/process.rs"]
+mod process;
 
 mod backends;
 mod clients;
--- a/crates/cli/tests/node/quiet.rs
+++ b/crates/cli/tests/node/quiet.rs
@@ -1,14 +1,14 @@
 //! Trouble behind a long quiet time, connections that their servers end meanwhile, configurations in a row, and clients
 //! that go as a hedged request is about to begin.
 
-use crate::common::{STOP_WITHIN, configuration};
+use crate::platform::{STOP_WITHIN, configuration};
 use crate::support::*;
 use nix::sys::signal::Signal;
 use std::collections::HashSet;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
-use weirusher_fakes::{Agent, Link, Reply, Scripted, counting};
+use weirusher_fakes::{DiscoveryAgent, Link, Reply, ScriptedServer, counting};
 
 /// Longer than an idle client may stay.
 const LONG: Duration = Duration::from_millis(20_500);
@@ -50,8 +50,8 @@
         let site = Site::start(2).await;
         site.workers.iter().for_each(|worker| {
             worker.set_script(move |request| match echo(request) {
-                Reply::Bytes(bytes) if resets => Reply::Reset(bytes),
-                Reply::Bytes(bytes) => Reply::Last(bytes),
+                Reply::Bytes(bytes) if resets => Reply::BytesThenReset(bytes),
+                Reply::Bytes(bytes) => Reply::BytesThenClose(bytes),
                 other => other,
             });
         });
@@ -79,7 +79,7 @@
     for is_unsafe in [false, true] {
         let mut backends = Vec::new();
         for _ in 0..2 {
-            let backend = Scripted::start(ANYWHERE, slow(30)).await.unwrap();
+            let backend = ScriptedServer::start(ANYWHERE, slow(30)).await.unwrap();
             let link = Link::start(Some(backend.address)).await.unwrap();
             backends.push((backend, link));
         }
@@ -99,7 +99,7 @@
         assert_eq!(statuses(&together(2).await), [200; 2]);
         tokio::time::sleep(RESTED).await;
         let pooled: u64 = backends.iter().map(|(backend, _)| backend.connections()).sum();
-        backends.iter().for_each(|(_, link)| link.forget());
+        backends.iter().for_each(|(_, link)| link.blackhole());
         // Each forgotten connection takes one attempt with it at most; a new one serves.
         let mut failed = 0;
         while failed <= pooled {
@@ -116,7 +116,7 @@
             later += u64::from(statuses(&together(1).await) != [200]);
         }
         assert!(failed + later <= pooled, "{failed} and {later} requests failed behind {pooled} connections");
-        let came: Vec<_> = backends.iter().flat_map(|(backend, _)| backend.came()).collect();
+        let came: Vec<_> = backends.iter().flat_map(|(backend, _)| backend.received()).collect();
         let mut seen = HashSet::new();
         for came in came {
             let id = came.request.headers.get("x-trace-id").unwrap().to_string();
@@ -129,10 +129,10 @@
 async fn configurations_in_a_row_end_with_the_last_one() {
     let site = Site::start(2).await;
     let entries = [("s-0", site.workers[0].address, "SERVING"), ("s-1", site.workers[1].address, "SERVING")];
-    let other = Agent::start(ANYWHERE, 2, list(2, &entries)).await.unwrap();
+    let other = DiscoveryAgent::start(ANYWHERE, 2, list(2, &entries)).await.unwrap();
     // One count, at two addresses.
     let count = Arc::new(counting());
-    let counter = Scripted::start(ANYWHERE, {
+    let counter = ScriptedServer::start(ANYWHERE, {
         let count = count.clone();
         move |request| count(request)
     })
@@ -154,7 +154,7 @@
     }
     site.reload(there).await;
     // The first discovery falls silent: the other one is heard of all the same.
-    site.discovery.fall_silent();
+    site.discovery.stop_answering();
     let last = last_at_a_leaving_worker(&site, &other).await;
     assert!(last <= STOP_WITHIN, "{last} s after it was told");
     // No connection is left at the addresses before but those whose calls were out.
@@ -164,7 +164,7 @@
 #[tokio::test]
 async fn a_client_that_goes_as_a_hedged_request_is_about_to_begin_is_not_worked_for() {
     let site = Site::start(2).await;
-    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::Silence));
+    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::NoReply));
     let go = async |before: u64, how: usize| {
         let (id, mut client) = (id(), site.client().await);
         client.send(&request(&id, "iso", 3000)).await;
@@ -186,9 +186,9 @@
         let gone = futures::future::join_all((0..3).map(|how| go(before, how))).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         for (id, gone) in gone {
-            let came: Vec<_> = site.workers.iter().flat_map(Scripted::came).collect();
+            let came: Vec<_> = site.workers.iter().flat_map(ScriptedServer::received).collect();
             let mine = came.iter().filter(|came| came.request.headers.get("x-trace-id") == Some(&id));
-            let late = mine.clone().filter(|came| came.at > gone + GONE).count();
+            let late = mine.clone().filter(|came| came.received_at > gone + GONE).count();
             assert_eq!(late, 0, "{before} ms before");
             hedged += mine.count() - 1;
         }
--- a/crates/cli/tests/node/shutdown.rs
+++ b/crates/cli/tests/node/shutdown.rs
@@ -35,7 +35,7 @@
 }
 
 fn hang(site: &Site) {
-    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::Silence));
+    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::NoReply));
 }
 
 /// A request of a class that must not be repeated, whose client waits for `seconds`.
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -1,6 +1,6 @@
 //! A gateway as a process between scripted parties, and its clients.
 
-use crate::common::{STOP_WITHIN, configuration};
+use crate::platform::{STOP_WITHIN, configuration};
 use serde_json::json;
 use std::ffi::OsString;
 use std::io::ErrorKind;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use weirusher_fakes::{Agent, Reply, Scripted, counting};
+use weirusher_fakes::{DiscoveryAgent, Reply, ScriptedServer, counting};
 use weirusher_fault_shim::FaultShim;
 use weirusher_wire::http1::Request;
 
@@ -35,9 +35,9 @@
 pub struct Site {
     pub child: Child,
     pub listen: SocketAddr,
-    pub workers: Vec<Scripted>,
-    pub counter: Scripted,
-    pub discovery: Agent,
+    pub workers: Vec<ScriptedServer>,
+    pub counter: ScriptedServer,
+    pub discovery: DiscoveryAgent,
     pub file: PathBuf,
     _dir: tempfile::TempDir,
 }
@@ -57,7 +57,7 @@
 /// The usual answer after so many milliseconds.
 pub fn slow(millis: u64) -> impl Fn(&Request) -> Reply + Send + Sync + 'static {
     move |request| match echo(request) {
-        Reply::Bytes(bytes) => Reply::After(Duration::from_millis(millis), bytes),
+        Reply::Bytes(bytes) => Reply::Delayed(Duration::from_millis(millis), bytes),
         other => other,
     }
 }
@@ -139,14 +139,15 @@
     ) -> Self {
         let mut started = Vec::new();
         for _ in 0..workers {
-            started.push(Scripted::start(ANYWHERE, echo).await.unwrap());
+            started.push(ScriptedServer::start(ANYWHERE, echo).await.unwrap());
         }
         let names: Vec<String> = (0..workers).map(|n| format!("s-{n}")).collect();
         let own = names.iter().map(String::as_str).zip(started.iter().map(|w| w.address));
         let entries: Vec<_> =
             own.chain(others.iter().copied()).map(|(name, address)| (name, address, "SERVING")).collect();
-        let discovery = Agent::start(ANYWHERE, 2, with_starts(&list(2, &entries), starts)).await.unwrap();
-        let counter = Scripted::start(ANYWHERE, counting()).await.unwrap();
+        let discovery =
+            DiscoveryAgent::start(ANYWHERE, 2, with_starts(&list(2, &entries), starts)).await.unwrap();
+        let counter = ScriptedServer::start(ANYWHERE, counting()).await.unwrap();
         // Taken from the kernel and given back, at an address of this site alone: nobody else binds there.
         let listen = tokio::net::TcpListener::bind(own_address()).await.unwrap().local_addr().unwrap();
         let dir = tempfile::tempdir().unwrap();
@@ -166,8 +167,8 @@
     }
 
     /// A gateway without a known list, whose discovery is there and says nothing so far; not waited for.
-    pub async fn without_a_list() -> (Self, Scripted) {
-        let silent = Scripted::start(ANYWHERE, |_| Reply::Silence).await.unwrap();
+    pub async fn without_a_list() -> (Self, ScriptedServer) {
+        let silent = ScriptedServer::start(ANYWHERE, |_| Reply::NoReply).await.unwrap();
         let change = |text: String| {
             let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
             config["discovery"] = silent.address.to_string().into();
@@ -191,13 +192,13 @@
                 };
                 client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await;
                 // Its first list may still be on the way.
-                if client.answer().await.unwrap().0 == 200 && !self.discovery.came().is_empty() {
+                if client.answer().await.unwrap().0 == 200 && !self.discovery.received().is_empty() {
                     return;
                 }
             }
         };
         tokio::time::timeout(LIMIT, ready).await.unwrap();
-        self.discovery.taken(2).await;
+        self.discovery.wait_until_list_received(2).await;
     }
 
     pub async fn client(&self) -> Client {
@@ -230,7 +231,7 @@
 
     /// What of the workers' requests carried this id.
     pub fn tries(&self, id: &str) -> usize {
-        let came = self.workers.iter().flat_map(Scripted::came);
+        let came = self.workers.iter().flat_map(ScriptedServer::received);
         came.filter(|came| came.request.headers.get("x-trace-id") == Some(id)).count()
     }
 }
@@ -319,15 +320,18 @@
 
 /// Asks again and again while the agent tells that `s-0` leaves, which counts from `told` on, and gives the seconds
 /// after that in which the last request came to it.
-pub async fn last_at_a_leaving_worker(site: &Site, agent: &Agent) -> f64 {
+pub async fn last_at_a_leaving_worker(site: &Site, agent: &DiscoveryAgent) -> f64 {
     let serving: Vec<_> = site.workers.iter().map(|worker| worker.address).collect();
-    agent.tell(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
-    agent.come_back();
+    agent.set_list(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
+    agent.resume_answering();
     let told = std::time::Instant::now();
     let mut client = site.client().await;
     while told.elapsed().as_secs_f64() < 3.5 * STOP_WITHIN {
         assert_eq!(client.ask(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    site.workers[0].came().last().map_or(0.0, |last| last.at.saturating_duration_since(told).as_secs_f64())
+    site.workers[0]
+        .received()
+        .last()
+        .map_or(0.0, |last| last.received_at.saturating_duration_since(told).as_secs_f64())
 }
--- a/crates/cli/tests/node/system_calls.rs
+++ b/crates/cli/tests/node/system_calls.rs
@@ -34,11 +34,14 @@
         all_served(&site, 10).await;
         // A list that comes meanwhile is read, and the next one asked for.
         let serving: Vec<_> = site.workers.iter().map(|worker| worker.address).collect();
-        site.discovery.tell(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
-        tokio::time::timeout(LIMIT, site.discovery.taken(3)).await.expect("the list is read");
-        let before = site.workers[0].came().len();
+        site.discovery
+            .set_list(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
+        tokio::time::timeout(LIMIT, site.discovery.wait_until_list_received(3))
+            .await
+            .expect("the list is read");
+        let before = site.workers[0].received().len();
         all_served(&site, 4).await;
-        assert_eq!(site.workers[0].came().len(), before, "nothing new at one that leaves");
+        assert_eq!(site.workers[0].received().len(), before, "nothing new at one that leaves");
         assert!(short.into_iter().all(|fault| shim.end(fault) > 100));
     }
 }
@@ -54,11 +57,11 @@
     tokio::time::sleep(Duration::from_millis(800)).await;
     assert!(shim.end(fails) > 0);
     assert_eq!(client.answer().await.expect("a whole response").0, 200);
-    let came = site.workers[0].came();
+    let came = site.workers[0].received();
     let attempt = came.iter().find(|came| came.request.headers.get("x-trace-id") == Some(&id)).unwrap();
     let told =
         attempt.request.headers.get("x-expires-in").unwrap().trim_end_matches('u').parse::<f64>().unwrap();
-    let left = 2.5 - (attempt.at - sent).as_secs_f64();
+    let left = 2.5 - (attempt.received_at - sent).as_secs_f64();
     assert!(told / 1e6 <= left + 0.15, "told {} s with {left:.3} left", told / 1e6);
 }
 
@@ -171,7 +174,7 @@
     if let Way::Connecting | Way::Anywhere = way {
         // Each attempt needs a connection of its own.
         let closing = |request: &Request| match echo(request) {
-            Reply::Bytes(bytes) => Reply::Last(bytes),
+            Reply::Bytes(bytes) => Reply::BytesThenClose(bytes),
             other => other,
         };
         site.workers.iter().for_each(|worker| worker.set_script(closing));
@@ -189,8 +192,8 @@
             faults.map(|fault| shim.inject(if few { fault.times(times) } else { fault })).collect();
         if let Way::Counter | Way::Discovery = way {
             // A connection that holds is not made anew: these parties end theirs.
-            site.counter.set_script(|_| Reply::Break);
-            site.discovery.fall_silent();
+            site.counter.set_script(|_| Reply::Close);
+            site.discovery.stop_answering();
         }
         if once {
             let hit = async {
@@ -205,7 +208,7 @@
         }
         let hit: u64 = faults.into_iter().map(|fault| shim.end(fault)).sum();
         site.counter.set_script(counting());
-        site.discovery.come_back();
+        site.discovery.resume_answering();
         assert!(hit > 0, "the fault was injected: {call:?} {errno:?} {way:?}");
         let busy = (cpu_seconds(&site) - cpu) / began.elapsed().as_secs_f64();
         // The system counts in hundredths of a second: a moment tells nothing.
@@ -265,7 +268,7 @@
         let dies = Action::Translate(Errno::ECONNRESET, errno);
         let to = |port: u16| shim.inject(Fault::new(Call::Receive, dies).to(port));
         let dying: Vec<_> = site.workers.iter().map(|worker| to(worker.address.port())).collect();
-        site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::Reset(Bytes::new())));
+        site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::BytesThenReset(Bytes::new())));
         let mut client = site.client().await;
         for _ in 0..3 {
             let (unsafe_id, began) = (id(), Instant::now());
@@ -276,7 +279,7 @@
         }
         // What may be repeated is, and the counter's connections may die too.
         let counter = to(site.counter.address.port());
-        site.counter.set_script(|_| Reply::Reset(Bytes::new()));
+        site.counter.set_script(|_| Reply::BytesThenReset(Bytes::new()));
         site.workers[1].set_script(echo);
         site.workers[2].set_script(echo);
         let (safe_id, customer) = (id(), "00000000b4d65999");
--- a/crates/cli/tests/run_process.rs
+++ b/crates/cli/tests/run_process.rs
@@ -1,16 +1,17 @@
 //! `weirusher run` as a process. Told to stop under load: each Check that was sent has its answer, or its edge is told in order that it
 //! was not processed (GOAWAY or REFUSED_STREAM, RFC 9113, 6.8 and 8.7), and may ask elsewhere.
 
-mod common;
+#[path = "support/process.rs"]
+mod process;
 
 use bytes::Bytes;
-use common::ended;
 use envoy_types::pb::envoy::service::auth::v3::attribute_context::{
     HttpRequest, Request as AttributeRequest,
 };
 use envoy_types::pb::envoy::service::auth::v3::{AttributeContext, CheckRequest};
 use h2::Reason;
 use h2::client::SendRequest;
+use process::ended;
 use prost::Message;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -1,7 +1,8 @@
-//! A checker: cores, service times, a cold start, and a door that asks for tickets.
+//! A fake backend: a number of cores, random service times, a slow start that can be overloaded, and admission by ticket.
 
+use crate::capture::{Admission, BackendState, CaptureEvent};
 use crate::connections;
-use crate::record::{Door, Fact, Recorder, ServerState};
+use crate::recorder::Recorder;
 use futures::{SinkExt, StreamExt};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,41 +15,51 @@
 use weirusher_core::{Anchor, Gate, Keyring, TurnedAway};
 use weirusher_wire::http1::{Request, Response, ServerCodec};
 
-/// Used tickets that a checker remembers.
-const MOST_TICKETS: usize = 100_000;
-/// Mean requests that a cold checker may be sent beside its budget: chance alone brings a few at once.
-pub const CHANCE: f64 = 3.0;
+/// Used tickets that a backend remembers.
+const MAX_USED_TICKETS: usize = 100_000;
+/// Mean requests that a backend in slow start bears beside its limit: random arrivals come in bunches.
+pub const ARRIVAL_ALLOWANCE: f64 = 3.0;
+/// Window of the arrivals that a warmed-up backend remembers, in seconds.
+const ARRIVAL_WINDOW_SECONDS: f64 = 1.0;
 
-/// A cold start and what it does not stand.
+/// A slow start, and the load that it does not bear.
 #[derive(Debug, Clone, Copy)]
-pub struct Cold {
-    /// Share of its capacity it starts with.
-    pub from: f64,
-    /// Seconds until it is warm.
-    pub seconds: f64,
-    /// It falls over when sent more than this multiple of what it can do ...
-    pub multiple: f64,
-    /// ... for this many seconds.
-    pub fall: f64,
+pub struct SlowStart {
+    /// Share of its full capacity that the backend starts with.
+    pub initial_share: f64,
+    /// Seconds until it has warmed up.
+    pub duration_seconds: f64,
+    /// It fails when it gets more than this multiple of its present capacity ...
+    pub overload_multiple: f64,
+    /// ... over a window of this many seconds.
+    pub overload_window_seconds: f64,
 }
 
-/// A checker's make.
+/// Capacity and admission of a backend.
 #[derive(Debug, Clone)]
 pub struct FakeBackendSpec {
-    /// Requests it works on at once.
+    /// Requests that it executes at once.
     pub cores: usize,
     /// Mean seconds of work for one unit.
-    pub service: f64,
-    /// Requests that may wait for a core; further ones are turned away unexamined.
-    pub queue: usize,
-    /// How it starts; `None`: warm, and it never falls.
-    pub cold: Option<Cold>,
-    /// Keys of tickets.
-    pub ring: Keyring,
-    /// The address that tickets name: where the edge connects, which may be a link.
-    pub me: String,
-    /// Header that carries the ticket, and that states units.
-    pub headers: [String; 2],
+    pub service_seconds: f64,
+    /// Requests that may wait for a core; further ones are rejected before their ticket is verified.
+    pub queue_limit: usize,
+    /// Its slow start; `None`: it starts with its full capacity, and never fails.
+    pub slow_start: Option<SlowStart>,
+    /// Keys that verify tickets.
+    pub keyring: Keyring,
+    /// The address that tickets name, where a link stands before the backend; empty: the one it listens on.
+    pub advertised_address: String,
+    /// Header that carries the ticket.
+    pub ticket_header: String,
+    /// Header that states the units of a request.
+    pub units_header: String,
+}
+
+/// Work that arrived at a moment, both in seconds.
+struct Arrival {
+    at_seconds: f64,
+    work_seconds: f64,
 }
 
 struct Shared {
@@ -56,16 +67,16 @@
     gate: Mutex<Gate>,
     cores: Semaphore,
     recorder: Recorder,
-    born: Instant,
+    started: Instant,
     anchor: Anchor,
-    /// Times and work of what was taken within the fall's span.
-    recent: Mutex<VecDeque<(f64, f64)>>,
-    slow: Mutex<f64>,
-    fell: tokio::sync::Notify,
+    /// Work that arrived within the overload window.
+    arrivals: Mutex<VecDeque<Arrival>>,
+    slowdown: Mutex<f64>,
+    overloaded: tokio::sync::Notify,
     rng: Mutex<fastrand::Rng>,
 }
 
-/// A checker's process. Dropped, it is killed: its connections break, its work is lost.
+/// A backend's process. Dropping it kills it: its connections break, its work is lost.
 pub struct FakeBackend {
     /// Where it listens.
     pub address: SocketAddr,
@@ -74,7 +85,7 @@
 }
 
 impl FakeBackend {
-    /// Starts a checker on `address`; port 0 chooses one.
+    /// Starts a backend on `address`; port 0 chooses one. `seed` draws its service times.
     ///
     /// # Errors
     /// It cannot listen.
@@ -86,21 +97,26 @@
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let me = if spec.me.is_empty() { address.to_string() } else { spec.me.clone() };
-        if spec.cold.is_some() {
-            recorder.note(Fact::Server { server: me.clone(), state: ServerState::Started });
+        let advertised_address = match spec.advertised_address.as_str() {
+            "" => address.to_string(),
+            advertised => advertised.to_string(),
+        };
+        if spec.slow_start.is_some() {
+            let (backend, state) = (advertised_address.clone(), BackendState::Started);
+            recorder.record(CaptureEvent::BackendChanged { backend, state });
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let gate = Gate::new(spec.keyring.clone(), advertised_address.clone(), MAX_USED_TICKETS);
         let shared = Arc::new(Shared {
-            gate: Mutex::new(Gate::new(spec.ring.clone(), me.clone(), MOST_TICKETS)),
+            gate: Mutex::new(gate),
             cores: Semaphore::new(spec.cores),
-            spec: FakeBackendSpec { me, ..spec },
+            spec: FakeBackendSpec { advertised_address, ..spec },
             recorder,
-            born: Instant::now(),
+            started: Instant::now(),
             anchor: Anchor::new(unix),
-            recent: Mutex::default(),
-            slow: Mutex::new(1.0),
-            fell: tokio::sync::Notify::new(),
+            arrivals: Mutex::default(),
+            slowdown: Mutex::new(1.0),
+            overloaded: tokio::sync::Notify::new(),
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
         });
         let mut tasks = JoinSet::new();
@@ -108,108 +124,117 @@
         Ok(Self { address, shared, _tasks: tasks })
     }
 
-    /// Makes all work take `factor` times as long.
+    /// Makes all work that begins from now on take `factor` times as long.
     pub fn slow_down(&self, factor: f64) {
-        *self.shared.slow.lock().expect("no holder panics") = factor;
+        *self.shared.slowdown.lock().expect("no holder panics") = factor;
     }
 }
 
+/// Serves until the backend is overloaded; then it stays down.
 async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     tokio::select! {
-        () = connections::serve(listener, |stream| connection(stream, shared.clone())) => {}
-        // Down, and it stays down.
-        () = shared.fell.notified() => {
-            shared.recorder.note(Fact::Server { server: shared.spec.me.clone(), state: ServerState::Fell });
+        () = connections::serve(listener, |stream| serve_connection(stream, shared.clone())) => {}
+        () = shared.overloaded.notified() => {
+            let (backend, state) = (shared.spec.advertised_address.clone(), BackendState::Overloaded);
+            shared.recorder.record(CaptureEvent::BackendChanged { backend, state });
         }
     }
 }
 
-async fn connection(stream: TcpStream, shared: Arc<Shared>) {
+async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
     let mut framed = Framed::new(stream, ServerCodec::default());
     while let Some(request) = framed.next().await {
         let response = match request {
-            Ok(request) => shared.answer(&request).await,
+            Ok(request) => shared.respond(&request).await,
             Err(error) => Response::text(400, error.to_string()),
         };
-        let bad = response.status == 400;
-        if framed.send(response).await.is_err() || bad {
+        let malformed = response.status == 400;
+        if framed.send(response).await.is_err() || malformed {
             return;
         }
     }
 }
 
 impl Shared {
-    fn age(&self) -> f64 {
-        self.born.elapsed().as_secs_f64()
+    fn age_seconds(&self) -> f64 {
+        self.started.elapsed().as_secs_f64()
     }
 
-    /// Share of its full capacity that it has now.
-    fn warmth(&self) -> f64 {
-        let Some(cold) = self.spec.cold else { return 1.0 };
-        (cold.from + (1.0 - cold.from) * self.age() / cold.seconds.max(1e-3)).min(1.0)
+    /// Share of its full capacity that the backend has now.
+    fn capacity_share(&self) -> f64 {
+        let Some(slow_start) = self.spec.slow_start else { return 1.0 };
+        let warmed_up = self.age_seconds() / slow_start.duration_seconds.max(1e-3);
+        (slow_start.initial_share + (1.0 - slow_start.initial_share) * warmed_up).min(1.0)
     }
 
-    async fn answer(&self, request: &Request) -> Response {
-        let header = |name: &str| request.headers.get(name);
-        let req = header("x-request-id").and_then(|id| id.parse().ok()).unwrap_or(0);
-        let ticket = header(&self.spec.headers[0]);
-        let door = self.admit(ticket);
-        let (server, text) = (self.spec.me.clone(), ticket.unwrap_or("").to_string());
-        self.recorder.note(Fact::Got { req, server: server.clone(), ticket: text, door });
-        if door != Door::Runs {
-            let mut response = Response::text(if door == Door::Full { 503 } else { 403 }, "turned away\n");
-            response.headers.add("x-weirusher-turned-away", format!("{door:?}").to_lowercase());
+    async fn respond(&self, http: &Request) -> Response {
+        let header = |name: &str| http.headers.get(name);
+        let request = header("x-request-id").and_then(|id| id.parse().ok()).unwrap_or(0);
+        let ticket = header(&self.spec.ticket_header);
+        let admission = self.admit(ticket);
+        let backend = self.spec.advertised_address.clone();
+        let ticket = ticket.unwrap_or("").to_string();
+        let received = CaptureEvent::AttemptReceived { request, backend: backend.clone(), ticket, admission };
+        self.recorder.record(received);
+        if admission != Admission::Admitted {
+            let status = if admission == Admission::QueueFull { 503 } else { 403 };
+            let mut response = Response::text(status, "turned away\n");
+            response.headers.add("x-weirusher-turned-away", admission.as_str());
             return response;
         }
-        let units = header(&self.spec.headers[1]).and_then(|units| units.parse().ok()).unwrap_or(1.0);
-        self.work(units).await;
-        self.recorder.note(Fact::Ran { req, server });
+        let units = header(&self.spec.units_header).and_then(|units| units.parse().ok()).unwrap_or(1.0);
+        self.execute(units).await;
+        self.recorder.record(CaptureEvent::AttemptExecuted { request, backend });
         Response::text(200, "marked\n")
     }
 
-    fn admit(&self, ticket: Option<&str>) -> Door {
-        if self.cores.available_permits() == 0 && self.waiting() >= self.spec.queue {
-            return Door::Full;
+    fn admit(&self, ticket: Option<&str>) -> Admission {
+        if self.cores.available_permits() == 0 && self.queue_length() >= self.spec.queue_limit {
+            return Admission::QueueFull;
         }
-        let now = self.anchor.at(self.born.elapsed());
+        let now = self.anchor.at(self.started.elapsed());
         match self.gate.lock().expect("no holder panics").admit(now, ticket) {
-            Ok(_) => Door::Runs,
-            Err(TurnedAway::Expired) => Door::Expired,
-            Err(TurnedAway::Replayed) => Door::Replayed,
-            Err(TurnedAway::Misdirected) => Door::Misdirected,
-            Err(TurnedAway::Full) => Door::Full,
-            Err(TurnedAway::Missing | TurnedAway::Invalid) => Door::Invalid,
+            Ok(_) => Admission::Admitted,
+            Err(TurnedAway::Expired) => Admission::ExpiredTicket,
+            Err(TurnedAway::Replayed) => Admission::ReplayedTicket,
+            Err(TurnedAway::Misdirected) => Admission::WrongBackend,
+            Err(TurnedAway::Full) => Admission::QueueFull,
+            Err(TurnedAway::Missing | TurnedAway::Invalid) => Admission::InvalidTicket,
         }
     }
 
-    fn waiting(&self) -> usize {
-        let recent = self.recent.lock().expect("no holder panics");
-        recent.len().saturating_sub(self.spec.cores)
+    /// Requests that wait for a core, estimated from the arrivals of the window.
+    fn queue_length(&self) -> usize {
+        let arrivals = self.arrivals.lock().expect("no holder panics");
+        arrivals.len().saturating_sub(self.spec.cores)
     }
 
-    async fn work(&self, units: f64) {
-        let drawn = -self.rng.lock().expect("no holder panics").f64().max(1e-9).ln();
-        // Between a half and twice the mean, mostly: work varies, but rarely by ten.
-        let seconds = units * self.spec.service * (0.5 + 0.5 * drawn.min(4.0));
-        self.weigh(units * self.spec.service);
+    /// Works for a random time, once there is a core: between a half of the mean and 2.5 times it.
+    async fn execute(&self, units: f64) {
+        let exponential = -self.rng.lock().expect("no holder panics").f64().max(1e-9).ln();
+        let seconds = units * self.spec.service_seconds * (0.5 + 0.5 * exponential.min(4.0));
+        self.check_overload(units * self.spec.service_seconds);
         let Ok(_core) = self.cores.acquire().await else { return };
-        let slow = *self.slow.lock().expect("no holder panics");
-        tokio::time::sleep(Duration::from_secs_f64(seconds * slow / self.warmth())).await;
+        let slowdown = *self.slowdown.lock().expect("no holder panics");
+        tokio::time::sleep(Duration::from_secs_f64(seconds * slowdown / self.capacity_share())).await;
     }
 
-    /// Falls over when it is sent more than it stands, as rule four has it.
-    fn weigh(&self, work: f64) {
-        let (now, span) = (self.age(), self.spec.cold.map_or(1.0, |c| c.fall));
-        let mut recent = self.recent.lock().expect("no holder panics");
-        recent.push_back((now, work));
-        while recent.front().is_some_and(|(at, _)| *at < now - span) {
-            recent.pop_front();
+    /// Fails during its slow start once more work arrives within the window than the overload multiple allows.
+    fn check_overload(&self, work_seconds: f64) {
+        let slow_start = self.spec.slow_start;
+        let window = slow_start.map_or(ARRIVAL_WINDOW_SECONDS, |s| s.overload_window_seconds);
+        let now = self.age_seconds();
+        let mut arrivals = self.arrivals.lock().expect("no holder panics");
+        arrivals.push_back(Arrival { at_seconds: now, work_seconds });
+        while arrivals.front().is_some_and(|arrival| arrival.at_seconds < now - window) {
+            arrivals.pop_front();
         }
-        let Some(cold) = self.spec.cold else { return };
-        let sent: f64 = recent.iter().map(|(_, work)| work).sum();
-        let can = self.spec.cores as f64 * self.warmth() * span;
-        if self.warmth() < 1.0 && sent > cold.multiple * can + CHANCE * self.spec.service {
-            self.fell.notify_one();
+        let Some(slow_start) = slow_start else { return };
+        let arrived: f64 = arrivals.iter().map(|arrival| arrival.work_seconds).sum();
+        let capacity = self.spec.cores as f64 * self.capacity_share() * window;
+        let allowance = ARRIVAL_ALLOWANCE * self.spec.service_seconds;
+        if self.capacity_share() < 1.0 && arrived > slow_start.overload_multiple * capacity + allowance {
+            self.overloaded.notify_one();
         }
     }
 }
--- a/crates/fakes/src/connections.rs
+++ b/crates/fakes/src/connections.rs
@@ -1,10 +1,10 @@
-//! One task for each connection that a listener accepts.
+//! Accepts connections and serves each in a task of its own.
 
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// Serves connections for ever. Dropped, it breaks all of them, as a killed process would.
-pub(crate) async fn serve<F>(listener: TcpListener, mut connection: impl FnMut(TcpStream) -> F)
+/// Serves the connections of a listener for ever. Dropping the future closes all of them, as killing a process would.
+pub(crate) async fn serve<F>(listener: TcpListener, mut serve_connection: impl FnMut(TcpStream) -> F)
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -13,8 +13,8 @@
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    let _ = stream.set_nodelay(true); // Without it answers are merely slower.
-                    connections.spawn(connection(stream));
+                    let _ = stream.set_nodelay(true); // Without it responses are only slower.
+                    connections.spawn(serve_connection(stream));
                 }
             }
             Some(_) = connections.join_next() => {}
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -1,7 +1,8 @@
-//! A counter: the part of the RESP servers' commands that gatekeepers use, in memory.
+//! A fake counter: the commands of a RESP server that gateways use, in memory.
 
+use crate::capture::CaptureEvent;
 use crate::connections;
-use crate::record::{Fact, Recorder};
+use crate::recorder::Recorder;
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
 use std::collections::HashMap;
@@ -15,34 +16,47 @@
 use tokio_util::codec::Framed;
 use weirusher_wire::resp::{self, Frame, RespCodec};
 
-/// Names it holds at most; a further one is an error.
-const MOST_NAMES: usize = 1_000_000;
+/// Names that it holds at most; a further one is an error.
+const MAX_NAMES: usize = 1_000_000;
 
-/// What is wrong with it.
+/// What is wrong with the counter.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum CounterFault {
     /// Nothing.
     #[default]
     None,
-    /// It takes calls and counts them, and answers nothing.
+    /// It executes commands, and answers nothing.
     Silent,
-    /// It answers the first bytes of a frame, and no more.
-    Half,
-    /// It closes connections when a call comes.
-    Reset,
-    /// It answers with another type.
+    /// It answers the first byte of a frame, and no more until the fault ends; then it closes the connection.
+    PartialReply,
+    /// It executes a command and closes the connection instead of answering.
+    ConnectionReset,
+    /// It answers with a frame of another type.
     WrongType,
-    /// It answers so many seconds late.
-    Late(f64),
+    /// It answers this many seconds late.
+    Delayed(f64),
+}
+
+/// A count, and when it expires.
+#[derive(Debug, Clone, Copy)]
+struct Count {
+    total: f64,
+    expires: Option<Instant>,
+}
+
+impl Count {
+    fn is_live(&self, now: Instant) -> bool {
+        self.expires.is_none_or(|expires| expires > now)
+    }
 }
 
 struct Shared {
-    counts: Mutex<HashMap<String, (f64, Option<Instant>)>>,
+    counts: Mutex<HashMap<String, Count>>,
     recorder: Recorder,
     fault: watch::Sender<CounterFault>,
 }
 
-/// A counter's process. Dropped, it is killed.
+/// A counter's process. Dropping it kills it.
 pub struct Counter {
     /// Where it listens.
     pub address: SocketAddr,
@@ -62,7 +76,7 @@
         let mut tasks = JoinSet::new();
         tasks.spawn({
             let shared = shared.clone();
-            connections::serve(listener, move |stream| connection(stream, shared.clone()))
+            connections::serve(listener, move |stream| serve_connection(stream, shared.clone()))
         });
         Ok(Self { address, shared, _tasks: tasks })
     }
@@ -72,27 +86,29 @@
         self.shared.fault.send_replace(fault);
     }
 
-    /// Forgets all counts, as a replacement would.
-    pub fn empty(&self) {
+    /// Loses all counts, as a restart without persistence does.
+    pub fn clear(&self) {
         self.shared.counts.lock().expect("no holder panics").clear();
-        self.shared.recorder.note(Fact::Emptied);
+        self.shared.recorder.record(CaptureEvent::CounterCleared);
     }
 }
 
-async fn connection(stream: TcpStream, shared: Arc<Shared>) {
+async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
     let mut framed = Framed::new(stream, RespCodec);
     while let Some(Ok(command)) = framed.next().await {
-        let answer = shared.answer(&command);
+        let reply = shared.execute(&command);
         let fault = *shared.fault.borrow();
         let sent = match fault {
-            CounterFault::None => framed.send(answer).await.is_ok(),
+            CounterFault::None => framed.send(reply).await.is_ok(),
             CounterFault::Silent => true,
-            CounterFault::Half => framed.get_mut().write_all(b"$").await.is_ok() && stall(&shared).await,
-            CounterFault::Reset => false,
+            CounterFault::PartialReply => {
+                framed.get_mut().write_all(b"$").await.is_ok() && stall(&shared).await
+            }
+            CounterFault::ConnectionReset => false,
             CounterFault::WrongType => framed.send(Frame::Array(vec![Frame::Null])).await.is_ok(),
-            CounterFault::Late(seconds) => {
+            CounterFault::Delayed(seconds) => {
                 tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
-                framed.send(answer).await.is_ok()
+                framed.send(reply).await.is_ok()
             }
         };
         if !sent {
@@ -101,15 +117,15 @@
     }
 }
 
-/// Answers nothing more on this connection while the fault lasts, then closes it.
+/// Waits until the fault ends; the connection is closed then.
 async fn stall(shared: &Shared) -> bool {
     let mut fault = shared.fault.subscribe();
-    let _ = fault.wait_for(|f| *f != CounterFault::Half).await; // The counter ends: so does the connection.
+    let _ = fault.wait_for(|f| *f != CounterFault::PartialReply).await; // An error means that the counter ends, and the connection with it.
     false
 }
 
 impl Shared {
-    fn answer(&self, command: &Frame) -> Frame {
+    fn execute(&self, command: &Frame) -> Frame {
         let error = |text: &str| Frame::Error(text.to_string().into());
         let Some(words) = resp::words(command) else { return error("ERR a command is an array of texts") };
         match words[..] {
@@ -129,36 +145,37 @@
 
     fn get(&self, key: &str) -> Option<f64> {
         let counts = self.counts.lock().expect("no holder panics");
-        counts.get(key).filter(|(_, until)| until.is_none_or(|u| u > Instant::now())).map(|(total, _)| *total)
+        counts.get(key).filter(|count| count.is_live(Instant::now())).map(|count| count.total)
     }
 
-    fn set(&self, key: &str, value: f64, ttl: Duration) -> Frame {
+    fn set(&self, key: &str, total: f64, ttl: Duration) -> Frame {
         if self.get(key).is_some() {
             return Frame::Null;
         }
         let mut counts = self.counts.lock().expect("no holder panics");
         let now = Instant::now();
-        if counts.len() >= MOST_NAMES {
-            counts.retain(|_, (_, until)| until.is_none_or(|u| u > now));
+        if counts.len() >= MAX_NAMES {
+            counts.retain(|_, count| count.is_live(now));
         }
-        if counts.len() >= MOST_NAMES {
+        if counts.len() >= MAX_NAMES {
             return Frame::Error("ERR out of names".to_string().into());
         }
-        counts.insert(key.to_string(), (value, Some(now + ttl)));
+        counts.insert(key.to_string(), Count { total, expires: Some(now + ttl) });
         Frame::SimpleString(Bytes::from_static(b"OK"))
     }
 
     fn add(&self, key: &str, amount: f64) -> Frame {
-        let current = self.get(key);
+        const NEW: Count = Count { total: 0.0, expires: None };
+        let exists = self.get(key).is_some();
         let mut counts = self.counts.lock().expect("no holder panics");
-        let entry = counts.entry(key.to_string()).or_insert((0.0, None));
-        if current.is_none() {
-            *entry = (0.0, None); // Expired, or never there.
+        let count = counts.entry(key.to_string()).or_insert(NEW);
+        if !exists {
+            *count = NEW; // It may have expired.
         }
-        entry.0 += amount;
-        let total = entry.0;
+        count.total += amount;
+        let total = count.total;
         drop(counts);
-        self.recorder.note(Fact::Added { key: key.to_string(), amount, total });
+        self.recorder.record(CaptureEvent::CounterAdded { key: key.to_string(), amount, total });
         bulk(total)
     }
 }
--- a/crates/fakes/src/discovery.rs
+++ b/crates/fakes/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Discovery by EDS: pushes the list of checkers, late, or not at all.
+//! A fake discovery service: pushes the endpoint list over EDS, with a delay or not at all.
 
-use crate::record::{Fact, Recorder};
+use crate::capture::CaptureEvent;
+use crate::recorder::Recorder;
 use envoy_types::pb::envoy::service::discovery::v3::{
     DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse,
 };
@@ -23,21 +24,22 @@
 use weirusher::{Endpoint, Lifecycle};
 use weirusher_wire::eds;
 
-/// The cluster it serves.
+/// Name of the cluster that it serves.
 const CLUSTER: &str = "checkers";
-/// Lists that may wait for a gatekeeper that reads slowly.
-const WAITING: usize = 4;
-/// Lists whose acknowledgement is awaited at most.
-const UNACKNOWLEDGED: usize = 64;
+/// Lists that may wait for a gateway that reads slowly.
+const LIST_QUEUE: usize = 4;
+/// Lists of one stream that may be unacknowledged; the acknowledgement of a further one is not recorded.
+const MAX_UNACKNOWLEDGED: usize = 64;
 
 #[derive(Clone, Default)]
 struct State {
     version: u64,
-    servers: Arc<Vec<Endpoint>>,
+    endpoints: Arc<Vec<Endpoint>>,
+    /// No list is sent.
     frozen: bool,
 }
 
-/// A discovery service. Dropped, it is killed.
+/// A discovery service. Dropping it kills it.
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -48,20 +50,20 @@
 #[derive(Clone)]
 struct Service {
     state: watch::Receiver<State>,
-    lag: Duration,
+    delay: Duration,
     recorder: Recorder,
 }
 
 impl Discovery {
-    /// Starts on `address`; lists reach gatekeepers `lag` late.
+    /// Starts on `address`; each list is sent `delay` after it was set.
     ///
     /// # Errors
     /// It cannot listen.
-    pub async fn start(address: SocketAddr, lag: Duration, recorder: Recorder) -> std::io::Result<Self> {
+    pub async fn start(address: SocketAddr, delay: Duration, recorder: Recorder) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let (state, watched) = watch::channel(State::default());
-        let service = EndpointDiscoveryServiceServer::new(Service { state: watched, lag, recorder });
+        let service = EndpointDiscoveryServiceServer::new(Service { state: watched, delay, recorder });
         let mut tasks = JoinSet::new();
         tasks.spawn(async move {
             let server = tonic::transport::Server::builder().add_service(service);
@@ -72,15 +74,15 @@
         Ok(Self { address, state, _tasks: tasks })
     }
 
-    /// The list changes.
-    pub fn set(&self, servers: Vec<Endpoint>) {
+    /// Replaces the list.
+    pub fn set(&self, endpoints: Vec<Endpoint>) {
         self.state.send_modify(|state| {
             state.version += 1;
-            state.servers = Arc::new(servers);
+            state.endpoints = Arc::new(endpoints);
         });
     }
 
-    /// Stops or resumes telling gatekeepers of changes.
+    /// Stops sending lists, or sends the present one and goes on.
     pub fn freeze(&self, frozen: bool) {
         self.state.send_modify(|state| state.frozen = frozen);
     }
@@ -95,8 +97,8 @@
         &self,
         request: Request<Streaming<DiscoveryRequest>>,
     ) -> Result<Response<Self::StreamEndpointsStream>, Status> {
-        let (lists, stream) = mpsc::channel(WAITING);
-        tokio::spawn(self.clone().follow(request.into_inner(), lists));
+        let (lists, stream) = mpsc::channel(LIST_QUEUE);
+        tokio::spawn(self.clone().serve_stream(request.into_inner(), lists));
         Ok(Response::new(Box::pin(ReceiverStream::new(stream))))
     }
 
@@ -111,42 +113,51 @@
         &self,
         _request: Request<Streaming<DeltaDiscoveryRequest>>,
     ) -> Result<Response<Self::DeltaEndpointsStream>, Status> {
-        Err(Status::unimplemented("whole lists only"))
+        Err(Status::unimplemented("complete lists only"))
     }
 }
 
 impl Service {
-    async fn follow(
+    /// Sends each new list on a stream, and records which lists the gateway acknowledges.
+    async fn serve_stream(
         mut self,
         mut requests: Streaming<DiscoveryRequest>,
         lists: mpsc::Sender<Result<DiscoveryResponse, Status>>,
     ) {
-        let (mut gk, mut named, mut sent, mut told) = (0, false, HashMap::new(), 0);
+        // The first request names the gateway.
+        let mut gateway: Option<usize> = None;
+        let mut unacknowledged: HashMap<String, Vec<String>> = HashMap::new();
+        let mut sent_version = 0;
         loop {
+            let newer = move |state: &State| !state.frozen && state.version > sent_version;
             tokio::select! {
                 request = requests.message() => {
                     let Ok(Some(request)) = request else { return };
                     if let Some(node) = &request.node {
-                        gk = node.id.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-                        named = true;
+                        gateway = Some(gateway_number(&node.id));
                     }
-                    let acknowledged = sent.remove(&request.response_nonce);
-                    if let Some(stopped) = acknowledged.filter(|_| request.error_detail.is_none()) {
-                        self.recorder.note(Fact::Knows { gk, stopped });
+                    let acknowledged = unacknowledged.remove(&request.response_nonce);
+                    if let Some(stopped_backends) = acknowledged.filter(|_| request.error_detail.is_none()) {
+                        let gateway = gateway.unwrap_or(0);
+                        self.recorder.record(CaptureEvent::ListAcknowledged { gateway, stopped_backends });
                     }
                 }
-                changed = async { self.state.wait_for(|s| !s.frozen && s.version > told).await.is_ok() }, if named => {
+                changed = async { self.state.wait_for(newer).await.is_ok() }, if gateway.is_some() => {
                     if !changed {
                         return;
                     }
                     let state = self.state.borrow().clone();
-                    told = state.version;
-                    tokio::time::sleep(self.lag).await;
-                    let (response, stopped) = (response(&state), stopped(&state.servers));
-                    // Before it is sent: it is acted on sooner than it is acknowledged.
-                    self.recorder.note(Fact::Told { gk, stopped: stopped.clone() });
-                    if sent.len() < UNACKNOWLEDGED {
-                        sent.insert(response.nonce.clone(), stopped);
+                    sent_version = state.version;
+                    tokio::time::sleep(self.delay).await;
+                    let (response, stopped_backends) = (response(&state), stopped(&state.endpoints));
+                    // Before it is sent: a gateway may act on it before it acknowledges it.
+                    let sent = CaptureEvent::ListSent {
+                        gateway: gateway.unwrap_or(0),
+                        stopped_backends: stopped_backends.clone(),
+                    };
+                    self.recorder.record(sent);
+                    if unacknowledged.len() < MAX_UNACKNOWLEDGED {
+                        unacknowledged.insert(response.nonce.clone(), stopped_backends);
                     }
                     if lists.send(Ok(response)).await.is_err() {
                         return;
@@ -157,12 +168,19 @@
     }
 }
 
-fn stopped(servers: &[Endpoint]) -> Vec<String> {
-    servers.iter().filter(|s| s.lifecycle != Lifecycle::Running).map(|s| s.id.to_string()).collect()
+/// The number at the end of a gateway's node id; 0 where there is none.
+fn gateway_number(node_id: &str) -> usize {
+    node_id.rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0)
+}
+
+/// Addresses of the backends that are draining or removed.
+fn stopped(endpoints: &[Endpoint]) -> Vec<String> {
+    let stopped = endpoints.iter().filter(|endpoint| endpoint.lifecycle != Lifecycle::Running);
+    stopped.map(|endpoint| endpoint.id.to_string()).collect()
 }
 
 fn response(state: &State) -> DiscoveryResponse {
-    let list = eds::write(CLUSTER, &state.servers, &[]);
+    let list = eds::write(CLUSTER, &state.endpoints, &[]);
     let version = state.version.to_string();
     DiscoveryResponse {
         version_info: version.clone(),
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,27 +1,40 @@
 //! Fakes of what surrounds a gateway, written from the public specifications: backends, the counter, discovery, a load
-//! generator that plays proxy and clients, and links that fail.
+//! generator that plays proxies and clients, and networks that fail.
 //!
-//! Each records what passes on its sockets ([`Recorder`]); faults are set from outside while it runs.
+//! Each fake records what passes on its sockets ([`Recorder`]); faults are set from outside while it runs.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod agent;
+mod audit_parameters;
 mod backend;
+mod capture;
+mod client_request;
 mod connections;
 mod counter;
 mod discovery;
+mod discovery_agent;
+mod endpoint_list;
+mod http_frame;
 mod link;
 mod load_generator;
-mod record;
-mod scripted;
-mod switch;
+mod peer_network;
+mod recorder;
+mod scripted_server;
 
-pub use agent::{Agent, ListCall};
-pub use backend::{CHANCE, Cold, FakeBackend, FakeBackendSpec};
+pub use audit_parameters::{AuditParameters, PlanLimits, RateLimit, SlowStartLimits};
+pub use backend::{ARRIVAL_ALLOWANCE, FakeBackend, FakeBackendSpec, SlowStart};
+pub use capture::{
+    Admission, BackendState, CaptureEvent, CaptureRecord, CheckOutcome, ClientOutcome, DatagramFate,
+    MembershipReport,
+};
+pub use client_request::{AttemptOutcome, BehaviourProfile, ClientRequest, RequestOutcome};
 pub use counter::{Counter, CounterFault};
 pub use discovery::Discovery;
+pub use discovery_agent::DiscoveryAgent;
+pub use endpoint_list::PendingPoll;
+pub use http_frame::frame;
 pub use link::{Link, LinkFault};
-pub use load_generator::{BehaviourProfile, End, LoadGenerator, Outcome, Try};
-pub use record::{Belief, ColdBook, Door, Fact, Fate, Final, Line, Recorder, RuleBook, ServerState, Verdict};
-pub use scripted::{Came, Reply, Script, Scripted, counting, frame};
-pub use switch::{Flood, PeerWay, Switch};
+pub use load_generator::LoadGenerator;
+pub use peer_network::{Flood, NetworkConditions, PeerNetwork};
+pub use recorder::Recorder;
+pub use scripted_server::{ReceivedRequest, Reply, Script, ScriptedServer, counting};
--- a/crates/fakes/src/link.rs
+++ b/crates/fakes/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be slow, stall one way, break, or refuse.
+//! A TCP link between two processes that can be slow, stall in one direction, break or refuse connections.
 
 use crate::connections;
 use std::io;
@@ -10,29 +10,31 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Bytes carried at once.
-const PIECE: usize = 16 * 1024;
+/// Bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// A link of limited bandwidth forwards its bytes in so many chunks a second.
+const CHUNKS_PER_SECOND: f64 = 20.0;
 
 /// What is wrong with a link.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LinkFault {
-    /// Seconds that each piece is held, each way.
-    pub delay: f64,
-    /// Nothing passes towards the target.
-    pub stall_up: bool,
-    /// Nothing passes back.
-    pub stall_down: bool,
+    /// Seconds by which each chunk is delayed, in both directions.
+    pub delay_seconds: f64,
+    /// Nothing is forwarded towards the target.
+    pub stall_to_target: bool,
+    /// Nothing is forwarded from the target.
+    pub stall_from_target: bool,
     /// New connections are closed at once.
-    pub refuse: bool,
-    /// Bytes a second back from the target; 0: no limit.
-    pub slow_reader: f64,
-    /// Connections made before this number was raised are broken.
-    pub breaks: u64,
-    /// Connections made before this number was raised carry nothing more, and nobody is told.
-    pub forgets: u64,
+    pub refuse_connections: bool,
+    /// Bytes a second from the target; 0: unlimited.
+    pub bytes_per_second: f64,
+    /// Raising this number breaks the connections that exist.
+    pub resets: u64,
+    /// Raising this number makes the connections that exist forward nothing any more, without closing them.
+    pub blackholes: u64,
 }
 
-/// A link to a target. Dropped, its connections break.
+/// A link to a target. Dropping it breaks its connections.
 pub struct Link {
     /// Where it listens.
     pub address: SocketAddr,
@@ -41,8 +43,15 @@
     _tasks: JoinSet<()>,
 }
 
+/// The direction of a half of a connection.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    ToTarget,
+    FromTarget,
+}
+
 impl Link {
-    /// Starts a link; without a target connections are refused.
+    /// Starts a link on a free port of loopback; without a target, connections are closed at once.
     ///
     /// # Errors
     /// It cannot listen.
@@ -53,7 +62,7 @@
         let (target, targets) = watch::channel(target);
         let mut tasks = JoinSet::new();
         tasks.spawn(connections::serve(listener, move |near| {
-            connection(near, *targets.borrow(), faults.clone())
+            forward_connection(near, *targets.borrow(), faults.clone())
         }));
         Ok(Self { address, fault, target, _tasks: tasks })
     }
@@ -65,61 +74,76 @@
 
     /// Breaks all connections.
     pub fn reset(&self) {
-        self.set(|fault| fault.breaks += 1);
+        self.set(|fault| fault.resets += 1);
     }
 
-    /// Carries nothing more on all connections there are, and tells nobody, as a middlebox does that forgot them.
-    pub fn forget(&self) {
-        self.set(|fault| fault.forgets += 1);
+    /// Forwards nothing any more on the connections that exist, without closing them, as a middlebox does that lost
+    /// its state.
+    pub fn blackhole(&self) {
+        self.set(|fault| fault.blackholes += 1);
     }
 
-    /// New connections go to another target, or nowhere.
+    /// New connections go to another target; without one, they are closed at once.
     pub fn retarget(&self, target: Option<SocketAddr>) {
         self.target.send_replace(target);
     }
 }
 
-async fn connection(near: TcpStream, target: Option<SocketAddr>, mut faults: watch::Receiver<LinkFault>) {
-    let Some(target) = target.filter(|_| !faults.borrow().refuse) else { return };
+async fn forward_connection(
+    near: TcpStream,
+    target: Option<SocketAddr>,
+    mut faults: watch::Receiver<LinkFault>,
+) {
+    let Some(target) = target.filter(|_| !faults.borrow().refuse_connections) else { return };
     let Ok(far) = TcpStream::connect(target).await else { return };
-    let _ = far.set_nodelay(true); // Without it pieces are merely later.
+    let _ = far.set_nodelay(true); // Without it chunks are only later.
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let (up, down) = (faults.clone(), faults.clone());
-    let made = faults.borrow().breaks;
-    // Either end closing, or a break, closes both: what is half done is lost, as when a machine dies.
+    let (to_target, from_target) = (faults.clone(), faults.clone());
+    let resets = faults.borrow().resets;
+    // The end of one direction, or a reset, closes both: bytes on their way are lost, as when a machine fails.
     tokio::select! {
-        _ = carry(near_read, far_write, up, true) => {}
-        _ = carry(far_read, near_write, down, false) => {}
-        _ = faults.wait_for(|f| f.breaks > made) => {}
+        _ = forward(near_read, far_write, to_target, Direction::ToTarget) => {}
+        _ = forward(far_read, near_write, from_target, Direction::FromTarget) => {}
+        _ = faults.wait_for(|fault| fault.resets > resets) => {}
     }
 }
 
-async fn carry(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut faults: watch::Receiver<LinkFault>,
-    up: bool,
+    direction: Direction,
 ) -> io::Result<()> {
-    let mut piece = vec![0; PIECE];
-    let made = faults.borrow().forgets;
+    let mut chunk = vec![0; CHUNK_BYTES];
+    let blackholes = faults.borrow().blackholes;
     loop {
-        let slow = if up { 0.0 } else { faults.borrow().slow_reader };
-        let most = if slow > 0.0 { PIECE.min((slow / 20.0).ceil() as usize) } else { PIECE };
-        let read = from.read(&mut piece[..most]).await?;
+        let bandwidth = match direction {
+            Direction::ToTarget => 0.0,
+            Direction::FromTarget => faults.borrow().bytes_per_second,
+        };
+        let limited = (bandwidth / CHUNKS_PER_SECOND).ceil() as usize;
+        let size = if bandwidth > 0.0 { CHUNK_BYTES.min(limited) } else { CHUNK_BYTES };
+        let read = from.read(&mut chunk[..size]).await?;
         if read == 0 {
             return Ok(());
         }
-        let fault = *faults.borrow();
-        let wait = fault.delay + if slow > 0.0 { read as f64 / slow } else { 0.0 };
-        if wait > 0.0 {
-            tokio::time::sleep(Duration::from_secs_f64(wait)).await;
+        let delay_seconds = faults.borrow().delay_seconds;
+        let delay_seconds = delay_seconds + if bandwidth > 0.0 { read as f64 / bandwidth } else { 0.0 };
+        if delay_seconds > 0.0 {
+            tokio::time::sleep(Duration::from_secs_f64(delay_seconds)).await;
         }
-        // A stalled direction holds what it has, as TCP would, and goes on when the fault is over.
-        let open = |f: &LinkFault| f.forgets == made && if up { !f.stall_up } else { !f.stall_down };
+        // A stalled direction keeps what it has read, as TCP would, and goes on when the fault is over.
+        let open = |fault: &LinkFault| {
+            let stalled = match direction {
+                Direction::ToTarget => fault.stall_to_target,
+                Direction::FromTarget => fault.stall_from_target,
+            };
+            fault.blackholes == blackholes && !stalled
+        };
         if faults.wait_for(open).await.is_err() {
             return Ok(());
         }
-        to.write_all(&piece[..read]).await?;
+        to.write_all(&chunk[..read]).await?;
     }
 }
--- a/crates/fakes/src/load_generator.rs
+++ b/crates/fakes/src/load_generator.rs
@@ -1,317 +1,273 @@
-//! The edge: plays the proxy of learning apps and the clients behind it.
+//! The load generator: plays Envoy proxies and the clients behind them.
 //!
-//! It asks a gatekeeper by external authorisation, sends what is allowed to the checker named, reports the end
-//! on an access log stream, and asks again with the ticket where an attempt failed. [`BehaviourProfile`] are what real
-//! edges and clients do wrong.
+//! It asks a gateway by external authorisation, sends what is allowed to the backend that the answer names, reports the
+//! end of each attempt on an access log stream, and asks again with the ticket after an attempt that failed.
+//! [`BehaviourProfile`](crate::BehaviourProfile) says what proxies and clients do wrong.
 
-use crate::record::{Fact, Final, Recorder, Verdict};
-use envoy_types::pb::envoy::data::accesslog::v3::{
-    AccessLogCommon, AccessLogType, HttpAccessLogEntry, HttpRequestProperties, HttpResponseProperties,
-    ResponseFlags,
-};
-use envoy_types::pb::envoy::service::accesslog::v3::access_log_service_client::AccessLogServiceClient;
-use envoy_types::pb::envoy::service::accesslog::v3::{
-    StreamAccessLogsMessage, stream_access_logs_message::HttpAccessLogEntries,
-    stream_access_logs_message::LogEntries,
-};
-use envoy_types::pb::envoy::service::auth::v3::attribute_context::{
-    HttpRequest, Request as AttributeRequest,
-};
+mod backend_connections;
+mod envoy;
+mod reports;
+
+use crate::capture::{CaptureEvent, CheckOutcome, ClientOutcome};
+use crate::client_request::{AttemptOutcome, ClientRequest, RequestOutcome};
+use crate::recorder::Recorder;
+use backend_connections::BackendConnections;
+use envoy_types::pb::envoy::data::accesslog::v3::HttpAccessLogEntry;
+use envoy_types::pb::envoy::service::auth::v3::CheckRequest;
 use envoy_types::pb::envoy::service::auth::v3::authorization_client::AuthorizationClient;
-use envoy_types::pb::envoy::service::auth::v3::{
-    AttributeContext, CheckRequest, CheckResponse, check_response::HttpResponse,
-};
-use envoy_types::pb::google::protobuf::{Duration as ProtoDuration, UInt32Value};
-use futures::{SinkExt, StreamExt};
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, timeout, timeout_at};
-use tokio_stream::wrappers::ReceiverStream;
-use tokio_util::codec::Framed;
 use tonic::transport::{Channel, Endpoint};
-use weirusher_wire::http1::{ClientCodec, Headers, Request, Response};
 
+/// Limit for a connection to a gateway.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Reports that may wait for a stream; further ones are lost, as the specification allows.
-const REPORTS: usize = 4096;
-/// Reports of one message.
-const BATCH: usize = 64;
-/// Attempts of one request, as a guard against a gatekeeper that never ends it.
-const MOST_ATTEMPTS: usize = 10;
-/// Least time left in which it is worth asking for a further attempt.
-const LEAST_LEFT: Duration = Duration::from_millis(60);
-/// Pause before a broken report stream is opened again.
-const REOPEN: Duration = Duration::from_millis(50);
-
-/// What an edge or its client does wrong with one request.
-#[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct BehaviourProfile {
-    /// The client leaves so many seconds after it asked.
-    pub leaves_after: Option<f64>,
-    /// The client leaves so many seconds after its request went to the checker.
-    pub leaves_work: Option<f64>,
-    /// The report is lost.
-    pub lost: bool,
-    /// The report is sent twice.
-    pub doubled: bool,
-    /// The report is so many seconds late.
-    pub late: f64,
-    /// The report goes to the next gatekeeper.
-    pub elsewhere: bool,
-    /// The ticket is altered on its way to the checker.
-    pub altered: bool,
-    /// The ticket is used a second time.
-    pub replayed: bool,
-}
-
-/// One client's try.
-#[derive(Debug, Clone)]
-pub struct Try {
-    /// Its customer.
-    pub customer: String,
-    /// Index of its class, and the path that stands for it.
-    pub class: (usize, String),
-    /// Its units.
-    pub units: f64,
-    /// Seconds until the client gives up.
-    pub patience: f64,
-    /// The gatekeeper asked.
-    pub gk: usize,
-    /// What goes wrong.
-    pub habits: BehaviourProfile,
-}
-
-/// How an attempt at the checker ended.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
-    /// An answer with this status.
-    Answered(u16),
-    /// Turned away at the door.
-    TurnedAway,
-    /// No connection.
-    NoConnection,
-    /// The connection broke.
-    Broken,
-    /// No answer in time.
-    Timeout,
-    /// The client left.
-    Left,
-}
+const REPORT_QUEUE: usize = 4096;
+/// Attempts of one request at most: a guard against a gateway that allows retries for ever.
+const MAX_ATTEMPTS: usize = 10;
+/// No retry is asked for with less time than this before the deadline.
+const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(60);
+/// Limit for the second use of a ticket.
+const REPLAY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a client's try came to.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Outcome {
-    /// Its request's number.
-    pub req: u64,
-    /// The final answer.
-    pub end: Final,
-    /// The advice, in seconds.
-    pub retry_after: f64,
-    /// Seconds from the asking to the answer.
-    pub took: f64,
-}
-
-struct Gatekeeper {
+/// The clients of one gateway.
+struct Gateway {
     check: AuthorizationClient<Channel>,
     reports: mpsc::Sender<HttpAccessLogEntry>,
 }
 
-/// Idle connections to checkers, by address.
-type Pool = Mutex<HashMap<SocketAddr, Vec<Framed<TcpStream, ClientCodec>>>>;
-
-/// The edge.
+/// Plays clients' requests against gateways and backends.
 pub struct LoadGenerator {
-    gatekeepers: Vec<Gatekeeper>,
+    gateways: Vec<Gateway>,
     recorder: Recorder,
-    requests: AtomicU64,
-    calls: AtomicU64,
-    pool: Pool,
-    tasks: Mutex<JoinSet<()>>,
+    next_request: AtomicU64,
+    next_call: AtomicU64,
+    backends: BackendConnections,
+    delayed_reports: Mutex<JoinSet<()>>,
+    _report_streams: JoinSet<()>,
+}
+
+/// When a request ends at the latest.
+#[derive(Clone, Copy)]
+struct Deadlines {
+    /// The deadline that gateways are notified of.
+    announced: Instant,
+    /// When the client closes, which no gateway is notified of.
+    closes: Instant,
+}
+
+/// An attempt at a backend.
+struct Attempt<'a> {
+    request: u64,
+    backend: &'a str,
+    ticket: &'a str,
 }
 
 impl LoadGenerator {
-    /// An edge before these gatekeepers; it connects when it is asked.
+    /// A load generator for these gateways; it connects with the first request.
     ///
     /// # Errors
     /// An address makes no URL.
-    pub fn new(gatekeepers: &[SocketAddr], recorder: Recorder) -> Result<Arc<Self>, tonic::transport::Error> {
-        let mut tasks = JoinSet::new();
+    pub fn new(gateways: &[SocketAddr], recorder: Recorder) -> Result<Arc<Self>, tonic::transport::Error> {
+        let mut report_streams = JoinSet::new();
         let connect = |address: &SocketAddr| {
             let endpoint = Endpoint::from_shared(format!("http://{address}"))?
-                .connect_timeout(Duration::from_millis(500))
+                .connect_timeout(CONNECT_TIMEOUT)
                 .tcp_nodelay(true);
             let channel = endpoint.connect_lazy();
-            let (reports, entries) = mpsc::channel(REPORTS);
-            tasks.spawn(report_for_ever(channel.clone(), entries));
-            Ok(Gatekeeper { check: AuthorizationClient::new(channel), reports })
+            let (reports, entries) = mpsc::channel(REPORT_QUEUE);
+            report_streams.spawn(reports::stream_forever(channel.clone(), entries));
+            Ok(Gateway { check: AuthorizationClient::new(channel), reports })
         };
-        let gatekeepers = gatekeepers.iter().map(connect).collect::<Result<_, tonic::transport::Error>>()?;
-        let (requests, calls) = (AtomicU64::new(1), AtomicU64::new(1));
+        let gateways = gateways.iter().map(connect).collect::<Result<_, tonic::transport::Error>>()?;
         Ok(Arc::new(Self {
-            gatekeepers,
+            gateways,
             recorder,
-            requests,
-            calls,
-            pool: Pool::default(),
-            tasks: Mutex::new(tasks),
+            next_request: AtomicU64::new(1),
+            next_call: AtomicU64::new(1),
+            backends: BackendConnections::default(),
+            delayed_reports: Mutex::default(),
+            _report_streams: report_streams,
         }))
     }
 
-    /// Plays one client's try to its final answer.
-    pub async fn play(&self, a_try: &Try) -> Outcome {
-        let req = self.requests.fetch_add(1, Relaxed);
+    /// Plays one client's request to its end.
+    pub async fn send_request(&self, client: &ClientRequest) -> RequestOutcome {
+        let request = self.next_request.fetch_add(1, Relaxed);
         let began = Instant::now();
-        let Try { customer, class, units, patience, .. } = a_try;
-        let (customer, class) = (customer.clone(), class.0);
-        let leaves = a_try.habits.leaves_after.is_some() || a_try.habits.leaves_work.is_some();
-        self.recorder.note(Fact::Begin { req, customer, class, units: *units, patience: *patience, leaves });
-        let patient = began + Duration::from_secs_f64(*patience);
-        // Nobody tells the gatekeeper that it will leave early.
-        let leaving = a_try.habits.leaves_after.map(|after| began + Duration::from_secs_f64(after));
-        let last = leaving.map_or(patient, |leaving| leaving.min(patient));
-        let (end, retry_after) = self.attempts(req, a_try, patient, last).await;
-        self.recorder.note(Fact::Final { req, end });
-        Outcome { req, end, retry_after, took: began.elapsed().as_secs_f64() }
+        let behaviour = client.behaviour;
+        self.recorder.record(CaptureEvent::RequestStarted {
+            request,
+            customer: client.customer.clone(),
+            class: client.class,
+            units: client.units,
+            deadline_seconds: client.deadline_seconds,
+            closes_early: behaviour.closes_after_seconds.is_some()
+                || behaviour.closes_during_attempt_after_seconds.is_some(),
+        });
+        let announced = began + Duration::from_secs_f64(client.deadline_seconds);
+        let closes = behaviour.closes_after_seconds.map(|after| began + Duration::from_secs_f64(after));
+        let closes = closes.map_or(announced, |closes| closes.min(announced));
+        let (outcome, retry_after_seconds) =
+            self.run_attempts(request, client, Deadlines { announced, closes }).await;
+        self.recorder.record(CaptureEvent::RequestFinished { request, outcome });
+        RequestOutcome {
+            request,
+            outcome,
+            retry_after_seconds,
+            latency_seconds: began.elapsed().as_secs_f64(),
+        }
     }
 
-    async fn attempts(&self, req: u64, a_try: &Try, patient: Instant, last: Instant) -> (Final, f64) {
-        let mut ticket: Option<String> = None;
-        for _ in 0..MOST_ATTEMPTS {
-            let left = patient.saturating_duration_since(Instant::now());
-            let request = check(a_try, ticket.as_deref(), left);
-            let verdict = match self.ask(req, a_try.gk, request, ticket.is_some(), last).await {
-                Some(verdict) => verdict,
-                None => return (Final::Left, 0.0),
+    /// Asks and attempts until the request ends: how, and the advised wait in seconds.
+    async fn run_attempts(
+        &self,
+        request: u64,
+        client: &ClientRequest,
+        deadlines: Deadlines,
+    ) -> (ClientOutcome, f64) {
+        let mut last_ticket: Option<String> = None;
+        for _ in 0..MAX_ATTEMPTS {
+            let remaining = deadlines.announced.saturating_duration_since(Instant::now());
+            let check = envoy::check_request(client, last_ticket.as_deref(), remaining);
+            let retry = last_ticket.is_some();
+            let Some(outcome) = self.check(request, client.gateway, check, retry, deadlines.closes).await
+            else {
+                return (ClientOutcome::ClientClosed, 0.0);
             };
-            let (server, seconds, text) = match verdict {
-                Verdict::Allowed { server, timeout, ticket } => (server, timeout, ticket),
-                Verdict::Refused { retry_after } => return (Final::Refused, retry_after),
-                Verdict::Failed | Verdict::Bad => return (Final::Failed, 0.0),
-                Verdict::Broken => return (Final::Broken, 0.0),
+            let (backend, timeout_seconds, ticket) = match outcome {
+                CheckOutcome::Allowed { backend, timeout_seconds, ticket } => {
+                    (backend, timeout_seconds, ticket)
+                }
+                CheckOutcome::Rejected { retry_after_seconds } => {
+                    return (ClientOutcome::Rejected, retry_after_seconds);
+                }
+                CheckOutcome::Failed | CheckOutcome::Invalid => return (ClientOutcome::Failed, 0.0),
+                CheckOutcome::ConnectionLost => return (ClientOutcome::ConnectionLost, 0.0),
             };
-            let limit = (Instant::now() + Duration::from_secs_f64(seconds.max(0.0))).min(last);
             let sent = Instant::now();
-            let end = self.send(req, a_try, &server, &text, limit, last).await;
-            let done = match end {
-                End::Answered(200..=299) => Some(Final::Served),
-                End::Left => Some(Final::Left),
-                _ if last.saturating_duration_since(Instant::now()) < LEAST_LEFT => Some(Final::Failed),
+            let limit = (sent + Duration::from_secs_f64(timeout_seconds.max(0.0))).min(deadlines.closes);
+            let attempt = Attempt { request, backend: &backend, ticket: &ticket };
+            let ended = self.send_attempt(&attempt, client, limit, deadlines.closes).await;
+            let remaining = deadlines.closes.saturating_duration_since(Instant::now());
+            let final_outcome = match ended {
+                AttemptOutcome::Responded(200..=299) => Some(ClientOutcome::Served),
+                AttemptOutcome::ClientClosed => Some(ClientOutcome::ClientClosed),
+                _ if remaining < MIN_TIME_FOR_RETRY => Some(ClientOutcome::Failed),
                 _ => None,
             };
-            self.report(req, a_try, &text, end, done.is_some(), sent.elapsed());
-            if let Some(end) = done {
-                return (end, 0.0);
+            let entry = envoy::log_entry(&ticket, ended, final_outcome.is_some(), sent.elapsed());
+            self.report(&attempt, client, entry);
+            if let Some(outcome) = final_outcome {
+                return (outcome, 0.0);
             }
-            ticket = Some(text);
+            last_ticket = Some(ticket);
         }
-        (Final::Failed, 0.0)
+        (ClientOutcome::Failed, 0.0)
     }
 
-    /// Asks for a decision; `None` when the client left first, which resets the call.
-    async fn ask(
+    /// Asks a gateway for a decision; `None` when the client closed first, which cancels the call.
+    async fn check(
         &self,
-        req: u64,
-        gk: usize,
-        request: CheckRequest,
-        further: bool,
-        last: Instant,
-    ) -> Option<Verdict> {
-        let call = self.calls.fetch_add(1, Relaxed);
-        self.recorder.note(Fact::Ask { req, call, gk, further });
-        let mut client = self.gatekeepers[gk].check.clone();
-        match timeout_at(last, client.check(request)).await {
+        request: u64,
+        gateway: usize,
+        check: CheckRequest,
+        retry: bool,
+        closes: Instant,
+    ) -> Option<CheckOutcome> {
+        let call = self.next_call.fetch_add(1, Relaxed);
+        self.recorder.record(CaptureEvent::CheckSent { request, call, gateway, retry });
+        let mut client = self.gateways[gateway].check.clone();
+        match timeout_at(closes, client.check(check)).await {
             Ok(response) => {
-                let verdict = response.map_or(Verdict::Broken, |r| read(r.into_inner()));
-                self.recorder.note(Fact::Answer { req, call, gk, verdict: verdict.clone() });
-                Some(verdict)
+                let outcome = response.map_or(CheckOutcome::ConnectionLost, |response| {
+                    envoy::check_outcome(response.into_inner())
+                });
+                let recorded = outcome.clone();
+                self.recorder.record(CaptureEvent::CheckCompleted {
+                    request,
+                    call,
+                    gateway,
+                    outcome: recorded,
+                });
+                Some(outcome)
             }
             Err(_) => {
-                self.recorder.note(Fact::Reset { req, call, gk });
+                self.recorder.record(CaptureEvent::CheckCancelled { request, call, gateway });
                 None
             }
         }
     }
 
-    async fn send(
+    /// Sends an attempt, and waits for its end until `limit` at most.
+    async fn send_attempt(
         &self,
-        req: u64,
-        a_try: &Try,
-        server: &str,
-        ticket: &str,
+        attempt: &Attempt<'_>,
+        client: &ClientRequest,
         limit: Instant,
-        last: Instant,
-    ) -> End {
-        let shown = if a_try.habits.altered { alter(ticket, req) } else { ticket.to_string() };
-        self.recorder.note(Fact::Sent { req, server: server.to_string(), ticket: shown.clone() });
-        let left = a_try.habits.leaves_work.map(|after| Instant::now() + Duration::from_secs_f64(after));
-        let until = left.map_or(limit, |left| left.min(limit));
-        let end = match timeout_at(until, self.exchange(req, a_try, server, &shown)).await {
-            Ok(end) => end,
-            Err(_) if left.is_some_and(|left| left <= limit) || limit >= last => End::Left,
-            Err(_) => End::Timeout,
+        closes: Instant,
+    ) -> AttemptOutcome {
+        let behaviour = client.behaviour;
+        let sent_ticket = if behaviour.ticket_altered {
+            alter_ticket(attempt.ticket, attempt.request)
+        } else {
+            attempt.ticket.to_string()
         };
-        if a_try.habits.replayed {
-            self.recorder.note(Fact::Sent { req, server: server.to_string(), ticket: shown.clone() });
-            let _ = timeout(Duration::from_secs(1), self.exchange(req, a_try, server, &shown)).await; // Turned away.
+        let attempt = Attempt { ticket: &sent_ticket, ..*attempt };
+        self.record_attempt(&attempt);
+        let closes_during_attempt = behaviour
+            .closes_during_attempt_after_seconds
+            .map(|after| Instant::now() + Duration::from_secs_f64(after));
+        let until = closes_during_attempt.map_or(limit, |closes| closes.min(limit));
+        let outcome = match timeout_at(until, self.backends.exchange(&attempt, client)).await {
+            Ok(outcome) => outcome,
+            Err(_) if closes_during_attempt.is_some_and(|closes| closes <= limit) || limit >= closes => {
+                AttemptOutcome::ClientClosed
+            }
+            Err(_) => AttemptOutcome::Timeout,
+        };
+        if behaviour.ticket_replayed {
+            self.record_attempt(&attempt);
+            let replay = self.backends.exchange(&attempt, client);
+            let _ = timeout(REPLAY_TIMEOUT, replay).await; // The capture shows what the backend made of it.
         }
-        end
+        outcome
     }
 
-    /// One request to a checker, over an idle connection where there is one.
-    async fn exchange(&self, req: u64, a_try: &Try, server: &str, ticket: &str) -> End {
-        let Ok(address) = server.parse::<SocketAddr>() else { return End::NoConnection };
-        let idle = self.pool.lock().expect("no holder panics").get_mut(&address).and_then(Vec::pop);
-        let mut connection = match idle {
-            Some(connection) => connection,
-            None => match TcpStream::connect(address).await {
-                Ok(stream) => Framed::new(stream, ClientCodec::default()),
-                Err(_) => return End::NoConnection,
-            },
-        };
-        let mut headers = Headers::default();
-        headers.add("host", server);
-        headers.add("x-request-id", req);
-        headers.add("x-units", a_try.units);
-        headers.add("x-weirusher-ticket", ticket);
-        let request =
-            Request { method: "POST".into(), path: a_try.class.1.clone(), headers, ..Request::default() };
-        if connection.send(request).await.is_err() {
-            return End::Broken;
-        }
-        match connection.next().await {
-            Some(Ok(response)) => {
-                self.pool.lock().expect("no holder panics").entry(address).or_default().push(connection);
-                end_of(&response)
-            }
-            _ => End::Broken,
-        }
+    fn record_attempt(&self, attempt: &Attempt<'_>) {
+        self.recorder.record(CaptureEvent::AttemptSent {
+            request: attempt.request,
+            backend: attempt.backend.to_string(),
+            ticket: attempt.ticket.to_string(),
+        });
     }
 
-    fn report(&self, req: u64, a_try: &Try, ticket: &str, end: End, over: bool, spent: Duration) {
-        let habits = a_try.habits;
-        if habits.lost {
+    /// Reports the end of an attempt, as the behaviour profile has it.
+    fn report(&self, attempt: &Attempt<'_>, client: &ClientRequest, entry: HttpAccessLogEntry) {
+        let behaviour = client.behaviour;
+        if behaviour.report_lost {
             return;
         }
-        let gk = (a_try.gk + usize::from(habits.elsewhere)) % self.gatekeepers.len();
-        let reports = self.gatekeepers[gk].reports.clone();
-        let entry = entry(ticket, end, over, spent);
-        let (recorder, ticket) = (self.recorder.clone(), ticket.to_string());
-        let copies = 1 + usize::from(habits.doubled);
+        let request = attempt.request;
+        let gateway = (client.gateway + usize::from(behaviour.report_misdirected)) % self.gateways.len();
+        let reports = self.gateways[gateway].reports.clone();
+        let (recorder, ticket) = (self.recorder.clone(), attempt.ticket.to_string());
+        let copies = 1 + usize::from(behaviour.report_duplicated);
         let send = move || {
             for _ in 0..copies {
-                recorder.note(Fact::Report { req, gk, ticket: ticket.clone() });
-                let _ = reports.try_send(entry.clone()); // A lost report is the gatekeeper's to bear.
+                recorder.record(CaptureEvent::ReportSent { request, gateway, ticket: ticket.clone() });
+                let _ = reports.try_send(entry.clone()); // A gateway has to bear lost reports.
             }
         };
-        if habits.late > 0.0 {
-            let late = Duration::from_secs_f64(habits.late);
-            self.tasks.lock().expect("no holder panics").spawn(async move {
-                tokio::time::sleep(late).await;
+        if behaviour.report_delay_seconds > 0.0 {
+            let delay = Duration::from_secs_f64(behaviour.report_delay_seconds);
+            self.delayed_reports.lock().expect("no holder panics").spawn(async move {
+                tokio::time::sleep(delay).await;
                 send();
             });
         } else {
@@ -320,123 +276,12 @@
     }
 }
 
-fn check(a_try: &Try, ticket: Option<&str>, left: Duration) -> CheckRequest {
-    let mut headers: HashMap<String, String> = [
-        ("x-customer".to_string(), a_try.customer.clone()),
-        ("x-units".to_string(), a_try.units.to_string()),
-        ("x-envoy-expected-rq-timeout-ms".to_string(), left.as_millis().to_string()),
-    ]
-    .into();
-    headers.extend(ticket.map(|t| ("x-weirusher-ticket".to_string(), t.to_string())));
-    let http =
-        HttpRequest { method: "POST".into(), path: a_try.class.1.clone(), headers, ..HttpRequest::default() };
-    let request = Some(AttributeRequest { http: Some(http), time: None });
-    CheckRequest { attributes: Some(AttributeContext { request, ..AttributeContext::default() }) }
-}
-
-fn read(response: CheckResponse) -> Verdict {
-    let code = response.status.as_ref().map_or(-1, |s| s.code);
-    match response.http_response {
-        Some(HttpResponse::OkResponse(ok)) if code == 0 => {
-            let value = |name: &str| {
-                let mut found = ok.headers.iter().filter_map(|h| h.header.as_ref());
-                found.find(|h| h.key == name).map_or_else(String::new, |h| h.value.clone())
-            };
-            Verdict::Allowed {
-                server: value("x-weirusher-server"),
-                timeout: value("x-weirusher-timeout").parse().unwrap_or(0.0),
-                ticket: value("x-weirusher-ticket"),
-            }
-        }
-        Some(HttpResponse::DeniedResponse(denied)) => {
-            let advice =
-                denied.headers.iter().filter_map(|h| h.header.as_ref()).find(|h| h.key == "retry-after");
-            match denied.status.as_ref().map(|s| s.code) {
-                Some(429) => {
-                    Verdict::Refused { retry_after: advice.and_then(|h| h.value.parse().ok()).unwrap_or(0.0) }
-                }
-                Some(503) => Verdict::Failed,
-                _ => Verdict::Bad,
-            }
-        }
-        _ => Verdict::Bad,
-    }
-}
-
-fn end_of(response: &Response) -> End {
-    if response.headers.get("x-weirusher-turned-away").is_some() {
-        End::TurnedAway
-    } else {
-        End::Answered(response.status)
-    }
-}
-
-/// The ticket with one character of its fields changed, another one for each request: any of them may be the
-/// one that matters.
-fn alter(ticket: &str, req: u64) -> String {
+/// The ticket with one character of its fields changed; another one for each request, since any of them may be the one
+/// that is not verified.
+fn alter_ticket(ticket: &str, request: u64) -> String {
     let fields = ticket.find('.').and_then(|at| ticket[at + 1..].find('.').map(|more| at + more + 2));
     let (first, last) = (fields.unwrap_or(0), ticket.rfind('.').unwrap_or(ticket.len()));
-    let at = first + req as usize % (last - first).max(1);
+    let at = first + request as usize % (last - first).max(1);
     let other = if ticket.as_bytes()[at] == b'A' { "B" } else { "A" };
     format!("{}{other}{}", &ticket[..at], &ticket[at + 1..])
 }
-
-fn entry(ticket: &str, end: End, over: bool, spent: Duration) -> HttpAccessLogEntry {
-    let (mut flags, mut code) = (ResponseFlags::default(), 0);
-    let mut response = HttpResponseProperties::default();
-    match end {
-        End::Answered(status) => code = u32::from(status),
-        End::TurnedAway => {
-            code = 503;
-            response.response_headers.insert("x-weirusher-turned-away".into(), "1".into());
-        }
-        End::NoConnection => flags.upstream_connection_failure = true,
-        End::Broken => flags.upstream_connection_termination = true,
-        End::Timeout => flags.upstream_request_timeout = true,
-        End::Left => flags.downstream_connection_termination = true,
-    }
-    response.response_code = Some(UInt32Value { value: code });
-    let kind = if over { AccessLogType::DownstreamEnd } else { AccessLogType::UpstreamEnd };
-    let spent = ProtoDuration { seconds: spent.as_secs() as i64, nanos: spent.subsec_nanos() as i32 };
-    let common = AccessLogCommon {
-        response_flags: Some(flags),
-        access_log_type: kind.into(),
-        time_to_last_upstream_rx_byte: Some(spent),
-        ..AccessLogCommon::default()
-    };
-    let request_headers = [("x-weirusher-ticket".to_string(), ticket.to_string())].into();
-    HttpAccessLogEntry {
-        common_properties: Some(common),
-        request: Some(HttpRequestProperties { request_headers, ..HttpRequestProperties::default() }),
-        response: Some(response),
-        ..HttpAccessLogEntry::default()
-    }
-}
-
-/// Keeps a report stream to one gatekeeper. What a broken stream held is lost.
-async fn report_for_ever(channel: Channel, mut entries: mpsc::Receiver<HttpAccessLogEntry>) {
-    let mut batch = Vec::with_capacity(BATCH);
-    loop {
-        let (messages, stream) = mpsc::channel(BATCH);
-        let mut client = AccessLogServiceClient::new(channel.clone());
-        let mut call = std::pin::pin!(client.stream_access_logs(ReceiverStream::new(stream)));
-        loop {
-            tokio::select! {
-                _ = &mut call => break,
-                taken = entries.recv_many(&mut batch, BATCH) => {
-                    if taken == 0 {
-                        return;
-                    }
-                    let logs = HttpAccessLogEntries { log_entry: std::mem::take(&mut batch) };
-                    let log_entries = Some(LogEntries::HttpLogs(logs));
-                    // A stream that takes nothing is held back here, and the queue above loses what is too much.
-                    tokio::select! {
-                        _ = &mut call => break,
-                        _ = messages.send(StreamAccessLogsMessage { identifier: None, log_entries }) => {}
-                    }
-                }
-            }
-        }
-        tokio::time::sleep(REOPEN).await;
-    }
-}
--- /dev/null
+++ b/crates/fakes/src/recorder.rs
@@ -0,0 +1,47 @@
+//! Writes a capture: one JSON line for each event.
+
+use crate::capture::{CaptureEvent, CaptureRecord};
+use std::io::{BufWriter, Write};
+use std::sync::{Arc, Mutex};
+use std::time::Instant;
+
+/// Where a capture is written to.
+type Sink = Box<dyn Write + Send>;
+
+/// Records the events of all fakes of a run; clones write to the same capture.
+#[derive(Clone)]
+pub struct Recorder {
+    origin: Instant,
+    sink: Arc<Mutex<Option<BufWriter<Sink>>>>,
+}
+
+impl Recorder {
+    /// A recorder that writes to `sink`; without one, events are dropped.
+    pub fn new(sink: Option<Sink>) -> Self {
+        Self { origin: Instant::now(), sink: Arc::new(Mutex::new(sink.map(BufWriter::new))) }
+    }
+
+    /// Seconds since the recorder was made.
+    pub fn now(&self) -> f64 {
+        self.origin.elapsed().as_secs_f64()
+    }
+
+    /// Records an event. Its time is taken under the lock, so that lines are in the order of their times.
+    pub fn record(&self, event: CaptureEvent) {
+        let mut sink = self.sink.lock().expect("no writer panics");
+        let record = CaptureRecord { time_seconds: self.now(), event };
+        if let Some(sink) = sink.as_mut() {
+            let text = serde_json::to_string(&record).expect("an event is JSON");
+            if let Err(error) = writeln!(sink, "{text}") {
+                tracing::error!(%error, "the capture cannot be written"); // The audit finds that lines are missing.
+            }
+        }
+    }
+
+    /// Writes out what is buffered.
+    pub fn flush(&self) {
+        if let Some(sink) = self.sink.lock().expect("no writer panics").as_mut() {
+            let _ = sink.flush(); // A truncated capture fails its audit.
+        }
+    }
+}
--- a/crates/fakes/src/scripted.rs
+++ b/crates/fakes/src/scripted_server.rs
@@ -1,8 +1,8 @@
-//! A party of the platform that speaks HTTP/1.1: worker, counter or discovery, by a script that decides each
-//! answer, whole, spoilt or none; and what came, connection by connection.
+//! An HTTP/1.1 server whose script decides each response, well-formed, malformed or none; it keeps what it received.
 
-use crate::agent::ListCall;
 use crate::connections;
+use crate::endpoint_list::PendingPoll;
+use crate::http_frame::frame;
 use bytes::{Bytes, BytesMut};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,79 +16,75 @@
 use tokio_util::codec::Decoder;
 use weirusher_wire::http1::{Request, ServerCodec};
 
-/// Requests it keeps; later ones are answered and not kept.
-const MOST_KEPT: usize = 100_000;
+/// Requests that are kept; later ones are answered and not kept.
+const MAX_KEPT_REQUESTS: usize = 100_000;
 
-/// What a script answers.
+/// What a script answers to a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// These bytes, whatever they are; the connection stays open.
+    /// These bytes, well-formed or not; the connection stays open.
     Bytes(Bytes),
-    /// These bytes after so long.
-    After(Duration, Bytes),
-    /// These bytes, one by one, with so long between two.
+    /// These bytes after a delay.
+    Delayed(Duration, Bytes),
+    /// These bytes, one by one, with a delay between two.
     Trickle(Duration, Bytes),
-    /// These bytes, and the same again after so long.
-    Twice(Duration, Bytes),
-    /// These bytes, once the gate is open.
+    /// These bytes, and once more after a delay.
+    Duplicate(Duration, Bytes),
+    /// These bytes, once the gate is `true`.
     Gated(watch::Receiver<bool>, Bytes),
-    /// Some of these bytes at once, and the rest once the gate is open.
-    Parts(Bytes, watch::Receiver<bool>, Bytes),
-    /// What an agent holds of the list, at once or when there is news.
-    List(ListCall),
+    /// The first bytes at once, and the rest once the gate is `true`.
+    GatedRest(Bytes, watch::Receiver<bool>, Bytes),
+    /// A discovery agent's endpoint list, at once or when there is a newer one.
+    EndpointList(PendingPoll),
     /// Nothing; the connection stays open.
-    Silence,
-    /// The connection breaks.
-    Break,
-    /// These bytes, and then the connection ends.
-    Last(Bytes),
+    NoReply,
+    /// Nothing; the connection is closed.
+    Close,
+    /// These bytes, and then the connection is closed.
+    BytesThenClose(Bytes),
     /// These bytes, and then, once they have arrived, the connection is reset.
-    Reset(Bytes),
+    BytesThenReset(Bytes),
 }
 
 impl Reply {
-    /// A well-framed answer.
+    /// A well-framed response of status 200.
     pub fn ok(body: &str) -> Self {
         Self::Bytes(frame(200, "", body))
     }
 }
 
-/// A well-framed answer's bytes; `headers` are whole lines.
-pub fn frame(status: u16, headers: &str, body: &str) -> Bytes {
-    format!("HTTP/1.1 {status} -\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()).into()
-}
-
-/// A request as it came.
+/// A request as the server received it.
 #[derive(Debug, Clone)]
-pub struct Came {
+pub struct ReceivedRequest {
     /// The number of its connection, from 1.
     pub connection: u64,
-    /// When it had come whole.
-    pub at: Instant,
+    /// When it was complete.
+    pub received_at: Instant,
     /// The request.
     pub request: Request,
 }
 
-/// Decides each answer.
+/// Decides the reply to a request.
 pub type Script = dyn Fn(&Request) -> Reply + Send + Sync;
 
 struct Shared {
     script: Mutex<Arc<Script>>,
-    came: Mutex<Vec<Came>>,
-    changed: watch::Sender<usize>,
+    received: Mutex<Vec<ReceivedRequest>>,
+    /// Length of `received`.
+    count: watch::Sender<usize>,
     connections: AtomicU64,
 }
 
-/// A scripted party. Dropped, it is killed.
-pub struct Scripted {
+/// A scripted server. Dropping it kills it.
+pub struct ScriptedServer {
     /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _tasks: JoinSet<()>,
 }
 
-impl Scripted {
-    /// Starts one on `address`; port 0 chooses one.
+impl ScriptedServer {
+    /// Starts a server on `address`; port 0 chooses one.
     ///
     /// # Errors
     /// It cannot listen.
@@ -99,55 +95,58 @@
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let script: Arc<Script> = Arc::new(script);
-        let (came, changed) = (Mutex::default(), watch::Sender::new(0));
-        let shared =
-            Arc::new(Shared { script: Mutex::new(script), came, changed, connections: AtomicU64::new(0) });
+        let shared = Arc::new(Shared {
+            script: Mutex::new(script),
+            received: Mutex::default(),
+            count: watch::Sender::new(0),
+            connections: AtomicU64::new(0),
+        });
         let mut tasks = JoinSet::new();
         tasks.spawn({
             let shared = shared.clone();
-            connections::serve(listener, move |stream| connection(stream, shared.clone()))
+            connections::serve(listener, move |stream| serve_connection(stream, shared.clone()))
         });
         Ok(Self { address, shared, _tasks: tasks })
     }
 
-    /// Answers by another script from now on.
+    /// Replaces the script for the requests that come from now on.
     pub fn set_script(&self, script: impl Fn(&Request) -> Reply + Send + Sync + 'static) {
         *self.shared.script.lock().expect("no holder panics") = Arc::new(script);
     }
 
-    /// What has come so far.
-    pub fn came(&self) -> Vec<Came> {
-        self.shared.came.lock().expect("no holder panics").clone()
+    /// The requests received so far.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.shared.received.lock().expect("no holder panics").clone()
     }
 
-    /// Waits until `many` requests have come.
-    pub async fn wait_for(&self, many: usize) {
-        let mut changed = self.shared.changed.subscribe();
-        let _ = changed.wait_for(|came| *came >= many).await; // The sender lives as long as this.
+    /// Waits until `count` requests have been received.
+    pub async fn wait_for_requests(&self, count: usize) {
+        let mut received = self.shared.count.subscribe();
+        let _ = received.wait_for(|received| *received >= count).await; // The sender lives as long as this.
     }
 
-    /// Connections made so far.
+    /// Connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.shared.connections.load(Ordering::Relaxed)
     }
 }
 
-async fn connection(mut stream: TcpStream, shared: Arc<Shared>) {
-    let number = shared.connections.fetch_add(1, Ordering::Relaxed) + 1;
+async fn serve_connection(mut stream: TcpStream, shared: Arc<Shared>) {
+    let connection = shared.connections.fetch_add(1, Ordering::Relaxed) + 1;
     let (mut codec, mut buffer) = (ServerCodec::default(), BytesMut::new());
     loop {
         while let Ok(Some(request)) = codec.decode(&mut buffer) {
             let script = shared.script.lock().expect("no holder panics").clone();
             let reply = script(&request);
-            let many = {
-                let mut came = shared.came.lock().expect("no holder panics");
-                if came.len() < MOST_KEPT {
-                    came.push(Came { connection: number, at: Instant::now(), request });
+            let count = {
+                let mut received = shared.received.lock().expect("no holder panics");
+                if received.len() < MAX_KEPT_REQUESTS {
+                    received.push(ReceivedRequest { connection, received_at: Instant::now(), request });
                 }
-                came.len()
+                received.len()
             };
-            shared.changed.send_replace(many);
-            if !answer(&mut stream, reply).await {
+            shared.count.send_replace(count);
+            if !write_reply(&mut stream, reply).await {
                 return;
             }
         }
@@ -157,11 +156,11 @@
     }
 }
 
-/// Writes an answer; `false`: the connection is over.
-async fn answer(stream: &mut TcpStream, reply: Reply) -> bool {
+/// Writes a reply; `false`: the connection is to be closed.
+async fn write_reply(stream: &mut TcpStream, reply: Reply) -> bool {
     match reply {
         Reply::Bytes(bytes) => stream.write_all(&bytes).await.is_ok(),
-        Reply::After(pause, bytes) => {
+        Reply::Delayed(pause, bytes) => {
             tokio::time::sleep(pause).await;
             stream.write_all(&bytes).await.is_ok()
         }
@@ -174,7 +173,7 @@
             }
             true
         }
-        Reply::Twice(pause, bytes) => {
+        Reply::Duplicate(pause, bytes) => {
             let once = stream.write_all(&bytes).await.is_ok();
             tokio::time::sleep(pause).await;
             once && stream.write_all(&bytes).await.is_ok()
@@ -183,31 +182,32 @@
             let opened = gate.wait_for(|open| *open).await.is_ok();
             opened && stream.write_all(&bytes).await.is_ok()
         }
-        Reply::Parts(first, mut gate, rest) => {
+        Reply::GatedRest(first, mut gate, rest) => {
             let begun = stream.write_all(&first).await.is_ok();
             let opened = gate.wait_for(|open| *open).await.is_ok();
             begun && opened && stream.write_all(&rest).await.is_ok()
         }
-        Reply::List(call) => match call.answer().await {
+        Reply::EndpointList(poll) => match poll.response().await {
             Some(bytes) => stream.write_all(&bytes).await.is_ok(),
             None => true,
         },
-        Reply::Silence => true,
-        Reply::Break => false,
-        Reply::Last(bytes) => {
-            let _ = stream.write_all(&bytes).await; // It breaks in any case.
+        Reply::NoReply => true,
+        Reply::Close => false,
+        Reply::BytesThenClose(bytes) => {
+            let _ = stream.write_all(&bytes).await; // The connection is closed in any case.
             false
         }
-        Reply::Reset(bytes) => {
-            let _ = stream.write_all(&bytes).await; // It breaks in any case.
-            // On loopback what is written has arrived.
+        Reply::BytesThenReset(bytes) => {
+            let _ = stream.write_all(&bytes).await; // The connection is closed in any case.
+            // On loopback, bytes that were written have arrived.
             let _ = stream.set_zero_linger();
             false
         }
     }
 }
 
-/// A counter's script: it adds, by the platform's form, and answers the totals.
+/// The script of the platform's counter: adds the query parameter `delta` to the total of the path, and answers the
+/// total; 400 without a valid `delta`.
 pub fn counting() -> impl Fn(&Request) -> Reply + Send + Sync + 'static {
     let totals: Mutex<HashMap<String, f64>> = Mutex::default();
     move |request| {
--- a/crates/scenarios/src/faults.rs
+++ b/crates/scenarios/src/faults.rs
@@ -1,236 +1,275 @@
-//! Plays a day's faults on the fleet, each at its time.
+//! Injects a scenario's faults into the fleet, each at its time.
 
 use crate::fleet::{Fleet, FleetError};
-use crate::scenario::{Between, CounterHow, Fault, Kind};
+use crate::scenario::{CounterFaultKind, Fault, FaultKind, LinkEnds};
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
-use weirusher_fakes::{CounterFault, Fact, Link, PeerWay, Recorder, Switch};
+use weirusher_fakes::{
+    CaptureEvent, CounterFault, Link, LinkFault, NetworkConditions, PeerNetwork, Recorder,
+};
 
-/// A fault's beginning or end.
+/// Milliseconds in a second.
+const MS_PER_SECOND: f64 = 1000.0;
+
+/// The beginning or the end of a fault.
 struct Step {
-    at: f64,
+    at_seconds: f64,
     fault: usize,
     begins: bool,
 }
 
-/// Plays all faults, from `start`; tells whether every gatekeeper that was stopped ended well.
-pub(crate) async fn play(
+/// Injects all faults, counted from `start`; whether every gateway that was stopped ended well.
+///
+/// # Errors
+/// A gateway or a backend does not start again.
+pub(crate) async fn inject(
     fleet: &mut Fleet,
-    factors: &watch::Sender<Vec<f64>>,
+    demand_factors: &watch::Sender<Vec<f64>>,
     start: Instant,
 ) -> Result<bool, FleetError> {
-    let faults = fleet.day.fault.clone();
+    let faults = fleet.scenario.faults.clone();
     let mut steps: Vec<Step> = Vec::new();
-    for (fault, made) in faults.iter().enumerate() {
-        steps.push(Step { at: made.at, fault, begins: true });
-        steps.push(Step { at: made.at + made.lasts, fault, begins: false });
+    for (index, fault) in faults.iter().enumerate() {
+        let end_seconds = fault.at_seconds + fault.duration_seconds;
+        steps.push(Step { at_seconds: fault.at_seconds, fault: index, begins: true });
+        steps.push(Step { at_seconds: end_seconds, fault: index, begins: false });
     }
-    steps.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let mut well = true;
+    steps.sort_by(|a, b| a.at_seconds.total_cmp(&b.at_seconds));
+    let mut ended_well = true;
     for step in steps {
-        tokio::time::sleep_until(start + Duration::from_secs_f64(step.at)).await;
+        tokio::time::sleep_until(start + Duration::from_secs_f64(step.at_seconds)).await;
         let fault = &faults[step.fault];
-        let text = format!("{} {:?}", if step.begins { "begins:" } else { "over:" }, fault.kind);
-        fleet.recorder.note(Fact::Fault { text });
-        well &= if step.begins {
-            begin(fleet, fault, factors).await?
+        let what = if step.begins { "begins:" } else { "over:" };
+        let description = format!("{what} {:?}", fault.kind);
+        fleet.recorder.record(CaptureEvent::Fault { description });
+        if fault.kind.needs_membership() {
+            inject_between_peers(fleet, fault, step.begins).await?;
+        } else if step.begins {
+            ended_well &= begin(fleet, &fault.kind, demand_factors).await;
         } else {
-            end(fleet, fault, factors).await?
-        };
+            end(fleet, &fault.kind, demand_factors).await?;
+        }
     }
-    Ok(well)
+    Ok(ended_well)
 }
 
-async fn begin(
-    fleet: &mut Fleet,
-    fault: &Fault,
-    factors: &watch::Sender<Vec<f64>>,
-) -> Result<bool, FleetError> {
-    let mut well = true;
-    match &fault.kind {
-        Kind::KillGatekeepers { which, .. } => fleet.kill_gatekeepers(which).await,
-        Kind::PauseGatekeepers { which } => {
-            which.iter().for_each(|number| fleet.pause_gatekeeper(*number, true));
+/// Begins a fault; whether the gateways that it stops ended well.
+async fn begin(fleet: &mut Fleet, kind: &FaultKind, demand_factors: &watch::Sender<Vec<f64>>) -> bool {
+    match kind {
+        FaultKind::KillGateways { which, .. } => fleet.kill_gateways(which).await,
+        FaultKind::PauseGateways { which } => which.iter().for_each(|gateway| fleet.pause_gateway(*gateway)),
+        FaultKind::StopGateways { which } => return fleet.stop_gateways(which).await,
+        FaultKind::Counter { how, delay_seconds } => {
+            fleet.counter.set_fault(counter_fault(*how, *delay_seconds));
         }
-        Kind::TwinGatekeeper { which } => {
-            for number in which {
-                fleet.twin(*number, true).await?;
+        FaultKind::CounterCleared => fleet.counter.clear(),
+        FaultKind::CounterUnreachable => {
+            for gateway in &fleet.gateways {
+                gateway.to_counter.set(|link| link.refuse_connections = true);
+                gateway.to_counter.reset();
             }
         }
-        Kind::StopGatekeepers { which } => well = fleet.stop_gatekeepers(which).await,
-        Kind::Counter { how, seconds } => fleet.counter.set_fault(match how {
-            CounterHow::Silent => CounterFault::Silent,
-            CounterHow::Half => CounterFault::Half,
-            CounterHow::Reset => CounterFault::Reset,
-            CounterHow::WrongType => CounterFault::WrongType,
-            CounterHow::Late => CounterFault::Late(*seconds),
-        }),
-        Kind::CounterEmptied => fleet.counter.empty(),
-        Kind::CounterGone => {
-            for gatekeeper in &fleet.gatekeepers {
-                gatekeeper.to_counter.set(|f| f.refuse = true);
-                gatekeeper.to_counter.reset();
+        FaultKind::Drain { which } => {
+            which.iter().for_each(|backend| fleet.drain_backend(*backend));
+            fleet.publish_endpoints();
+        }
+        FaultKind::KillBackends { which } => {
+            which.iter().for_each(|backend| fleet.kill_backend(*backend));
+            fleet.publish_endpoints();
+        }
+        FaultKind::SlowBackends { which, factor } => slow_down(fleet, which, *factor),
+        FaultKind::ListFrozen => fleet.discovery.freeze(true),
+        FaultKind::Link { ends, which, .. } => {
+            for number in which {
+                record_reachable(fleet, *ends, *number, false);
+                if let Some(link) = link(fleet, *ends, *number) {
+                    fail_link(link, kind);
+                }
             }
         }
-        Kind::Drain { which } => {
-            which.iter().for_each(|number| fleet.drain(*number));
-            fleet.publish();
+        FaultKind::DemandSurge { plan, factor } => demand_factors.send_modify(|f| f[*plan] = *factor),
+        _ => unreachable!("faults between gateways are injected by inject_between_peers"),
+    }
+    true
+}
+
+/// Ends a fault.
+async fn end(
+    fleet: &mut Fleet,
+    kind: &FaultKind,
+    demand_factors: &watch::Sender<Vec<f64>>,
+) -> Result<(), FleetError> {
+    match kind {
+        FaultKind::KillGateways { which, clock_shift_seconds } => {
+            fleet.start_gateways(which, *clock_shift_seconds).await?;
+        }
+        FaultKind::StopGateways { which } => fleet.start_gateways(which, 0.0).await?,
+        FaultKind::PauseGateways { which } => {
+            which.iter().for_each(|gateway| fleet.continue_gateway(*gateway));
+        }
+        FaultKind::Counter { .. } => fleet.counter.set_fault(CounterFault::None),
+        FaultKind::CounterCleared => {}
+        FaultKind::CounterUnreachable => {
+            let links = fleet.gateways.iter().map(|gateway| &gateway.to_counter);
+            links.for_each(|link| link.set(|link| link.refuse_connections = false));
+        }
+        FaultKind::Drain { which } => {
+            for backend in which {
+                fleet.kill_backend(*backend);
+                fleet.start_backend(*backend, true).await?;
+            }
+            fleet.publish_endpoints();
         }
-        Kind::KillCheckers { which } => {
-            which.iter().for_each(|number| fleet.kill_checker(*number));
-            fleet.publish();
+        FaultKind::KillBackends { which } => {
+            for backend in which {
+                fleet.start_backend(*backend, true).await?;
+            }
+            fleet.publish_endpoints();
         }
-        Kind::SlowCheckers { which, factor } => slow(fleet, which, *factor),
-        Kind::ListFrozen => fleet.discovery.freeze(true),
-        Kind::Link { between, which, .. } => {
+        FaultKind::SlowBackends { which, .. } => slow_down(fleet, which, 1.0),
+        FaultKind::ListFrozen => fleet.discovery.freeze(false),
+        FaultKind::Link { ends, which, .. } => {
             for number in which {
-                way(fleet, *between, *number, false);
-                let Some(link) = link(fleet, *between, *number) else { continue };
-                set_link(link, &fault.kind);
+                if let Some(link) = link(fleet, *ends, *number) {
+                    link.set(|fault| *fault = LinkFault { resets: fault.resets, ..LinkFault::default() });
+                }
+                record_reachable(fleet, *ends, *number, true);
             }
         }
-        Kind::Hot { plan, factor } => factors.send_modify(|f| f[*plan] = *factor),
-        Kind::PeerWay { .. }
-        | Kind::PeerCut { .. }
-        | Kind::PeerBlock { .. }
-        | Kind::PeerRing
-        | Kind::PeerFlood { .. } => between_peers(fleet, fault, true),
+        FaultKind::DemandSurge { plan, .. } => demand_factors.send_modify(|f| f[*plan] = 1.0),
+        _ => unreachable!("faults between gateways are injected by inject_between_peers"),
     }
-    Ok(well)
+    Ok(())
 }
 
-/// Faults of the network between gatekeepers.
-fn between_peers(fleet: &mut Fleet, fault: &Fault, begins: bool) {
-    let Some(peers) = &mut fleet.peers else { return };
-    let (size, recorder) = (peers.switch.addresses.len(), &fleet.recorder);
-    let ring = |from: usize, to: usize| from == (to + 1) % size;
+/// Begins or ends a fault of the membership or the network between gateways.
+async fn inject_between_peers(fleet: &mut Fleet, fault: &Fault, begins: bool) -> Result<(), FleetError> {
+    if let FaultKind::DuplicateGateway { which } = &fault.kind {
+        for gateway in which {
+            if begins {
+                fleet.start_duplicate(*gateway).await?;
+            } else {
+                fleet.kill_duplicate(*gateway).await;
+            }
+        }
+        return Ok(());
+    }
+    let Some(peers) = &mut fleet.peers else { return Ok(()) };
+    let recorder = &fleet.recorder;
+    let size = peers.network.addresses.len();
+    let pairs = || (0..size).flat_map(move |from| (0..size).map(move |to| (from, to)));
     match &fault.kind {
-        Kind::PeerWay { loss, double, delay_ms: [least, most], replay, replay_after_seconds } => {
-            let way = PeerWay {
-                loss: *loss,
-                double: *double,
-                delay: (least / 1000.0, most / 1000.0),
-                replay: *replay,
-                replay_after: *replay_after_seconds,
-            };
-            peers.switch.set_way(if begins { way } else { PeerWay::default() });
-        }
-        Kind::PeerCut { groups, stripes } => {
+        kind @ FaultKind::PeerConditions { .. } => {
+            let conditions = if begins { conditions(kind) } else { NetworkConditions::default() };
+            peers.network.set_conditions(conditions);
+        }
+        FaultKind::PeerPartition { groups, stripes } => {
             let count = if begins { (*groups).max(1) } else { 1 };
-            let group = |number: usize| if *stripes { number * count / size } else { number % count };
+            let group = |gateway: usize| if *stripes { gateway * count / size } else { gateway % count };
             let groups: Vec<usize> = (0..size).map(group).collect();
-            peers.switch.cut(groups.clone());
-            recorder.note(Fact::Groups { groups });
+            peers.network.partition(groups.clone());
+            recorder.record(CaptureEvent::NetworkPartitioned { groups });
         }
-        Kind::PeerBlock { from, to } => {
-            let pairs = from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to)));
-            block(&peers.switch, recorder, pairs.filter(|(from, to)| from != to), begins);
+        FaultKind::PeerBlock { from, to } => {
+            let listed = from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to)));
+            let blocked = listed.filter(|(from, to)| from != to);
+            set_blocked(&peers.network, recorder, blocked, begins);
         }
-        Kind::PeerRing => {
-            let pairs = (0..size).flat_map(|from| (0..size).map(move |to| (from, to)));
-            block(
-                &peers.switch,
-                recorder,
-                pairs.filter(|(from, to)| from != to && !ring(*from, *to)),
-                begins,
-            );
+        FaultKind::PeerRing => {
+            let blocked = pairs().filter(|(from, to)| from != to && *from != (to + 1) % size);
+            set_blocked(&peers.network, recorder, blocked, begins);
         }
-        Kind::PeerFlood { from, to, per_second, how } if begins => {
-            peers.switch.flood(*from, *to, *per_second, fault.lasts, *how);
+        FaultKind::PeerFlood { from, to, per_second, flood } if begins => {
+            peers.network.flood(*from, *to, *per_second, fault.duration_seconds, *flood);
         }
+        // A flood ends by itself.
         _ => {}
     }
+    Ok(())
 }
 
-fn block(switch: &Switch, recorder: &Recorder, pairs: impl Iterator<Item = (usize, usize)>, blocked: bool) {
-    for (from, to) in pairs {
-        switch.block(from, to, blocked);
-        recorder.note(Fact::Blocked { from, to, blocked });
+/// The conditions that a fault of the kind `PeerConditions` describes.
+fn conditions(kind: &FaultKind) -> NetworkConditions {
+    let FaultKind::PeerConditions {
+        loss_probability,
+        duplicate_probability,
+        delay_ms: [least, most],
+        replay_probability,
+        replay_after_seconds,
+    } = kind
+    else {
+        return NetworkConditions::default();
+    };
+    NetworkConditions {
+        loss_probability: *loss_probability,
+        duplicate_probability: *duplicate_probability,
+        delay_seconds: least / MS_PER_SECOND..=most / MS_PER_SECOND,
+        replay_probability: *replay_probability,
+        replay_after_seconds: *replay_after_seconds,
     }
 }
 
-async fn end(
-    fleet: &mut Fleet,
-    fault: &Fault,
-    factors: &watch::Sender<Vec<f64>>,
-) -> Result<bool, FleetError> {
-    match &fault.kind {
-        Kind::KillGatekeepers { which, clock_shift_seconds } => {
-            fleet.start_gatekeepers(which, *clock_shift_seconds).await?;
-        }
-        Kind::StopGatekeepers { which } => fleet.start_gatekeepers(which, 0.0).await?,
-        Kind::PauseGatekeepers { which } => {
-            which.iter().for_each(|number| fleet.pause_gatekeeper(*number, false));
-        }
-        Kind::TwinGatekeeper { which } => {
-            for number in which {
-                fleet.twin(*number, false).await?;
-            }
-        }
-        Kind::Counter { .. } => fleet.counter.set_fault(CounterFault::None),
-        Kind::CounterEmptied => {}
-        Kind::CounterGone => fleet.gatekeepers.iter().for_each(|g| g.to_counter.set(|f| f.refuse = false)),
-        Kind::Drain { which } => {
-            for number in which {
-                fleet.kill_checker(*number);
-                fleet.start_checker(*number, true).await?;
-            }
-            fleet.publish();
-        }
-        Kind::KillCheckers { which } => {
-            for number in which {
-                fleet.start_checker(*number, true).await?;
-            }
-            fleet.publish();
-        }
-        Kind::SlowCheckers { which, .. } => slow(fleet, which, 1.0),
-        Kind::ListFrozen => fleet.discovery.freeze(false),
-        Kind::Link { between, which, .. } => {
-            for number in which {
-                if let Some(link) = link(fleet, *between, *number) {
-                    link.set(|f| *f = weirusher_fakes::LinkFault { breaks: f.breaks, ..Default::default() });
-                }
-                way(fleet, *between, *number, true);
-            }
-        }
-        Kind::Hot { plan, .. } => factors.send_modify(|f| f[*plan] = 1.0),
-        Kind::PeerWay { .. }
-        | Kind::PeerCut { .. }
-        | Kind::PeerBlock { .. }
-        | Kind::PeerRing
-        | Kind::PeerFlood { .. } => between_peers(fleet, fault, false),
+/// Blocks or unblocks directions, given as from and to.
+fn set_blocked(
+    network: &PeerNetwork,
+    recorder: &Recorder,
+    directions: impl Iterator<Item = (usize, usize)>,
+    blocked: bool,
+) {
+    for (from, to) in directions {
+        network.set_blocked(from, to, blocked);
+        recorder.record(CaptureEvent::DirectionBlocked { from, to, blocked });
+    }
+}
+
+fn counter_fault(kind: CounterFaultKind, delay_seconds: f64) -> CounterFault {
+    match kind {
+        CounterFaultKind::Silent => CounterFault::Silent,
+        CounterFaultKind::PartialReply => CounterFault::PartialReply,
+        CounterFaultKind::ConnectionReset => CounterFault::ConnectionReset,
+        CounterFaultKind::WrongType => CounterFault::WrongType,
+        CounterFaultKind::Delayed => CounterFault::Delayed(delay_seconds),
     }
-    Ok(true)
 }
 
-fn slow(fleet: &Fleet, which: &[usize], factor: f64) {
-    let processes = which.iter().filter_map(|number| fleet.checkers[*number].process.as_ref());
+fn slow_down(fleet: &Fleet, which: &[usize], factor: f64) {
+    let processes = which.iter().filter_map(|backend| fleet.backends[*backend].process.as_ref());
     processes.for_each(|process| process.slow_down(factor));
 }
 
-fn link(fleet: &Fleet, between: Between, number: usize) -> Option<&Link> {
-    let gatekeeper = fleet.gatekeepers.get(number);
-    match between {
-        Between::EdgeGatekeeper => gatekeeper.map(|g| &g.front),
-        Between::GatekeeperCounter => gatekeeper.map(|g| &g.to_counter),
-        Between::GatekeeperDiscovery => gatekeeper.map(|g| &g.to_discovery),
-        Between::EdgeChecker => fleet.checkers.get(number).map(|c| &c.front),
+fn link(fleet: &Fleet, ends: LinkEnds, number: usize) -> Option<&Link> {
+    let gateway = fleet.gateways.get(number);
+    match ends {
+        LinkEnds::LoadGeneratorGateway => gateway.map(|gateway| &gateway.front),
+        LinkEnds::GatewayCounter => gateway.map(|gateway| &gateway.to_counter),
+        LinkEnds::GatewayDiscovery => gateway.map(|gateway| &gateway.to_discovery),
+        LinkEnds::LoadGeneratorBackend => fleet.backends.get(number).map(|backend| &backend.front),
     }
 }
 
-fn way(fleet: &Fleet, between: Between, gk: usize, open: bool) {
-    if between == Between::EdgeGatekeeper {
-        fleet.recorder.note(Fact::Way { gk, open });
+fn record_reachable(fleet: &Fleet, ends: LinkEnds, gateway: usize, reachable: bool) {
+    if ends == LinkEnds::LoadGeneratorGateway {
+        fleet.recorder.record(CaptureEvent::GatewayReachable { gateway, reachable });
     }
 }
 
-fn set_link(link: &Link, kind: &Kind) {
-    let Kind::Link { delay_ms, stall_up, stall_down, refuse, reset, bytes_per_second, .. } = kind else {
+fn fail_link(link: &Link, kind: &FaultKind) {
+    let FaultKind::Link {
+        delay_ms,
+        stall_to_target,
+        stall_from_target,
+        refuse_connections,
+        reset,
+        bytes_per_second,
+        ..
+    } = kind
+    else {
         return;
     };
-    link.set(|f| {
-        (f.delay, f.stall_up, f.stall_down) = (delay_ms / 1000.0, *stall_up, *stall_down);
-        (f.refuse, f.slow_reader) = (*refuse, *bytes_per_second);
+    link.set(|fault| {
+        fault.delay_seconds = delay_ms / MS_PER_SECOND;
+        (fault.stall_to_target, fault.stall_from_target) = (*stall_to_target, *stall_from_target);
+        (fault.refuse_connections, fault.bytes_per_second) = (*refuse_connections, *bytes_per_second);
     });
     if *reset {
         link.reset();
--- a/crates/scenarios/src/peers.rs
+++ b/crates/scenarios/src/peers.rs
@@ -1,155 +1,136 @@
-//! Gatekeepers that know of each other: the network between them, what they are told, and what they state.
+//! The membership of the gateways: their `[fleet]` configuration, the network between them, and the polling of what each
+//! reports of the others.
 
-use crate::scenario::{Peers as BehaviourProfile, Scenario};
+use crate::scenario::{PeerSpec, Scenario};
 use std::net::SocketAddr;
-use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::task::JoinSet;
-use weirusher_fakes::{Belief, Fact, Recorder, Reply, Scripted, Switch, frame};
+use tokio::time::MissedTickBehavior;
+use weirusher_fakes::{CaptureEvent, MembershipReport, PeerNetwork, Recorder};
 use weirusher_fleet::Brief;
 
-/// The fleet's key, and that of strangers: known to a rehearsal's own processes, and of no use elsewhere.
-const KEYS: [&str; 2] = ["rehearsal-only-rehearsal-only-32", "strangers-only-strangers-only-32"];
-/// How long a gatekeeper may take to say what it believes.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// The key of the fleet. It is public: nothing outside a run accepts it.
+const FLEET_KEY: &str = "scenario-runs-only-0123456789abc";
+/// The key of gateways that have another one.
+const OTHER_KEY: &str = "another-fleets-key-0123456789abc";
+/// The address of the member that only a longer member list has; nobody listens there.
+const EXTRA_MEMBER: &str = "127.0.0.1:9";
+/// Limit for a gateway's membership report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Least milliseconds between two requests for a gateway's membership report.
+const MIN_POLL_INTERVAL_MS: u64 = 10;
 
-/// Where a gatekeeper's processes state what they believe: its own page, and that of a second one.
+/// Where a member receives datagrams, and its admin page.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct MemberAddresses {
+    pub datagrams: SocketAddr,
+    pub admin: SocketAddr,
+}
+
+/// The processes under a gateway's number.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Pages {
-    pub own: Option<SocketAddr>,
-    pub twin: Option<SocketAddr>,
+struct Member {
+    process: Option<MemberAddresses>,
+    duplicate: Option<MemberAddresses>,
 }
 
-/// The network between gatekeepers, and who asks them.
-pub(crate) struct PeerNet {
-    pub switch: Switch,
-    habits: BehaviourProfile,
-    pages: Vec<Arc<Mutex<Pages>>>,
-    /// Where each one's datagrams are received: its own, and its twin's.
-    homes: Vec<[Option<SocketAddr>; 2]>,
-    asking: JoinSet<()>,
+/// The membership of a fleet.
+pub(crate) struct PeerHarness {
+    pub network: PeerNetwork,
+    spec: PeerSpec,
+    members: Vec<Arc<Mutex<Member>>>,
+    polling: JoinSet<()>,
 }
 
-impl PeerNet {
-    pub async fn start(
-        day: &Scenario,
-        habits: BehaviourProfile,
-        recorder: &Recorder,
-    ) -> std::io::Result<Self> {
-        let size = day.fleet.gatekeepers;
-        let switch = Switch::start(size, day.seed, recorder.clone()).await?;
-        let pages = (0..size).map(|_| Arc::default()).collect();
-        Ok(Self { switch, habits, pages, homes: vec![[None; 2]; size], asking: JoinSet::new() })
+impl PeerHarness {
+    pub async fn start(scenario: &Scenario, spec: PeerSpec, recorder: &Recorder) -> std::io::Result<Self> {
+        let size = scenario.fleet.gateways;
+        let network = PeerNetwork::start(size, scenario.seed, recorder.clone()).await?;
+        let members = (0..size).map(|_| Arc::default()).collect();
+        Ok(Self { network, spec, members, polling: JoinSet::new() })
     }
 
-    /// A gatekeeper's `[fleet]`.
-    pub fn config(&self, number: usize, own_number: bool, clock_shift: f64) -> String {
+    /// A gateway's `[fleet]` section, with its number where the rest of its configuration has none.
+    pub fn config(&self, gateway: usize, with_number: bool, clock_shift_seconds: f64) -> String {
         let mut members: Vec<String> =
-            self.switch.addresses.iter().map(|address| format!("\"{address}\"")).collect();
-        if self.habits.misled.contains(&number) {
-            members.push("\"127.0.0.1:9\"".into());
+            self.network.addresses.iter().map(|address| format!("\"{address}\"")).collect();
+        if self.spec.other_size.contains(&gateway) {
+            members.push(format!("\"{EXTRA_MEMBER}\""));
         }
-        let key = KEYS[usize::from(self.habits.strangers.contains(&number))];
-        let which = if own_number { format!("number = {number}\n") } else { String::new() };
+        let key = if self.spec.other_key.contains(&gateway) { OTHER_KEY } else { FLEET_KEY };
+        let number = if with_number { format!("number = {gateway}\n") } else { String::new() };
         format!(
-            "\n[fleet]\n{which}listen = \"127.0.0.1:0\"\nclock_shift_seconds = {clock_shift}\nkey = \"{key}\"\nmembers = [{}]\n",
+            "\n[fleet]\n{number}listen = \"127.0.0.1:0\"\nclock_shift_seconds = {clock_shift_seconds}\n\
+             key = \"{key}\"\nmembers = [{}]\n",
             members.join(", ")
         )
     }
 
-    /// Members that a gatekeeper is told of.
-    pub fn size_told(&self, number: usize) -> usize {
-        self.homes.len() + usize::from(self.habits.misled.contains(&number))
+    /// Length of a gateway's member list.
+    pub fn configured_size(&self, gateway: usize) -> usize {
+        self.members.len() + usize::from(self.spec.other_size.contains(&gateway))
     }
 
-    /// A gatekeeper, or its twin, has its datagrams and page here, or is gone.
-    pub fn set(&mut self, number: usize, twin: bool, at: Option<(SocketAddr, SocketAddr)>) {
-        self.homes[number][usize::from(twin)] = at.map(|(home, _)| home);
-        self.switch.home(number, self.homes[number].iter().flatten().copied().collect());
-        let mut pages = self.pages[number].lock().expect("no holder panics");
-        let page = at.map(|(_, page)| page);
-        if twin {
-            pages.twin = page;
-        } else {
-            pages.own = page;
-        }
+    /// A gateway's process runs at these addresses, or has ended.
+    pub fn set_member(&mut self, gateway: usize, addresses: Option<MemberAddresses>) {
+        self.change_member(gateway, |member| member.process = addresses);
+    }
+
+    /// The second process under a gateway's number runs at these addresses, or has ended.
+    pub fn set_duplicate(&mut self, gateway: usize, addresses: Option<MemberAddresses>) {
+        self.change_member(gateway, |member| member.duplicate = addresses);
+    }
+
+    fn change_member(&mut self, gateway: usize, change: impl FnOnce(&mut Member)) {
+        let mut member = self.members[gateway].lock().expect("no holder panics");
+        change(&mut member);
+        let processes = [member.process, member.duplicate].into_iter().flatten();
+        self.network.set_addresses(gateway, processes.map(|process| process.datagrams).collect());
     }
 
-    /// All were started: asks each from now on what it believes.
-    pub fn ask(&mut self, recorder: &Recorder) {
-        let strangers = self.habits.strangers.iter().chain(&self.habits.misled).copied().collect();
-        recorder.note(Fact::Peers { size: self.pages.len(), strangers });
-        for (gk, pages) in self.pages.iter().enumerate() {
-            let every = Duration::from_millis(self.habits.ask_ms.max(10));
-            self.asking.spawn(ask(gk, pages.clone(), every, recorder.clone()));
+    /// All gateways were started: requests each one's membership report from now on.
+    pub fn start_polling(&mut self, recorder: &Recorder) {
+        let outsiders = self.spec.other_key.iter().chain(&self.spec.other_size).copied().collect();
+        recorder.record(CaptureEvent::FleetStarted { size: self.members.len(), outsiders });
+        let interval = Duration::from_millis(self.spec.poll_interval_ms.max(MIN_POLL_INTERVAL_MS));
+        for (gateway, member) in self.members.iter().enumerate() {
+            self.polling.spawn(poll_reports(gateway, member.clone(), interval, recorder.clone()));
         }
     }
 }
 
-async fn ask(gk: usize, pages: Arc<Mutex<Pages>>, every: Duration, recorder: Recorder) {
-    let mut tick = tokio::time::interval(every);
-    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+async fn poll_reports(gateway: usize, member: Arc<Mutex<Member>>, interval: Duration, recorder: Recorder) {
+    let mut interval = tokio::time::interval(interval);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        tick.tick().await;
-        let Pages { own, twin } = *pages.lock().expect("no holder panics");
-        for (page, twin) in [(own, false), (twin, true)] {
-            let Some(page) = page else { continue };
-            let asked = recorder.now();
-            // Whoever is dead, or stands still, states nothing.
-            if let Ok(Some(brief)) = tokio::time::timeout(PATIENCE, brief(page)).await {
-                recorder.note(Fact::States { gk, twin, asked, belief: belief(&brief) });
+        interval.tick().await;
+        let Member { process, duplicate } = *member.lock().expect("no holder panics");
+        for (addresses, duplicate) in [(process, false), (duplicate, true)] {
+            let Some(addresses) = addresses else { continue };
+            let requested_at_seconds = recorder.now();
+            // A process that is dead or suspended reports nothing.
+            let report = tokio::time::timeout(REPORT_TIMEOUT, fetch_report(addresses.admin)).await;
+            if let Ok(Some(report)) = report {
+                let event =
+                    CaptureEvent::MembershipReported { gateway, duplicate, requested_at_seconds, report };
+                recorder.record(event);
             }
         }
     }
 }
 
-async fn brief(page: SocketAddr) -> Option<Brief> {
-    let answer = weirusher_peers::page::get(page, "/fleet/brief").await.ok()?;
-    serde_json::from_slice(&answer.body).ok()
-}
-
-fn belief(brief: &Brief) -> Belief {
+/// A gateway's membership report from its admin page; `None` where it cannot be read.
+async fn fetch_report(admin: SocketAddr) -> Option<MembershipReport> {
+    let response = weirusher_peers::page::get(admin, "/fleet/brief").await.ok()?;
+    let brief: Brief = serde_json::from_slice(&response.body).ok()?;
     let numbers = |members: &[u16]| members.iter().map(|number| usize::from(*number)).collect();
-    Belief {
+    Some(MembershipReport {
         incarnation: brief.incarnation,
         alive: numbers(&brief.alive),
-        gone: numbers(&brief.gone),
-        share: brief.hearing.share(),
-        heard: brief.hearing.heard,
+        dead: numbers(&brief.gone),
+        reachable_share: brief.hearing.share(),
+        heard_directly: brief.hearing.heard,
         superseded: brief.hearing.superseded,
-    }
-}
-
-/// The platform's list service, as far as a gatekeeper without workers needs it.
-pub(crate) async fn no_workers() -> std::io::Result<Scripted> {
-    let list = serde_json::json!({ "index": 1, "snapshot": true, "endpoints": [] }).to_string();
-    let script = move |request: &weirusher_wire::http1::Request| {
-        let watched = request.path.contains("since=");
-        if watched { Reply::Silence } else { Reply::Bytes(frame(200, "", &list)) }
-    };
-    Scripted::start(SocketAddr::from(([127, 0, 0, 1], 0)), script).await
-}
-
-/// A `node`'s configuration, without workers or customers.
-pub(crate) fn node_config(
-    number: usize,
-    size: usize,
-    discovery: SocketAddr,
-    file: &Path,
-) -> std::io::Result<()> {
-    let text = serde_json::json!({
-        "name": format!("n{number}"), "listen": "127.0.0.1:0", "discovery": discovery, "counter": null, "seed": number,
-        "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 64},
-        "known": {"index": 1, "snapshot": true, "endpoints": []},
-        "settings": {
-            "PeersTotal": size, "Me": number, "Dcs": ["a"], "Step": 0.002,
-            "Domain": {"HasCounter": false, "CountLimit": 0.5, "MaxUnits": 1.0},
-            "Limits": {"SendCap": 4, "SecondCopies": false, "Cancelling": false, "RetryAfter": true,
-                "MaxRetryAfter": 1.0, "ConnIdle": 30.0, "ConnectTimeout": 0.25},
-            "Classes": [{"Name": "check", "Effect": "idempotent", "Slo": 2.0}],
-            "Plans": [{"Name": "none", "QuotaRate": 1.0, "Depth": 1.0, "Pays": 1.0}],
-        },
-    });
-    std::fs::write(file, text.to_string())
+    })
 }
--- a/crates/scenarios/src/run.rs
+++ b/crates/scenarios/src/run.rs
@@ -1,187 +1,199 @@
-//! Plays a day from its start to its verdict.
+//! Runs a scenario from the start of its fleet to the audit of its capture.
 
-use crate::audit::{Audit, CaptureError, audit};
+use crate::audit::{AuditReport, CaptureError, audit};
+use crate::clients::ClientPopulation;
 use crate::faults;
 use crate::fleet::{Addresses, Fleet, FleetError};
-use crate::load::Crowd;
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use std::fmt::Write as _;
 use std::fs::File;
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use weirusher_fakes::{Final, Outcome, Recorder};
+use weirusher_fakes::{ClientOutcome, Recorder, RequestOutcome};
 
-/// How long load may run on after the day until every answer is there.
-const AFTER: Duration = Duration::from_secs(30);
-/// How long gatekeepers may take to learn the list before the day begins.
-const SETTLE: Duration = Duration::from_millis(800);
+/// Limit for the requests that have not ended at the end of the load.
+const END_LIMIT: Duration = Duration::from_secs(30);
+/// Time for gateways to receive the endpoint list before the load begins.
+const SETTLE_TIME: Duration = Duration::from_millis(800);
+/// Time between two calls of the progress callback.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How to rehearse.
-pub struct Options {
-    /// The program that runs a gatekeeper with `run --config FILE`.
-    pub exe: PathBuf,
-    /// Folder for configurations and lists.
-    pub dir: PathBuf,
+/// How a scenario is run.
+pub struct RunOptions {
+    /// The `weirusher` program, which gateways are started from.
+    pub program: PathBuf,
+    /// Folder for configurations and endpoint lists.
+    pub work_dir: PathBuf,
     /// File for the capture.
     pub capture: PathBuf,
-    /// Called about once a second with the seconds played, the day's length and the answers so far.
-    pub progress: Box<dyn Fn(f64, f64, usize) + Send>,
+    /// Called about once a second.
+    pub progress: Box<dyn Fn(Progress) + Send>,
 }
 
-/// Why a rehearsal came to no verdict.
+/// How far a run is.
+#[derive(Debug, Clone, Copy)]
+pub struct Progress {
+    /// Seconds since the load began.
+    pub elapsed_seconds: f64,
+    /// Seconds of load in all.
+    pub duration_seconds: f64,
+    /// Requests that have ended.
+    pub requests: usize,
+}
+
+/// Why a run has no result.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum RunError {
-    /// The fleet.
+    /// The fleet failed.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The capture.
+    /// The capture cannot be audited.
     #[error("the capture: {0}")]
     Capture(#[from] CaptureError),
-    /// A file.
-    #[error("{0}: {1}")]
-    File(String, std::io::Error),
-    /// Clients still wait long after the day.
-    #[error("clients still wait {AFTER:?} after the day")]
+    /// The capture's file cannot be opened or created.
+    #[error("{}: {error}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What the system returned.
+        error: std::io::Error,
+    },
+    /// Requests had not ended long after the load.
+    #[error("requests have not ended {END_LIMIT:?} after the load")]
     Stuck,
-    /// A gatekeeper did not end as it should.
-    #[error("a gatekeeper did not end well on SIGTERM")]
-    BadEnd,
+    /// A gateway's graceful shutdown failed.
+    #[error("a gateway did not end in time, or with an error, on SIGTERM")]
+    Shutdown,
 }
 
-/// What a rehearsal came to.
+/// The result of a run.
 pub struct ScenarioRun {
-    /// The verdict.
-    pub audit: Audit,
-    /// Clients' answers.
-    pub outcomes: Vec<Outcome>,
-    /// Tries not made because too many were open.
-    pub skipped: u64,
+    /// What the audit found.
+    pub report: AuditReport,
+    /// How each client's request ended.
+    pub outcomes: Vec<RequestOutcome>,
+    /// Requests that were not sent because there were too many clients.
+    pub not_sent: u64,
 }
 
-/// Rehearses a day and judges its capture.
+/// Runs a scenario and audits its capture.
 ///
 /// # Errors
-/// It came to no verdict.
-pub async fn rehearse(day: Scenario, options: Options) -> Result<ScenarioRun, RunError> {
-    let file = File::create(&options.capture).map_err(|e| named(&options.capture, e))?;
-    let recorder = Recorder::new(Some(Box::new(file)));
-    let mut fleet = Fleet::start(day.clone(), &options.exe, &options.dir, recorder).await?;
-    tokio::time::sleep(SETTLE).await;
-    let (factors, watched) = watch::channel(vec![1.0; day.plan.len()]);
-    let crowd = Crowd::new(day.clone(), fleet.edge.clone(), watched);
+/// The fleet cannot be started or does not shut down well, requests do not end, or there is no capture to audit.
+pub async fn run(scenario: Scenario, options: RunOptions) -> Result<ScenarioRun, RunError> {
+    let recorder = create_capture(&options.capture)?;
+    let mut fleet = Fleet::start(scenario.clone(), &options.program, &options.work_dir, recorder).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let (demand_factors, watched_factors) = watch::channel(vec![1.0; scenario.plans.len()]);
+    let clients = ClientPopulation::new(scenario.clone(), fleet.load_generator.clone(), watched_factors);
     let start = Instant::now();
-    let end = start + Duration::from_secs_f64(day.seconds);
+    let end = start + Duration::from_secs_f64(scenario.duration_seconds);
     let load = tokio::spawn({
-        let crowd = crowd.clone();
-        async move { tokio::time::timeout_at(end + AFTER, crowd.play(end)).await }
+        let clients = clients.clone();
+        async move { tokio::time::timeout_at(end + END_LIMIT, clients.run(end)).await }
     });
-    let shown = tokio::spawn({
-        let crowd = crowd.clone();
+    let progress = tokio::spawn({
+        let clients = clients.clone();
         async move {
             loop {
-                tokio::time::sleep(Duration::from_secs(1)).await;
-                let answers = crowd.outcomes.lock().expect("no holder panics").len();
-                (options.progress)(start.elapsed().as_secs_f64(), day.seconds, answers);
+                tokio::time::sleep(PROGRESS_INTERVAL).await;
+                (options.progress)(Progress {
+                    elapsed_seconds: start.elapsed().as_secs_f64(),
+                    duration_seconds: scenario.duration_seconds,
+                    requests: clients.ended(),
+                });
             }
         }
     });
-    let ended_well = faults::play(&mut fleet, &factors, start).await;
-    let played = load.await;
-    shown.abort();
-    let ended_well = ended_well? & fleet.stop().await;
-    if !matches!(played, Ok(Ok(()))) {
+    let faults_ended = faults::inject(&mut fleet, &demand_factors, start).await;
+    let load_ended = load.await;
+    progress.abort();
+    let shut_down_well = faults_ended? & fleet.stop().await;
+    if !matches!(load_ended, Ok(Ok(()))) {
         return Err(RunError::Stuck);
     }
-    if !ended_well {
-        return Err(RunError::BadEnd);
+    if !shut_down_well {
+        return Err(RunError::Shutdown);
     }
-    let file = File::open(&options.capture).map_err(|e| named(&options.capture, e))?;
-    let audit = audit(BufReader::new(file))?;
-    let outcomes = std::mem::take(&mut *crowd.outcomes.lock().expect("no holder panics"));
-    Ok(ScenarioRun { audit, outcomes, skipped: crowd.skipped.load(Relaxed) })
+    let file = File::open(&options.capture).map_err(|error| file_error(&options.capture, error))?;
+    let report = audit(BufReader::new(file))?;
+    Ok(ScenarioRun { report, outcomes: clients.take_outcomes(), not_sent: clients.not_sent() })
 }
 
-/// Starts a day's fleet without load, hands its addresses to `ready`, and holds it until `over`.
+/// Starts a scenario's fleet without load, hands its addresses to `ready`, and stops it when `until` ends.
 ///
 /// # Errors
-/// The fleet cannot be set up, or does not end well.
-pub async fn hold(
-    day: Scenario,
-    options: &Options,
+/// The fleet cannot be started, or does not shut down well.
+pub async fn run_without_load(
+    scenario: Scenario,
+    options: &RunOptions,
     ready: impl FnOnce(&Addresses),
-    over: impl Future<Output = ()>,
+    until: impl Future<Output = ()>,
 ) -> Result<(), RunError> {
-    let file = File::create(&options.capture).map_err(|e| named(&options.capture, e))?;
-    let recorder = Recorder::new(Some(Box::new(file)));
-    let fleet = Fleet::start(day, &options.exe, &options.dir, recorder).await?;
+    let recorder = create_capture(&options.capture)?;
+    let fleet = Fleet::start(scenario, &options.program, &options.work_dir, recorder).await?;
     ready(&fleet.addresses());
-    over.await;
-    if fleet.stop().await { Ok(()) } else { Err(RunError::BadEnd) }
+    until.await;
+    if fleet.stop().await { Ok(()) } else { Err(RunError::Shutdown) }
+}
+
+fn create_capture(path: &Path) -> Result<Recorder, RunError> {
+    let file = File::create(path).map_err(|error| file_error(path, error))?;
+    Ok(Recorder::new(Some(Box::new(file))))
 }
 
-fn named(path: &Path, error: std::io::Error) -> RunError {
-    RunError::File(path.display().to_string(), error)
+fn file_error(path: &Path, error: std::io::Error) -> RunError {
+    RunError::File { path: path.to_path_buf(), error }
 }
 
 impl ScenarioRun {
-    /// A table for people.
-    pub fn table(&self) -> String {
-        let audit = &self.audit;
-        let mut text = format!("{}: {} tries, {} checks\n", audit.day, audit.tries, audit.checks.0);
-        for (end, count) in &audit.finals {
-            let share = 100.0 * *count as f64 / audit.tries.max(1) as f64;
-            let _ = writeln!(text, "  {:<10} {count:>8}  {share:>5.1} %", format!("{end:?}").to_lowercase());
+    /// The result as a table for people.
+    pub fn summary(&self) -> String {
+        let report = &self.report;
+        let requests = report.requests.max(1) as f64;
+        let mut text =
+            format!("{}: {} requests, {} checks\n", report.scenario, report.requests, report.checks.sent);
+        for (outcome, count) in &report.outcomes {
+            let percent = 100.0 * *count as f64 / requests;
+            let _ = writeln!(text, "  {:<10} {count:>8}  {percent:>5.1} %", outcome.as_str());
         }
-        let mut took = Histogram::<u64>::new(3).expect("three digits are allowed");
-        for outcome in self.outcomes.iter().filter(|o| o.end == Final::Served) {
-            let _ = took.record((outcome.took * 1e6) as u64); // It grows by itself.
-        }
-        let at = |share: f64| took.value_at_quantile(share) as f64 / 1000.0;
+        text += &self.latencies();
+        let admissions: Vec<String> =
+            report.admissions.iter().map(|(word, n)| format!("{word} {n}")).collect();
+        let _ = writeln!(text, "  admission  {}", admissions.join(", "));
         let _ = writeln!(
             text,
-            "  served in  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms",
-            at(0.5),
-            at(0.99),
-            at(0.999)
+            "  counter    {} calls, {:.2} a request; admitted {}, counted {:.1}",
+            report.counter_calls,
+            report.counter_calls as f64 / requests,
+            report.units.admitted,
+            report.units.counted
         );
-        let doors: Vec<String> = audit.doors.iter().map(|(door, n)| format!("{door} {n}")).collect();
-        let _ = writeln!(text, "  doors      {}", doors.join(", "));
-        let calls = audit.adds as f64 / audit.tries.max(1) as f64;
-        let (let_in, counted) = audit.units;
         let _ = writeln!(
             text,
-            "  counter    {} calls, {calls:.2} a try; let in {let_in}, counted {counted:.1}",
-            audit.adds
+            "  quotas     {:.1} units beyond at most, {:.1} allowed then",
+            report.overrun.units, report.overrun.allowed_units
         );
-        let (beyond, allowed) = audit.beyond;
-        let _ = writeln!(text, "  quotas     {beyond:.1} units beyond at most, {allowed:.1} allowed then");
-        if let Some(fleet) = &audit.fleet {
-            text += &fleet.table();
+        if let Some(membership) = &report.membership {
+            text += &membership.summary();
         }
-        if self.skipped > 0 {
-            let _ = writeln!(text, "  not asked  {} tries: too many were open", self.skipped);
+        if self.not_sent > 0 {
+            let _ = writeln!(text, "  not sent   {} requests: too many clients", self.not_sent);
         }
-        text + &audit.verdict()
+        text + &report.summary()
     }
-}
 
-impl Audit {
-    /// The verdict for people.
-    pub fn verdict(&self) -> String {
-        if self.broken == 0 {
-            return format!("  rules      all kept, over {} lines\n", self.lines);
-        }
-        let mut text = format!("  rules      {} breaks\n", self.broken);
-        for b in &self.breaks {
-            let req = b.req.map_or_else(String::new, |r| format!(" request {r}"));
-            let _ = writeln!(text, "    {:?}{req} at {:.3} s, lines {:?}: {}", b.rule, b.t, b.lines, b.text);
+    fn latencies(&self) -> String {
+        let mut microseconds = Histogram::<u64>::new(3).expect("three digits are allowed");
+        for outcome in self.outcomes.iter().filter(|o| o.outcome == ClientOutcome::Served) {
+            let _ = microseconds.record((outcome.latency_seconds * 1e6) as u64); // It grows by itself.
         }
-        text
+        let ms = |quantile: f64| microseconds.value_at_quantile(quantile) as f64 / 1000.0;
+        format!("  served in  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms\n", ms(0.5), ms(0.99), ms(0.999))
     }
 }
