--- a/crates/scenarios/src/scenario.rs
+++ b/crates/scenarios/src/scenario.rs
@@ -1,19 +1,15 @@
-//! A day as its file describes it.
+//! A scenario as its file under `days/` describes it: fleet, plans, load and faults. The keys of the files are those of
+//! the first version; `docs/days.md` lists them with their units.
 
-use serde::Deserialize;
-use weirusher_fakes::Flood;
+mod check;
+mod fault;
 
-/// Longest day, in seconds: a rehearsal ends by itself.
-const LONGEST: f64 = 3600.0;
-/// Most gatekeepers on one machine, each a process.
-const MOST_GATEKEEPERS: usize = 400;
-/// Most checkers, which this process plays.
-const MOST_CHECKERS: usize = 64;
+pub use check::ScenarioProblem;
+pub use fault::{CounterFaultKind, Fault, FaultKind, LinkEnds};
 
-/// Datagrams a second of a flood at most.
-const MOST_FLOOD: f64 = 10_000.0;
+use serde::Deserialize;
 
-/// A day: fleet, plans, load, faults.
+/// A scenario.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)] // docs/days.md lists every key with its unit.
@@ -24,49 +20,55 @@
     #[serde(default)]
     pub seed: u64,
     /// Seconds of load.
-    pub seconds: f64,
-    #[serde(default)]
-    pub fleet: Fleet,
-    #[serde(default)]
-    pub rules: Rules,
-    #[serde(default)]
-    pub cold: ColdStart,
-    pub plan: Vec<DayPlan>,
-    pub class: Vec<DayClass>,
+    #[serde(rename = "seconds")]
+    pub duration_seconds: f64,
     #[serde(default)]
-    pub clients: Clients,
+    pub fleet: FleetSpec,
     #[serde(default)]
-    pub edge: EdgeHabits,
+    pub rules: RuleSpec,
+    #[serde(default, rename = "cold")]
+    pub slow_start: SlowStartSpec,
+    #[serde(rename = "plan")]
+    pub plans: Vec<PlanSpec>,
+    #[serde(rename = "class")]
+    pub classes: Vec<ClassSpec>,
     #[serde(default)]
-    pub fault: Vec<Fault>,
-    /// Gatekeepers know of each other.
-    pub peers: Option<Peers>,
+    pub clients: ClientSpec,
+    #[serde(default, rename = "edge")]
+    pub proxy_faults: ProxyFaults,
+    #[serde(default, rename = "fault")]
+    pub faults: Vec<Fault>,
+    /// Gateways have a membership.
+    pub peers: Option<PeerSpec>,
 }
 
-/// How gatekeepers know of each other.
+/// The membership of the gateways.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
-pub struct Peers {
-    /// Between two questions what a gatekeeper believes.
-    pub ask_ms: u64,
-    /// Gatekeepers with another key.
-    pub strangers: Vec<usize>,
-    /// Gatekeepers that were told of one member more.
-    pub misled: Vec<usize>,
+pub struct PeerSpec {
+    /// Milliseconds between two requests for a gateway's membership report.
+    #[serde(rename = "ask_ms")]
+    pub poll_interval_ms: u64,
+    /// Gateways with another key.
+    #[serde(rename = "strangers")]
+    pub other_key: Vec<usize>,
+    /// Gateways whose member list has one member more.
+    #[serde(rename = "misled")]
+    pub other_size: Vec<usize>,
 }
 
-impl Default for Peers {
+impl Default for PeerSpec {
     fn default() -> Self {
-        Self { ask_ms: 250, strangers: Vec::new(), misled: Vec::new() }
+        Self { poll_interval_ms: 250, other_key: Vec::new(), other_size: Vec::new() }
     }
 }
 
-/// The program that a gatekeeper's process is.
+/// The subcommand that a gateway's process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[allow(missing_docs)]
-pub enum Program {
+pub enum GatewayProgram {
     #[default]
     Run,
     Node,
@@ -76,69 +78,85 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
-pub struct Fleet {
-    pub program: Program,
-    pub gatekeepers: usize,
-    pub checkers: usize,
+pub struct FleetSpec {
+    pub program: GatewayProgram,
+    #[serde(rename = "gatekeepers")]
+    pub gateways: usize,
+    #[serde(rename = "checkers")]
+    pub backends: usize,
     pub cores: usize,
     pub service_ms: f64,
-    pub queue: usize,
+    #[serde(rename = "queue")]
+    pub queue_limit: usize,
     pub list_lag_ms: u64,
     pub counter_limit_ms: f64,
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub max_pending_requests: u32,
     pub attempts: u32,
     pub retry_after_seconds: f64,
 }
 
-impl Default for Fleet {
+impl Default for FleetSpec {
     fn default() -> Self {
         Self {
-            program: Program::Run,
-            gatekeepers: 3,
-            checkers: 6,
+            program: GatewayProgram::Run,
+            gateways: 3,
+            backends: 6,
             cores: 3,
             service_ms: 40.0,
-            queue: 200,
+            queue_limit: 200,
             list_lag_ms: 200,
             counter_limit_ms: 50.0,
-            open: 10_000,
+            max_pending_requests: 10_000,
             attempts: 3,
             retry_after_seconds: 2.0,
         }
     }
 }
 
-/// What the rules allow.
+/// Limits that the audit applies.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
-pub struct Rules {
+pub struct RuleSpec {
     pub drain_grace_ms: f64,
-    pub slack: f64,
-    /// The counter is there all day, so what is let in must be counted.
-    pub counted: bool,
+    /// Share of a ceiling's burst by which the ceiling may be exceeded.
+    #[serde(rename = "slack")]
+    pub ceiling_slack: f64,
+    /// The counter is available during the whole run, so that what is admitted must be counted.
+    #[serde(rename = "counted")]
+    pub counter_available: bool,
 }
 
-impl Default for Rules {
+impl Default for RuleSpec {
     fn default() -> Self {
-        Self { drain_grace_ms: 500.0, slack: 0.1, counted: false }
+        Self { drain_grace_ms: 500.0, ceiling_slack: 0.1, counter_available: false }
     }
 }
 
-/// How checkers start.
+/// The slow start of backends.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
-pub struct ColdStart {
-    pub from: f64,
-    pub seconds: f64,
-    pub fall_multiple: f64,
-    pub fall_seconds: f64,
+pub struct SlowStartSpec {
+    #[serde(rename = "from")]
+    pub initial_share: f64,
+    #[serde(rename = "seconds")]
+    pub duration_seconds: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "fall_seconds")]
+    pub overload_window_seconds: f64,
 }
 
-impl Default for ColdStart {
+impl Default for SlowStartSpec {
     fn default() -> Self {
-        Self { from: 0.25, seconds: 6.0, fall_multiple: 4.0, fall_seconds: 1.0 }
+        Self {
+            initial_share: 0.25,
+            duration_seconds: 6.0,
+            overload_multiple: 4.0,
+            overload_window_seconds: 1.0,
+        }
     }
 }
 
@@ -146,202 +164,94 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
-pub struct DayPlan {
+pub struct PlanSpec {
     pub name: String,
     pub customers: usize,
     pub rate: f64,
     pub burst: f64,
-    /// Share of its rate that a customer asks for.
-    pub asks: f64,
+    /// Share of its rate that a customer demands.
+    #[serde(rename = "asks")]
+    pub demand_share: f64,
     #[serde(default)]
     pub ceiling_rate: f64,
     #[serde(default)]
     pub ceiling_burst: f64,
-    #[serde(default = "one")]
-    pub pays: f64,
-    #[serde(default)]
-    pub excess_worth: f64,
+    #[serde(default = "one", rename = "pays")]
+    pub priority_weight: f64,
+    #[serde(default, rename = "excess_worth")]
+    pub excess_weight: f64,
+}
+
+impl PlanSpec {
+    /// Name of one of the plan's customers.
+    pub(crate) fn customer(&self, number: usize) -> String {
+        format!("{}-{number}", self.name)
+    }
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
-pub struct DayClass {
+pub struct ClassSpec {
     pub name: String,
-    pub aim_ms: f64,
-    pub patience_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: f64,
+    #[serde(rename = "patience_ms")]
+    pub deadline_ms: f64,
+    /// How a request may be repeated: `safe`, `keyed` or `unsafe`.
     #[serde(default = "safe")]
     pub effect: String,
     #[serde(default)]
     pub window_seconds: f64,
-    /// Its share of the requests, relative to other classes.
-    #[serde(default = "one")]
-    pub share: f64,
+    /// Its share of the requests, relative to the other classes.
+    #[serde(default = "one", rename = "share")]
+    pub weight: f64,
 }
 
 /// What clients do.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
-pub struct Clients {
-    /// Further tries after one that was not served.
+pub struct ClientSpec {
+    /// Retries after a request that was not served.
     pub retries: u32,
-    /// Share of retries that wait as long as they are told.
-    pub heed: f64,
-    /// Share that leaves within the first milliseconds, before or just after the decision.
-    pub leave_early: f64,
-    /// Share that leaves while the checker works.
-    pub leave_work: f64,
+    /// Share of retries that honour `Retry-After`.
+    #[serde(rename = "heed")]
+    pub honour_retry_after: f64,
+    /// Share that closes within the first milliseconds, before or just after the decision.
+    #[serde(rename = "leave_early")]
+    pub close_early: f64,
+    /// Share that closes during an attempt.
+    #[serde(rename = "leave_work")]
+    pub close_during_attempt: f64,
 }
 
-impl Default for Clients {
+impl Default for ClientSpec {
     fn default() -> Self {
-        Self { retries: 1, heed: 1.0, leave_early: 0.0, leave_work: 0.0 }
+        Self { retries: 1, honour_retry_after: 1.0, close_early: 0.0, close_during_attempt: 0.0 }
     }
 }
 
-/// Shares of requests with which the edge does something wrong.
+/// Shares of requests with which the proxy does something wrong.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
-pub struct EdgeHabits {
-    pub lost: f64,
-    pub doubled: f64,
-    pub late: f64,
-    pub late_seconds: f64,
-    pub elsewhere: f64,
-    pub altered: f64,
-    pub replayed: f64,
-}
-
-/// A fault: when, for how long, what.
-#[derive(Debug, Clone, Deserialize)]
-#[allow(missing_docs)]
-pub struct Fault {
-    pub at: f64,
-    #[serde(default)]
-    pub lasts: f64,
-    #[serde(flatten)]
-    pub kind: Kind,
-}
-
-/// The kinds of faults.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
-#[allow(missing_docs)]
-pub enum Kind {
-    /// kill -9, and a start anew when it is over, with a wall clock that is so far off.
-    KillGatekeepers {
-        which: Vec<usize>,
-        #[serde(default)]
-        clock_shift_seconds: f64,
-    },
-    /// SIGSTOP, and SIGCONT when it is over.
-    PauseGatekeepers { which: Vec<usize> },
-    /// A second process under the same number, as by mistake; killed when it is over.
-    TwinGatekeeper { which: Vec<usize> },
-    /// Datagrams between gatekeepers meet this.
-    PeerWay {
-        #[serde(default)]
-        loss: f64,
-        #[serde(default)]
-        double: f64,
-        #[serde(default)]
-        delay_ms: [f64; 2],
-        #[serde(default)]
-        replay: f64,
-        #[serde(default)]
-        replay_after_seconds: f64,
-    },
-    /// Gatekeepers are cut into so many groups, by the rest of their number or, in stripes, by neighbourhood.
-    PeerCut {
-        groups: usize,
-        #[serde(default)]
-        stripes: bool,
-    },
-    /// One direction from each of these to each of those is cut.
-    PeerBlock { from: Vec<usize>, to: Vec<usize> },
-    /// Each hears the next one only.
-    PeerRing,
-    /// A gatekeeper is flooded as if from another.
-    PeerFlood { from: usize, to: usize, per_second: f64, how: Flood },
-    /// SIGTERM, and a start anew when it is over.
-    StopGatekeepers { which: Vec<usize> },
-    /// The counter misbehaves.
-    Counter {
-        how: CounterHow,
-        #[serde(default)]
-        seconds: f64,
-    },
-    /// The counter loses all counts.
-    CounterEmptied,
-    /// The counter cannot be reached.
-    CounterGone,
-    /// The list says that checkers drain; when it is over they are replaced by cold ones.
-    Drain { which: Vec<usize> },
-    /// kill -9; cold replacements at the same address when it is over.
-    KillCheckers { which: Vec<usize> },
-    /// Their work takes `factor` times as long.
-    SlowCheckers { which: Vec<usize>, factor: f64 },
-    /// No gatekeeper hears of changes of the list.
-    ListFrozen,
-    /// Links fail.
-    Link {
-        between: Between,
-        which: Vec<usize>,
-        #[serde(default)]
-        delay_ms: f64,
-        #[serde(default)]
-        stall_up: bool,
-        #[serde(default)]
-        stall_down: bool,
-        #[serde(default)]
-        refuse: bool,
-        #[serde(default)]
-        reset: bool,
-        #[serde(default)]
-        bytes_per_second: f64,
-    },
-    /// Customers of a plan ask for so many times as much.
-    Hot { plan: usize, factor: f64 },
-}
-
-impl Kind {
-    fn between_peers(&self) -> bool {
-        matches!(
-            self,
-            Self::TwinGatekeeper { .. }
-                | Self::PeerWay { .. }
-                | Self::PeerCut { .. }
-                | Self::PeerBlock { .. }
-                | Self::PeerRing
-                | Self::PeerFlood { .. }
-        )
-    }
-}
-
-/// What a misbehaving counter does.
-#[derive(Debug, Clone, Copy, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-#[allow(missing_docs)]
-pub enum CounterHow {
-    Silent,
-    Half,
-    Reset,
-    WrongType,
-    Late,
-}
-
-/// Which links.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-#[allow(missing_docs)]
-pub enum Between {
-    EdgeGatekeeper,
-    GatekeeperCounter,
-    GatekeeperDiscovery,
-    EdgeChecker,
+pub struct ProxyFaults {
+    #[serde(rename = "lost")]
+    pub report_lost: f64,
+    #[serde(rename = "doubled")]
+    pub report_duplicated: f64,
+    #[serde(rename = "late")]
+    pub report_delayed: f64,
+    #[serde(rename = "late_seconds")]
+    pub report_delay_seconds: f64,
+    #[serde(rename = "elsewhere")]
+    pub report_misdirected: f64,
+    #[serde(rename = "altered")]
+    pub ticket_altered: f64,
+    #[serde(rename = "replayed")]
+    pub ticket_replayed: f64,
 }
 
 fn one() -> f64 {
@@ -352,89 +262,31 @@
     "safe".into()
 }
 
-/// What is wrong with a day file.
+/// What is wrong with a scenario file.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ScenarioError {
-    /// Not of the form.
+    /// It is not TOML of the form; the message has line and column.
     #[error("{0}")]
     Form(#[from] toml::de::Error),
-    /// Of the form, but impossible.
-    #[error("impossible: {0}")]
-    Impossible(String),
+    /// It is of the form, and cannot be run.
+    #[error("impossible: {}", join(.0))]
+    Impossible(Vec<ScenarioProblem>),
+}
+
+fn join(problems: &[ScenarioProblem]) -> String {
+    problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 impl Scenario {
-    /// Reads and checks a day.
+    /// Reads and checks a scenario.
     ///
     /// # Errors
-    /// It is not of the form, with line and column, or cannot be played.
+    /// The text is not of the form, or describes what cannot be run.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
-        let day: Self = toml::from_str(text)?;
-        let problems = day.problems();
-        if problems.is_empty() { Ok(day) } else { Err(ScenarioError::Impossible(problems.join("; "))) }
-    }
-
-    fn problems(&self) -> Vec<String> {
-        let mut found = Vec::new();
-        let mut expect = |holds: bool, text: &str| {
-            if !holds {
-                found.push(text.to_string());
-            }
-        };
-        expect(
-            self.seconds > 0.0 && self.seconds <= LONGEST,
-            "`seconds` must be above 0 and at most an hour",
-        );
-        let (gatekeepers, checkers) = (self.fleet.gatekeepers, self.fleet.checkers);
-        expect((1..=MOST_GATEKEEPERS).contains(&gatekeepers), "`gatekeepers` must be from 1 to 400");
-        expect((1..=MOST_CHECKERS).contains(&checkers), "`checkers` must be from 1 to 64");
-        let alone = self.peers.is_none();
-        expect(alone || gatekeepers > 1, "gatekeepers that know of each other are two or more");
-        expect(
-            self.fleet.program == Program::Run || self.plan.iter().all(|plan| plan.customers == 0),
-            "a `node` is asked nothing here: plans have no customers",
-        );
-        expect(!self.plan.is_empty() && !self.class.is_empty(), "a day needs a plan and a class");
-        for plan in &self.plan {
-            expect(
-                plan.rate > 0.0 && plan.burst >= 1.0 && plan.asks >= 0.0,
-                "a plan needs rate, burst and asks",
-            );
-        }
-        for fault in &self.fault {
-            expect(fault.at >= 0.0 && fault.at < self.seconds, "a fault begins within the day");
-            let (which, most) = match &fault.kind {
-                Kind::KillGatekeepers { which, .. }
-                | Kind::StopGatekeepers { which }
-                | Kind::PauseGatekeepers { which }
-                | Kind::TwinGatekeeper { which } => (which.as_slice(), gatekeepers),
-                Kind::PeerBlock { from, to } => {
-                    expect(
-                        from.iter().all(|n| *n < gatekeepers),
-                        "a fault names what the fleet does not have",
-                    );
-                    (to.as_slice(), gatekeepers)
-                }
-                Kind::PeerFlood { from, to, per_second, .. } => {
-                    let few = *from < gatekeepers && (1.0..=MOST_FLOOD).contains(per_second);
-                    expect(few, "a flood is from a gatekeeper, 1 to 10,000 datagrams a second");
-                    (std::slice::from_ref(to), gatekeepers)
-                }
-                Kind::Drain { which } | Kind::KillCheckers { which } => (which.as_slice(), checkers),
-                Kind::SlowCheckers { which, .. } => (which.as_slice(), checkers),
-                Kind::Link { between: Between::EdgeChecker, which, .. } => (which.as_slice(), checkers),
-                Kind::Link { which, .. } => (which.as_slice(), gatekeepers),
-                Kind::Hot { plan, .. } => (std::slice::from_ref(plan), self.plan.len()),
-                Kind::PeerWay { .. } | Kind::PeerCut { .. } | Kind::PeerRing => (&[][..], 0),
-                Kind::Counter { .. } | Kind::CounterEmptied | Kind::CounterGone | Kind::ListFrozen => {
-                    (&[][..], 0)
-                }
-            };
-            expect(which.iter().all(|n| *n < most), "a fault names what the fleet does not have");
-            expect(!alone || !fault.kind.between_peers(), "a fault between gatekeepers needs [peers]");
-        }
-        found
+        let scenario: Self = toml::from_str(text)?;
+        let problems = scenario.check();
+        if problems.is_empty() { Ok(scenario) } else { Err(ScenarioError::Impossible(problems)) }
     }
 }
 
--- a/crates/scenarios/tests/beliefs.rs
+++ b/crates/scenarios/tests/audit_membership.rs
@@ -2,7 +2,7 @@
 //! is not so is found under its claim.
 
 use serde_json::{Value, json};
-use weirusher_scenarios::{Claim, Rule, audit};
+use weirusher_scenarios::{MembershipRule, Rule, audit};
 
 /// Gatekeepers of the capture.
 const SIZE: usize = 4;
@@ -35,7 +35,7 @@
 
 fn judged(lines: &[Value]) -> Vec<Rule> {
     let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
-    let mut rules: Vec<Rule> = audit(text.as_bytes()).unwrap().breaks.iter().map(|b| b.rule).collect();
+    let mut rules: Vec<Rule> = audit(text.as_bytes()).unwrap().violations.iter().map(|b| b.rule).collect();
     rules.dedup();
     rules
 }
@@ -75,7 +75,7 @@
 fn a_sound_capture_passes_and_a_mute_gatekeeper_does_not() {
     assert_eq!(judged(&sound()), []);
     let mute = with(json!({"t": 20.0, "what": "fault", "text": "none"}), |line| silent(line, 2));
-    assert_eq!(mute, [Rule::Beliefs(Claim::States)]);
+    assert_eq!(mute, [Rule::Membership(MembershipRule::Responds)]);
 }
 
 #[test]
@@ -91,13 +91,13 @@
         silent(line, 2);
         known(line, 2, 36.0);
     });
-    assert_eq!(late, [Rule::Beliefs(Claim::GoneKnown)]);
+    assert_eq!(late, [Rule::Membership(MembershipRule::DeathDetected)]);
 }
 
 #[test]
 fn a_member_in_reach_that_is_stated_gone_is_found() {
     let nothing = json!({"t": 20.0, "what": "fault", "text": "none"});
-    assert_eq!(with(nothing, |line| known(line, 2, 25.0)), [Rule::Beliefs(Claim::LifeKnown)]);
+    assert_eq!(with(nothing, |line| known(line, 2, 25.0)), [Rule::Membership(MembershipRule::AliveDetected)]);
     // It comes back, and is not known to for too long.
     let mut lines = sound();
     lines.insert(2, json!({"t": 0.5, "what": "gatekeeper", "gk": 2, "running": false}));
@@ -112,7 +112,7 @@
     lines.retain(|line| !line.is_null());
     let place = lines.iter().position(|line| t(line) >= 20.0).unwrap();
     lines.insert(place, json!({"t": 19.5, "what": "gatekeeper", "gk": 2, "running": true}));
-    assert_eq!(judged(&lines), [Rule::Beliefs(Claim::LifeKnown)]);
+    assert_eq!(judged(&lines), [Rule::Membership(MembershipRule::AliveDetected)]);
 }
 
 #[test]
@@ -133,7 +133,7 @@
         judged(&lines)
     };
     assert_eq!(moment(false), []);
-    assert_eq!(moment(true), [Rule::Beliefs(Claim::LifeKnown)]);
+    assert_eq!(moment(true), [Rule::Membership(MembershipRule::AliveDetected)]);
 }
 
 #[test]
@@ -147,7 +147,7 @@
     };
     assert_eq!(with(cut.clone(), |line| known_to_all(line, true)), []);
     let proud = with(cut, |line| known_to_all(line, false));
-    assert!(proud.contains(&Rule::Beliefs(Claim::HearingTrue)), "{proud:?}");
+    assert!(proud.contains(&Rule::Membership(MembershipRule::ReachabilityTrue)), "{proud:?}");
 }
 
 #[test]
@@ -156,7 +156,7 @@
     for to in 1..SIZE {
         lines.insert(2, json!({"t": 0.5, "what": "blocked", "from": 0, "to": to, "blocked": true}));
     }
-    assert!(judged(&lines).contains(&Rule::Beliefs(Claim::HearingTrue)));
+    assert!(judged(&lines).contains(&Rule::Membership(MembershipRule::ReachabilityTrue)));
 }
 
 #[test]
@@ -168,7 +168,7 @@
             known(line, 0, 40.0)
         }
     });
-    assert_eq!(lost, [Rule::Beliefs(Claim::LifeKnown)]);
+    assert_eq!(lost, [Rule::Membership(MembershipRule::AliveDetected)]);
 }
 
 #[test]
@@ -192,7 +192,7 @@
         judged(&lines)
     };
     assert_eq!(paused(8), []);
-    assert_eq!(paused(7), [Rule::Beliefs(Claim::BegunAnew)]);
+    assert_eq!(paused(7), [Rule::Membership(MembershipRule::NewIncarnation)]);
 }
 
 #[test]
@@ -204,5 +204,5 @@
         }
     };
     assert_eq!(with(twin.clone(), superseded), []);
-    assert_eq!(with(twin, |_| {}), [Rule::Beliefs(Claim::OneOfTwo)]);
+    assert_eq!(with(twin, |_| {}), [Rule::Membership(MembershipRule::DuplicateSuperseded)]);
 }
--- a/crates/scenarios/tests/teeth.rs
+++ b/crates/scenarios/tests/gateway/audit_rules.rs
@@ -1,29 +1,27 @@
-//! The auditor has teeth: a real capture passes, and each break put into it is found under its rule.
-
-mod site;
+//! The auditor finds violations: a real capture passes, and each violation that is put into it is found under its rule.
 
+use crate::site::{Site, SiteOptions};
 use serde_json::{Value, json};
-use site::{Make, Site};
 use weirusher_fakes::BehaviourProfile;
 use weirusher_scenarios::{Rule, audit};
 
 /// A capture of real traffic, as values.
 async fn capture() -> Vec<Value> {
-    let site = Site::start(Make { service: 0.005, ..Make::default() }).await;
+    let site = Site::start(SiteOptions { service_seconds: 0.005, ..SiteOptions::default() }).await;
     for _ in 0..5 {
-        site.play(BehaviourProfile::default()).await;
+        site.send(BehaviourProfile::default()).await;
     }
     site.settled().await;
-    site.kept();
+    site.assert_rules_kept();
     site.capture().lines().map(|l| serde_json::from_str(l).unwrap()).collect()
 }
 
-fn judged(lines: &[Value]) -> Vec<Rule> {
+fn violated_rules(lines: &[Value]) -> Vec<Rule> {
     let text: String = lines.iter().map(|l| format!("{l}\n")).collect();
-    audit(text.as_bytes()).unwrap().breaks.iter().map(|b| b.rule).collect()
+    audit(text.as_bytes()).unwrap().violations.iter().map(|violation| violation.rule).collect()
 }
 
-fn place(lines: &[Value], what: &str) -> usize {
+fn position(lines: &[Value], what: &str) -> usize {
     lines.iter().position(|l| l["what"] == what).unwrap_or_else(|| panic!("no {what}"))
 }
 
@@ -31,7 +29,7 @@
 fn with(lines: &[Value], change: impl FnOnce(&mut Vec<Value>)) -> Vec<Rule> {
     let mut lines = lines.to_vec();
     change(&mut lines);
-    judged(&lines)
+    violated_rules(&lines)
 }
 
 fn end(lines: &[Value]) -> f64 {
@@ -39,16 +37,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn every_break_is_found() {
+async fn every_violation_is_found_under_its_rule() {
     let lines = capture().await;
-    assert!(judged(&lines).is_empty());
+    assert!(violated_rules(&lines).is_empty());
     let last = end(&lines);
-    let answer = place(&lines, "answer");
-    let (done, got, sent) = (place(&lines, "final"), place(&lines, "got"), place(&lines, "sent"));
+    let answer = position(&lines, "answer");
+    let (done, got, sent) = (position(&lines, "final"), position(&lines, "got"), position(&lines, "sent"));
 
     let lost = Rule::NoRequestLost;
-    assert_eq!(with(&lines, |l| drop(l.remove(done))), [lost], "no final answer");
-    assert_eq!(with(&lines, |l| l.push(lines[done].clone())), [lost], "two final answers");
+    assert_eq!(with(&lines, |l| drop(l.remove(done))), [lost], "no response");
+    assert_eq!(with(&lines, |l| l.push(lines[done].clone())), [lost], "two responses");
     assert_eq!(with(&lines, |l| drop(l.remove(answer)))[0], lost, "a check without an answer");
     assert_eq!(with(&lines, |l| l.push(lines[answer].clone())), [lost], "a check answered twice");
     let later = |line: &Value| {
@@ -56,14 +54,14 @@
         line["t"] = json!(last + 60.0);
         line
     };
-    assert_eq!(with(&lines, |l| l[done] = later(&lines[done])), [lost], "an answer too late");
-    assert_eq!(with(&lines, |l| l.push(later(&lines[sent]))), [lost], "sent on after the final answer");
+    assert_eq!(with(&lines, |l| l[done] = later(&lines[done])), [lost], "a response too late");
+    assert_eq!(with(&lines, |l| l.push(later(&lines[sent]))), [lost], "an attempt after the response");
     assert_eq!(with(&lines, |l| l[answer]["verdict"] = json!("broken"))[0], lost, "broken off while it ran");
 
-    let twice = Rule::NoEffectTwice;
+    let twice = Rule::NoDuplicateEffect;
     assert_eq!(with(&lines, |l| l.push(lines[got].clone())), [twice], "a ticket ran twice");
     assert_eq!(with(&lines, |l| l[got]["ticket"] = json!("w1.1.x.y")), [twice], "a ticket from nowhere ran");
-    assert_eq!(with(&lines, |l| l[got]["server"] = json!("127.0.0.1:1")), [twice], "ran at another checker");
+    assert_eq!(with(&lines, |l| l[got]["server"] = json!("127.0.0.1:1")), [twice], "ran at another backend");
     let again = with(&lines, |l| {
         l[0]["rules"]["effects"] = json!(["unsafe"]);
         let (mut allowed, mut run) = (lines[answer].clone(), lines[got].clone());
@@ -75,10 +73,10 @@
             json!({"t": allowed["t"], "what": "ask", "req": req, "call": 9999, "gk": gk, "further": true});
         l.splice(done..done, [ask, allowed, run]);
     });
-    assert_eq!(again, [twice], "an unsafe request ran twice");
+    assert_eq!(again, [twice], "a request that is not idempotent ran twice");
 
     let server = lines[answer]["verdict"]["allowed"]["server"].clone();
-    // By number of the line before which it stands: what it acknowledged, or was sent, ten seconds before the rest.
+    // With lists that were sent to the gateway, or acknowledged by it, ten seconds before the rest.
     let drained = |lists: &[(&str, Value)]| {
         let broken = with(&lines, |l| {
             l.retain(|line| line["what"] != "knows" && line["what"] != "told");
@@ -89,61 +87,64 @@
                 l.insert(1 + nth, json!({"t": 0.0, "what": what, "gk": 0, "stopped": stopped}));
             }
         });
-        assert!(broken.iter().all(|r| *r == Rule::DrainsKept), "{broken:?}");
+        assert!(broken.iter().all(|r| *r == Rule::DrainsRespected), "{broken:?}");
         !broken.is_empty()
     };
     let (stopped, none) = (json!([server]), json!([]));
-    assert!(drained(&[("knows", stopped.clone())]), "sent on to one whose end was known");
+    assert!(drained(&[("knows", stopped.clone())]), "allowed for a backend whose drain was known");
     assert!(drained(&[("told", stopped.clone()), ("knows", stopped.clone()), ("told", stopped.clone())]));
     assert!(!drained(&[("told", stopped.clone())]), "not known until it is acknowledged");
     let back = [("told", stopped.clone()), ("knows", stopped.clone()), ("told", none.clone())];
-    assert!(!drained(&back), "a younger list that has it back may be acted on before it is acknowledged");
+    assert!(!drained(&back), "a newer list without the drain may be used before it is acknowledged");
     let late = [("told", stopped.clone()), ("told", none), ("knows", stopped.clone())];
     assert!(!drained(&late), "an older list that is acknowledged late");
     let again = [&back[..], &[("told", stopped.clone()), ("knows", stopped)]].concat();
     assert!(drained(&again), "and stopped once more");
 
     let fell = json!({"t": last, "what": "server", "server": "127.0.0.1:1", "state": "fell"});
-    assert_eq!(with(&lines, |l| l.push(fell)), [Rule::NotPushedOver]);
-    // A hundredth of a unit a second, cold: each run is more than it stands.
+    assert_eq!(with(&lines, |l| l.push(fell)), [Rule::ColdBackendsNotOverloaded]);
+    // A capacity of a hundredth of a unit a second: each run is more than the backend bears in its slow start.
     let cold = json!({"capacity": 0.01, "from": 0.5, "seconds": 100.0, "multiple": 2.0, "fall": 60.0, "chance": 0.1});
     let pushed = with(&lines, |l| {
         l[0]["rules"]["cold"] = cold;
         l.insert(1, json!({"t": 0.0, "what": "server", "server": lines[got]["server"], "state": "started"}));
     });
-    assert!(!pushed.is_empty() && pushed.iter().all(|r| *r == Rule::NotPushedOver), "{pushed:?}");
+    assert!(!pushed.is_empty() && pushed.iter().all(|r| *r == Rule::ColdBackendsNotOverloaded), "{pushed:?}");
 
     let plan = |plan: Value| with(&lines, |l| l[0]["rules"]["plans"] = json!([plan]));
-    assert!(plan(json!([1e6, 1e6, 0.01, 1.0])).contains(&Rule::CeilingsKept), "beyond the ceiling");
-    assert!(plan(json!([0.01, 1.0, 0.0, 0.0])).contains(&Rule::QuotasKept), "beyond the quota");
-    // Five go out within milliseconds, from a bucket of one: four are beyond it. With one gatekeeper and
-    // requests of up to 2.5 units the bound is 2.5 and half a burst; each restart adds 5, each emptied count 0.5.
+    assert!(plan(json!([1e6, 1e6, 0.01, 1.0])).contains(&Rule::CeilingsRespected), "beyond the ceiling");
+    assert!(plan(json!([0.01, 1.0, 0.0, 0.0])).contains(&Rule::QuotasRespected), "beyond the quota");
+    // Five are admitted within milliseconds, from a bucket of one: four are beyond it. With one gateway and requests
+    // of up to 2.5 units the bound is 2.5 and half a burst; each restart adds 5, each loss of the counter 0.5.
     let bound = |largest: f64, more: Vec<Value>| {
         with(&lines, |l| {
             (l[0]["rules"]["plans"], l[0]["rules"]["max_units"]) =
                 (json!([[1e-9, 1.0, 0.0, 0.0]]), json!(largest));
-            let first = place(l, "answer") + 1;
+            let first = position(l, "answer") + 1;
             l.splice(first..first, more);
         })
     };
     let at = lines[answer]["t"].clone();
-    assert_eq!(bound(2.5, vec![]), [Rule::QuotasKept], "one unit more than the bound allows");
+    assert_eq!(bound(2.5, vec![]), [Rule::QuotasRespected], "one unit more than the bound allows");
     assert!(bound(3.5, vec![]).is_empty(), "just what the bound allows");
     let emptied = json!({"t": at, "what": "emptied"});
-    assert!(bound(2.5, vec![emptied.clone(), emptied]).is_empty(), "two emptied counts allow one unit more");
-    let life = |running: bool| json!({"t": at, "what": "gatekeeper", "gk": 7, "running": running});
-    assert!(bound(2.5, vec![life(false), life(true)]).is_empty(), "a restart allows more");
+    assert!(
+        bound(2.5, vec![emptied.clone(), emptied]).is_empty(),
+        "two losses of the counter allow one unit more"
+    );
+    let process = |running: bool| json!({"t": at, "what": "gatekeeper", "gk": 7, "running": running});
+    assert!(bound(2.5, vec![process(false), process(true)]).is_empty(), "a restart allows more");
     let uncounted = with(&lines, |l| {
         (l[0]["rules"]["counted"], l[0]["rules"]["plans"]) = (json!(true), json!([[1e6, 1.0, 0.0, 0.0]]));
         l.retain(|line| line["what"] != "added");
     });
-    assert_eq!(uncounted, [Rule::Counted], "let in without being counted");
+    assert_eq!(uncounted, [Rule::AdmittedIsCounted], "admitted without being counted");
 }
 
 #[test]
-fn what_is_no_capture_is_an_error_with_its_line() {
+fn text_that_is_not_a_capture_is_an_error_with_its_line() {
     let error = audit(&b"{\"t\":0,\"what\":\"emptied\"}\n"[..]).unwrap_err().to_string();
-    assert!(error.contains("begin with its day"), "{error}");
+    assert!(error.contains("begin with its scenario"), "{error}");
     let error = audit(&b"rubbish\n"[..]).unwrap_err().to_string();
     assert!(error.contains("line 1"), "{error}");
 }
--- a/crates/scenarios/tests/bad_input.rs
+++ b/crates/scenarios/tests/gateway/malformed_input.rs
@@ -1,17 +1,15 @@
-//! What is wrong gets a clear error, is counted, and takes nothing from the others.
-
-mod site;
+//! Malformed checks and misbehaving peers get a clear error, are counted, and cost the others nothing.
 
+use crate::site::{Site, SiteOptions};
 use envoy_types::pb::envoy::config::core::v3::header_value_option::HeaderAppendAction;
 use envoy_types::pb::envoy::service::auth::v3::attribute_context::{HttpRequest, Request};
 use envoy_types::pb::envoy::service::auth::v3::authorization_client::AuthorizationClient;
 use envoy_types::pb::envoy::service::auth::v3::check_response::HttpResponse;
 use envoy_types::pb::envoy::service::auth::v3::{AttributeContext, CheckRequest};
-use site::{Make, Site};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use weirusher_fakes::{BehaviourProfile, Final};
+use weirusher_fakes::{BehaviourProfile, ClientOutcome};
 
 fn check(headers: &[(&str, &str)]) -> CheckRequest {
     let headers = headers.iter().map(|(n, v)| (n.to_string(), v.to_string())).collect();
@@ -22,7 +20,7 @@
 
 async fn status(site: &Site, request: CheckRequest) -> i32 {
     let mut client =
-        AuthorizationClient::connect(format!("http://{}", site.gatekeepers[0].ext_authz)).await.unwrap();
+        AuthorizationClient::connect(format!("http://{}", site.gateways[0].ext_authz)).await.unwrap();
     match client.check(request).await.unwrap().into_inner().http_response {
         Some(HttpResponse::DeniedResponse(denied)) => denied.status.unwrap().code,
         Some(HttpResponse::OkResponse(_)) => 200,
@@ -31,8 +29,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn checks_that_make_no_request_are_told_so_and_counted() {
-    let site = Site::start(Make::default()).await;
+async fn malformed_checks_are_answered_400_and_counted() {
+    let site = Site::start(SiteOptions::default()).await;
     assert_eq!(status(&site, CheckRequest::default()).await, 400);
     assert_eq!(status(&site, check(&[])).await, 400);
     assert_eq!(status(&site, check(&[("x-customer", "a,b")])).await, 400);
@@ -46,10 +44,10 @@
     assert_eq!(status(&site, check(&[("x-customer", "a")])).await, 200);
 }
 
-/// The headers that a checker sees: what the client sent, changed as the answer tells the proxy to.
+/// The headers that a backend receives: those that the client sent, changed as the check response says.
 async fn forwarded(site: &Site, sent: &[(&str, &str)]) -> Result<Vec<(String, String)>, i32> {
     let mut client =
-        AuthorizationClient::connect(format!("http://{}", site.gatekeepers[0].ext_authz)).await.unwrap();
+        AuthorizationClient::connect(format!("http://{}", site.gateways[0].ext_authz)).await.unwrap();
     let ok = match client.check(check(sent)).await.unwrap().into_inner().http_response {
         Some(HttpResponse::OkResponse(ok)) => ok,
         Some(HttpResponse::DeniedResponse(denied)) => return Err(denied.status.unwrap().code),
@@ -66,8 +64,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_client_that_sends_our_headers_itself_gets_nothing_by_it() {
-    let site = Site::start(Make::default()).await;
+async fn headers_of_the_gateway_that_a_client_sends_have_no_effect() {
+    let site = Site::start(SiteOptions::default()).await;
     let (server, ticket) = ("x-weirusher-server", "x-weirusher-ticket");
     let value = |headers: &[(String, String)], name: &str| -> Vec<String> {
         headers.iter().filter(|(n, _)| n == name).map(|(_, v)| v.clone()).collect()
@@ -87,73 +85,71 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_body_over_the_limit_is_an_error_of_its_own_call_only() {
-    let site = Site::start(Make::default()).await;
+async fn a_message_over_the_limit_is_an_error_of_its_own_call_only() {
+    let site = Site::start(SiteOptions::default()).await;
     let mut client =
-        AuthorizationClient::connect(format!("http://{}", site.gatekeepers[0].ext_authz)).await.unwrap();
+        AuthorizationClient::connect(format!("http://{}", site.gateways[0].ext_authz)).await.unwrap();
     let large = "x".repeat(600 * 1024);
     assert!(client.check(check(&[("x-customer", "a"), ("x-large", &large)])).await.is_err());
     assert!(client.check(check(&[("x-customer", "a")])).await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn rubbish_and_slow_peers_take_nothing_from_the_others() {
-    let site = Site::start(Make::default()).await;
-    let front = site.gatekeepers[0].ext_authz;
+async fn peers_that_send_garbage_or_stall_cost_the_others_nothing() {
+    let site = Site::start(SiteOptions::default()).await;
+    let front = site.gateways[0].ext_authz;
     let mut slow = Vec::new();
     for n in 0..50 {
         let mut stream = TcpStream::connect(front).await.unwrap();
-        // Half of them begin as HTTP/2 should and say no more; the others send what is nothing at all.
+        // Half of them begin with a valid preface and stall; the others send garbage.
         let bytes: &[u8] =
             if n % 2 == 0 { b"PRI * HTTP/2.0\r\n" } else { b"\x00\xffnothing of the kind\r\n\r\n" };
         stream.write_all(bytes).await.unwrap();
         slow.push(stream);
     }
     for _ in 0..20 {
-        assert_eq!(site.play(BehaviourProfile::default()).await.end, Final::Served);
+        assert_eq!(site.send(BehaviourProfile::default()).await.outcome, ClientOutcome::Served);
     }
-    // All of them are let go, those that began well too.
+    // All of them are closed, those with a valid preface too.
     site.until(0, "/process/connections_mute", |n| n == 50).await;
     let mut byte = [0; 64];
-    assert!(
-        matches!(slow[0].read(&mut byte).await, Ok(0) | Err(_)),
-        "a peer that says no more is not closed"
-    );
-    site.kept();
+    assert!(matches!(slow[0].read(&mut byte).await, Ok(0) | Err(_)), "a peer that stalls is not closed");
+    site.assert_rules_kept();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn thousands_of_streams_of_one_peer_wait_their_turn() {
-    let site = Site::start(Make { plan: "rate = 100000\nburst = 100000", ..Make::default() }).await;
+async fn thousands_of_streams_of_one_peer_do_not_starve_another() {
+    let site =
+        Site::start(SiteOptions { plan: "rate = 100000\nburst = 100000", ..SiteOptions::default() }).await;
     let client =
-        AuthorizationClient::connect(format!("http://{}", site.gatekeepers[0].ext_authz)).await.unwrap();
+        AuthorizationClient::connect(format!("http://{}", site.gateways[0].ext_authz)).await.unwrap();
     let mut calls = tokio::task::JoinSet::new();
     for _ in 0..3000 {
         let mut client = client.clone();
         calls.spawn(async move { client.check(check(&[("x-customer", "flood")])).await });
     }
-    // Another peer is answered meanwhile: served, or refused with advice, but answered.
-    let outcome = site.play(BehaviourProfile::default()).await;
-    assert!(matches!(outcome.end, Final::Served | Final::Refused), "{outcome:?}");
+    // Another peer gets a response meanwhile: served, or rejected with advice.
+    let outcome = site.send(BehaviourProfile::default()).await;
+    assert!(matches!(outcome.outcome, ClientOutcome::Served | ClientOutcome::Rejected), "{outcome:?}");
     let mut answered = 0;
     while let Some(call) = calls.join_next().await {
         call.unwrap().expect("each stream of the flood is answered too");
         answered += 1;
     }
     assert_eq!(answered, 3000);
-    site.kept();
+    site.assert_rules_kept();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_admin_page_bounds_its_peers() {
-    let site = Site::start(Make::default()).await;
+async fn the_admin_page_limits_its_connections() {
+    let site = Site::start(SiteOptions::default()).await;
     let mut idle = Vec::new();
     for _ in 0..40 {
-        idle.push(TcpStream::connect(site.gatekeepers[0].admin).await.unwrap());
+        idle.push(TcpStream::connect(site.gateways[0].admin).await.unwrap());
     }
     // The last ones are closed at once.
     let mut byte = [0; 1];
     let read = tokio::time::timeout(Duration::from_secs(5), idle[39].read(&mut byte)).await;
     assert!(matches!(read, Ok(Ok(0) | Err(_))), "{read:?}");
-    assert_eq!(site.play(BehaviourProfile::default()).await.end, Final::Served);
+    assert_eq!(site.send(BehaviourProfile::default()).await.outcome, ClientOutcome::Served);
 }
--- /dev/null
+++ b/crates/scenarios/tests/gateway/site.rs
@@ -0,0 +1,227 @@
+//! A site on loopback: gateways in this process, fakes around them, and the capture.
+
+use futures::{SinkExt, StreamExt};
+use serde_json::Value;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio_util::codec::Framed;
+use weirusher::{Endpoint, Lifecycle};
+use weirusher_config::Config;
+use weirusher_core::{Key, Keyring};
+use weirusher_ext_authz::Running;
+use weirusher_fakes::{
+    AuditParameters, BehaviourProfile, CaptureEvent, ClientRequest, Counter, Discovery, FakeBackend,
+    FakeBackendSpec, Link, LoadGenerator, Recorder, RequestOutcome,
+};
+use weirusher_scenarios::{AuditReport, audit};
+use weirusher_wire::http1::{ClientCodec, Headers, Request};
+
+const SECRET: &str = "0123456789abcdef0123456789abcdef";
+const ANY_PORT: &str = "127.0.0.1:0";
+/// Limit for what must happen; nothing waits this long when all is well.
+pub const LIMIT: Duration = Duration::from_secs(30);
+
+/// A capture in memory.
+#[derive(Clone, Default)]
+struct Memory(Arc<Mutex<Vec<u8>>>);
+
+impl Write for Memory {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().unwrap().write(bytes)
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+pub struct Site {
+    pub gateways: Vec<Running>,
+    _fronts: Vec<Link>,
+    pub counter: Counter,
+    discovery: Discovery,
+    pub backends: Vec<FakeBackend>,
+    pub load_generator: Arc<LoadGenerator>,
+    recorder: Recorder,
+    memory: Memory,
+}
+
+/// What a test may choose.
+pub struct SiteOptions {
+    pub gateways: usize,
+    pub service_seconds: f64,
+    /// Lines of the configuration's one plan.
+    pub plan: &'static str,
+    /// Lines of its one class.
+    pub class: &'static str,
+}
+
+impl Default for SiteOptions {
+    fn default() -> Self {
+        Self {
+            gateways: 1,
+            service_seconds: 0.005,
+            plan: "rate = 100\nburst = 100",
+            class: "aim_ms = 1000\npatience_ms = 3000",
+        }
+    }
+}
+
+fn keyring() -> Keyring {
+    Keyring::new(vec![Key { id: 1, secret: SECRET.as_bytes().to_vec() }]).unwrap()
+}
+
+impl Site {
+    pub async fn start(options: SiteOptions) -> Self {
+        let memory = Memory::default();
+        let recorder = Recorder::new(Some(Box::new(memory.clone())));
+        let parameters = AuditParameters {
+            drain_grace_seconds: 0.5,
+            plans: vec![[1e6, 1e6, 0.0, 0.0].into()],
+            customers: [("school".to_string(), 0)].into(),
+            effects: vec!["safe".into()],
+            ceiling_slack: 0.1,
+            gateways: options.gateways,
+            counter_available: false,
+            largest_request_units: 1.0,
+            idempotency_window_seconds: 0.0,
+            slow_start: None,
+        };
+        recorder.record(CaptureEvent::RunStarted { name: "test".into(), parameters });
+        let counter = Counter::start(ANY_PORT.parse().unwrap(), recorder.clone()).await.unwrap();
+        let discovery =
+            Discovery::start(ANY_PORT.parse().unwrap(), Duration::ZERO, recorder.clone()).await.unwrap();
+        let mut backends = Vec::new();
+        for seed in 0..2 {
+            let spec = FakeBackendSpec {
+                cores: 4,
+                service_seconds: options.service_seconds,
+                queue_limit: 1000,
+                slow_start: None,
+                keyring: keyring(),
+                advertised_address: String::new(),
+                ticket_header: "x-weirusher-ticket".into(),
+                units_header: "x-units".into(),
+            };
+            backends.push(
+                FakeBackend::start(ANY_PORT.parse().unwrap(), spec, recorder.clone(), seed).await.unwrap(),
+            );
+        }
+        let (mut gateways, mut fronts) = (Vec::new(), Vec::new());
+        for number in 0..options.gateways {
+            let text = format!(
+                "default_plan = \"only\"\n[instance]\nnumber = {number}\ngateways = {}\n[listen]\next_authz = \"{ANY_PORT}\"\n\
+                 streams = 100\n[[tickets.keys]]\nid = 1\nsecret = \"{SECRET}\"\n[counter]\naddress = \"{}\"\n\
+                 [discovery]\naddress = \"{}\"\n[[plan]]\nname = \"only\"\n{}\n[[class]]\nname = \"only\"\n{}\n",
+                options.gateways, counter.address, discovery.address, options.plan, options.class,
+            );
+            let config = Config::parse(&text)
+                .unwrap_or_else(|p| panic!("{}", weirusher_config::render("", &text, &p)));
+            let running = weirusher_ext_authz::start(config).await.unwrap();
+            fronts.push(Link::start(Some(running.ext_authz)).await.unwrap());
+            gateways.push(running);
+        }
+        let front_addresses: Vec<SocketAddr> = fronts.iter().map(|f| f.address).collect();
+        let load_generator = LoadGenerator::new(&front_addresses, recorder.clone()).unwrap();
+        let site = Self {
+            gateways,
+            _fronts: fronts,
+            counter,
+            discovery,
+            backends,
+            load_generator,
+            recorder,
+            memory,
+        };
+        site.publish(&[Lifecycle::Running; 2]);
+        for gateway in 0..site.gateways.len() {
+            site.until(gateway, "/process/lists", |n| n >= 1).await;
+        }
+        site
+    }
+
+    /// Publishes the backends with these lifecycles.
+    pub fn publish(&self, lifecycles: &[Lifecycle]) {
+        let endpoint = |(backend, lifecycle): (&FakeBackend, &Lifecycle)| Endpoint {
+            id: backend.address.to_string().into(),
+            zone: 0,
+            cell: 0,
+            started: 0.0,
+            lifecycle: *lifecycle,
+        };
+        self.discovery.set(self.backends.iter().zip(lifecycles).map(endpoint).collect());
+    }
+
+    pub fn request(&self, behaviour: BehaviourProfile) -> ClientRequest {
+        ClientRequest {
+            customer: "school".into(),
+            class: 0,
+            path: "/only".into(),
+            units: 1.0,
+            deadline_seconds: 3.0,
+            gateway: 0,
+            behaviour,
+        }
+    }
+
+    pub async fn send(&self, behaviour: BehaviourProfile) -> RequestOutcome {
+        self.load_generator.send_request(&self.request(behaviour)).await
+    }
+
+    /// A gateway's own figures.
+    pub async fn stats(&self, gateway: usize) -> Value {
+        let stream = TcpStream::connect(self.gateways[gateway].admin).await.unwrap();
+        let mut framed = Framed::new(stream, ClientCodec::default());
+        let request = Request {
+            method: "GET".into(),
+            path: "/stats".into(),
+            headers: Headers::default(),
+            ..Request::default()
+        };
+        framed.send(request).await.unwrap();
+        serde_json::from_slice(&framed.next().await.unwrap().unwrap().body).unwrap()
+    }
+
+    /// Waits until one of a gateway's figures meets a condition.
+    pub async fn until(&self, gateway: usize, pointer: &str, holds: impl Fn(u64) -> bool) {
+        let end = tokio::time::Instant::now() + LIMIT;
+        loop {
+            let stats = self.stats(gateway).await;
+            let value = stats
+                .pointer(pointer)
+                .and_then(Value::as_u64)
+                .unwrap_or_else(|| panic!("{pointer}: {stats}"));
+            if holds(value) {
+                return;
+            }
+            assert!(tokio::time::Instant::now() < end, "{pointer} stays {value}: {stats}");
+            tokio::time::sleep(Duration::from_millis(10)).await;
+        }
+    }
+
+    /// Waits until nothing is pending.
+    pub async fn settled(&self) {
+        for gateway in 0..self.gateways.len() {
+            self.until(gateway, "/owed", |n| n == 0).await;
+            self.until(gateway, "/open", |n| n == 0).await;
+        }
+    }
+
+    pub fn capture(&self) -> String {
+        self.recorder.flush();
+        String::from_utf8(self.memory.0.lock().unwrap().clone()).unwrap()
+    }
+
+    pub fn audit(&self) -> AuditReport {
+        audit(self.capture().as_bytes()).unwrap()
+    }
+
+    /// Audits the capture, which must have no violation.
+    pub fn assert_rules_kept(&self) {
+        let report = self.audit();
+        assert_eq!(report.violation_count, 0, "{}\n{}", report.summary(), self.capture());
+    }
+}
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -50,11 +50,11 @@
         Kind::ResetDiscovery => node.discovery.iter().for_each(|link| link.reset()),
         Kind::CutCounter => {
             for link in &node.counter {
-                link.set(|fault| (fault.stall_up, fault.stall_down) = (true, true));
+                link.set(|fault| (fault.stall_to_target, fault.stall_from_target) = (true, true));
             }
             sleep(fault.lasts).await;
             for link in &node.counter {
-                link.set(|fault| (fault.stall_up, fault.stall_down) = (false, false));
+                link.set(|fault| (fault.stall_to_target, fault.stall_from_target) = (false, false));
                 link.reset();
             }
         }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
-use weirusher_fakes::{Reply, Scripted, counting};
+use weirusher_fakes::{Reply, ScriptedServer, counting};
 
 /// Backends that may be out of the list at once, as a part of all.
 const MOST_LEAVING: usize = 3;
@@ -133,7 +133,7 @@
     pub recorder: Recorder,
     pub slow_counter: Arc<AtomicBool>,
     listing: Mutex<Listing>,
-    _counter: Scripted,
+    _counter: ScriptedServer,
 }
 
 impl Fleet {
@@ -186,10 +186,12 @@
 }
 
 /// A counter that is slow while it is told to be.
-async fn counter(slow: Arc<AtomicBool>) -> io::Result<Scripted> {
+async fn counter(slow: Arc<AtomicBool>) -> io::Result<ScriptedServer> {
     let count = counting();
-    Scripted::start(SocketAddr::from(([127, 0, 0, 1], 0)), move |request| match count(request) {
-        Reply::Bytes(bytes) if slow.load(Ordering::Relaxed) => Reply::After(Duration::from_millis(80), bytes),
+    ScriptedServer::start(SocketAddr::from(([127, 0, 0, 1], 0)), move |request| match count(request) {
+        Reply::Bytes(bytes) if slow.load(Ordering::Relaxed) => {
+            Reply::Delayed(Duration::from_millis(80), bytes)
+        }
         reply => reply,
     })
     .await
--- a/crates/soak/src/growth/site.rs
+++ b/crates/soak/src/growth/site.rs
@@ -16,7 +16,7 @@
 use tokio::process::{Child, Command};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep, timeout};
-use weirusher_fakes::{Agent, Came, Reply, Scripted, counting, frame};
+use weirusher_fakes::{DiscoveryAgent, ReceivedRequest, Reply, ScriptedServer, counting, frame};
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 /// Requests a second, and the connections that they come on.
@@ -54,11 +54,11 @@
 pub async fn measure(size: FleetSize, options: &GrowthOptions) -> io::Result<Usage> {
     let mut backends = Vec::new();
     for _ in 0..size.backends {
-        let script = |_: &_| Reply::After(WORK, frame(200, "", "done"));
-        backends.push(Scripted::start(LOOPBACK, script).await?);
+        let script = |_: &_| Reply::Delayed(WORK, frame(200, "", "done"));
+        backends.push(ScriptedServer::start(LOOPBACK, script).await?);
     }
     let mut discovery = Discovery::start(&backends, options.seed).await?;
-    let counter = Scripted::start(LOOPBACK, counting()).await?;
+    let counter = ScriptedServer::start(LOOPBACK, counting()).await?;
     let mut plan = Plan::new(options.seed, size.gateways, options.lasts.as_secs_f64());
     plan.deadline = DEADLINE;
     let listen = TcpListener::bind(LOOPBACK).await?.local_addr()?;
@@ -74,7 +74,7 @@
         error = look(&process, &mut usage) => return Err(error),
     };
     usage.read(&process).map_err(io::Error::other)?;
-    usage.connections = backends.iter().map(Scripted::connections).sum::<u64>() as f64;
+    usage.connections = backends.iter().map(ScriptedServer::connections).sum::<u64>() as f64;
     usage.list_bytes = discovery.bytes_sent() as f64;
     usage.served = f64::from(served) / f64::from(sent).max(1.0);
     Ok(usage)
@@ -178,7 +178,7 @@
 
 /// Discovery's agent, which tells changes: a part of the backends restarts in each step.
 struct Discovery {
-    agent: Agent,
+    agent: DiscoveryAgent,
     listed: Listed,
     /// Bytes of each version, the first from version 1 on.
     sizes: Vec<usize>,
@@ -187,12 +187,12 @@
 }
 
 impl Discovery {
-    async fn start(backends: &[Scripted], seed: u64) -> io::Result<Self> {
-        let entry = |(number, backend): (usize, &Scripted)| (number, backend.address, "SERVING", 0);
+    async fn start(backends: &[ScriptedServer], seed: u64) -> io::Result<Self> {
+        let entry = |(number, backend): (usize, &ScriptedServer)| (number, backend.address, "SERVING", 0);
         let listed: Listed = backends.iter().enumerate().map(entry).collect();
         let list = wire::list(1, &listed).to_string();
         let sizes = vec![list.len()];
-        let agent = Agent::start(LOOPBACK, 1, list).await?;
+        let agent = DiscoveryAgent::start(LOOPBACK, 1, list).await?;
         let rng = fastrand::Rng::with_seed(seed);
         Ok(Self { agent, listed, sizes, rng })
     }
@@ -204,7 +204,7 @@
             for status in ["DRAINING", "SERVING"] {
                 sleep(CHANGE).await;
                 let index = self.tell(&restarting, status);
-                if timeout(LIMIT, self.agent.taken(index)).await.is_err() {
+                if timeout(LIMIT, self.agent.wait_until_list_received(index)).await.is_err() {
                     return io::Error::other("the gateway does not ask for changes");
                 }
             }
@@ -232,18 +232,18 @@
         change["snapshot"] = false.into();
         let text = change.to_string();
         self.sizes.push(text.len());
-        self.agent.tell(index, text);
+        self.agent.set_list(index, text);
         index
     }
 
     /// Bytes of lists that were sent: of each call that has its answer, what it was answered.
     fn bytes_sent(&self) -> usize {
-        let sent = |came: &Came| {
+        let sent = |came: &ReceivedRequest| {
             let query = came.request.path.split_once('?').map_or("", |(_, query)| query);
             let since = query.split('&').find_map(|pair| pair.strip_prefix("since=")?.parse::<usize>().ok());
             // A call that names a version is answered with the one behind it; another with the first.
             self.sizes.get(since.unwrap_or(0)).copied().unwrap_or(0)
         };
-        self.agent.came().iter().map(sent).sum()
+        self.agent.received().iter().map(sent).sum()
     }
 }
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -18,7 +18,7 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
-use weirusher_fakes::{Agent, Link};
+use weirusher_fakes::{DiscoveryAgent, Link};
 use weirusher_fault_shim::FaultShim;
 
 /// After SIGHUP what discovery has to tell counts as told so much later.
@@ -70,7 +70,7 @@
     number: usize,
     plan: Plan,
     recorder: Recorder,
-    agent: Agent,
+    agent: DiscoveryAgent,
     held: Mutex<Held>,
     exe: PathBuf,
     config: PathBuf,
@@ -113,7 +113,7 @@
         let own = SocketAddr::from(([127, high.max(1), low, number as u8 + 1], 0));
         let listen = tokio::net::TcpListener::bind(own).await?.local_addr()?;
         let list = wire::list(1, &site.listed).to_string();
-        let agent = Agent::start(SocketAddr::from(([127, 0, 0, 1], 0)), 1, list).await?;
+        let agent = DiscoveryAgent::start(SocketAddr::from(([127, 0, 0, 1], 0)), 1, list).await?;
         let discovery =
             [Link::start(Some(agent.address())).await?, Link::start(Some(agent.address())).await?];
         let counter = [Link::start(Some(site.counter)).await?, Link::start(Some(site.counter)).await?];
@@ -272,8 +272,8 @@
         let (life, now) = (self.life(), Instant::now());
         self.recorder.process(life, |process| process.deferred.push((now, now + RELOAD)));
         for links in [&self.discovery, &self.counter] {
-            links[1 - old].set(|fault| fault.refuse = false);
-            links[old].set(|fault| fault.refuse = true);
+            links[1 - old].set(|fault| fault.refuse_connections = false);
+            links[old].set(|fault| fault.refuse_connections = true);
         }
         self.signal(Signal::SIGHUP);
         sleep(OLD_ADDRESS).await;
@@ -316,7 +316,7 @@
     /// The agent has a list: from now on it counts as told.
     fn pass_on(&self, held: &Held) {
         let now = Instant::now();
-        self.agent.tell(held.index, wire::list(held.index, &held.listed).to_string());
+        self.agent.set_list(held.index, wire::list(held.index, &held.listed).to_string());
         let notice = |entry: &(usize, SocketAddr, &'static str, u64)| (entry.0, entry.2 == "SERVING");
         let now_told: Vec<_> = held.listed.iter().map(notice).collect();
         self.recorder.process(self.life(), |process| {
@@ -332,11 +332,11 @@
     /// The agent answers nothing for a while, and learns nothing.
     pub async fn silence(&self, lasts: Duration) {
         self.held.lock().expect("no holder panics").silent = true;
-        self.agent.fall_silent();
+        self.agent.stop_answering();
         sleep(lasts).await;
         let mut held = self.held.lock().expect("no holder panics");
         held.silent = false;
-        self.agent.come_back();
+        self.agent.resume_answering();
         self.pass_on(&held);
     }
 }
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -111,11 +111,11 @@
   fi
   CARGO_TARGET_DIR="$root/target/mutants" cargo build --quiet --release --locked -p weirusher-cli \
     --manifest-path "$work/tree/Cargo.toml" 2>/dev/null || { echo "$name: does not build"; failed=1; continue; }
-  if out="$(cd "$work/tree" && timeout 120 "$root/target/mutants/release/weirusher" rehearse "days/$day.toml" 2>/dev/null)"; then
+  if out="$(cd "$work/tree" && timeout 120 "$root/target/mutants/release/weirusher" scenario "days/$day.toml" 2>/dev/null)"; then
     echo "$name: LIVES on $day"
     failed=1
   else
-    echo "$name: found on $day: $(grep -m1 -oE '(NoRequestLost|NoEffectTwice|DrainsKept|NotPushedOver|CeilingsKept|QuotasKept|Counted).*' <<<"$out" | cut -c1-120)"
+    echo "$name: found on $day: $(grep -m1 -oE '(NoRequestLost|NoDuplicateEffect|DrainsRespected|ColdBackendsNotOverloaded|CeilingsRespected|QuotasRespected|AdmittedIsCounted).*' <<<"$out" | cut -c1-120)"
   fi
 done
 exit "$failed"
