--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -75,7 +75,7 @@
                 _ => fields.framing(self.most_body)?.unwrap_or(Framing::UntilClose),
             };
             let never_ran = fields.one("X-Never-Ran") == Ok(Some("1"));
-            let report = fields.one("Endpoint-LoadReport-Metrics").ok().flatten().map(str::to_string);
+            let report = fields.one("Endpoint-Load-Metrics").ok().flatten().map(str::to_string);
             let (status, closes) = (head.status, fields.closes() || framing == Framing::UntilClose);
             let body = BodyReader::new(framing, self.most_body);
             self.head = Some((Response { status, body: Bytes::new(), never_ran, report, closes }, body));
--- a/src/platform_settings.rs
+++ b/src/platform_settings.rs
@@ -78,7 +78,7 @@
             "idempotent" => Idempotency::Idempotent,
             "deduplicated" => Idempotency::Keyed { scope: group, window: keys.num("Window", 0.0)? },
             "at_most_once" => Idempotency::NonIdempotent,
-            _ => return Err(PlatformSettingsError("Classes.Idempotency is unknown".into())),
+            _ => return Err(PlatformSettingsError("Classes.Effect is unknown".into())),
         },
     })
 }
