--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,121 +1,142 @@
-//! Attempts of a request, and its one response.
+//! Attempts: the first one of a request, its retries and its hedged requests.
+//!
+//! A retry follows a failed attempt, a hedged request an attempt that takes long. Both need the retry budget,
+//! the concurrency limit and the retry scope. A timed-out attempt is not retried: its time was the request's.
 
-use super::bucket::add_decaying;
-use super::request::{Attempt, Progress};
-use super::tuning::*;
-use super::{Gateway, Timer};
-use crate::interface::*;
+use super::Gateway;
+use super::request::{Attempt, OpenRequest, Progress};
+use super::selection::Placement;
+use super::timers::Timer;
+use super::tuning::{
+    HEDGE_DELAY_FRACTION, HEDGE_DELAY_LATENCIES, RESPONSE_EVENT_INTERVALS, SPARE_CAPACITY_FRACTION,
+};
+use crate::interface::{Action, Class, Reason, RequestId, Status};
+
+/// How an attempt ended.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AttemptOutcome {
+    /// Which attempt of the request, from 0.
+    pub(super) attempt: u32,
+    pub(super) status: Status,
+    /// The client has its response, or is gone.
+    pub(super) request_ended: bool,
+    /// True units, where they are settled afterwards.
+    pub(super) settled_units: Option<f64>,
+}
 
 impl Gateway {
-    pub(super) fn send_first_attempt(&mut self, id: RequestId) {
-        self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
-        if !self.send(&id) {
-            self.respond_locally(&id, self.settings.max_retry_after, Reason::NoBackend);
+    /// Sends the first attempt of an admitted request.
+    pub(super) fn send_first_attempt(&mut self, id: &RequestId) {
+        self.retry_budget.deposit();
+        if !self.send_attempt(id) {
+            self.respond_locally(id, self.settings.max_retry_after, Reason::NoBackend);
         }
     }
 
-    /// Begins an attempt where the rules and a server's bound allow one.
-    pub(super) fn send(&mut self, id: &RequestId) -> bool {
-        let Some(mut job) = self.requests.remove(id) else { return false };
-        let class = self.settings.classes[job.request.class].clone();
-        let useful =
-            if class.late_weight > 0.0 { f64::INFINITY } else { job.arrived + class.latency_objective };
-        let timeout = (useful - 2.0 * self.settings.event_interval).min(job.request.deadline) - self.now;
-        let tries = job.attempts.len() < self.settings.max_attempts as usize;
-        let server = if tries && timeout > 0.0 && !job.over { self.choose_backend(&job) } else { None };
-        if let Some((place, within)) = server {
-            let backend = &mut self.backends[place];
-            let server = backend.id.clone();
-            backend.inflight += 1.0;
-            self.inflight += 1.0;
-            backend.slow_start.level -= job.request.units.max(1.0);
-            if let Some(customer) = self.customers.get_mut(&job.request.customer) {
-                customer.open_attempts += 1;
-            }
-            add_decaying(&mut self.sent_units, self.now, job.request.units, RATE_MEMORY);
-            self.actions.push(Action::Forward {
-                request: id.clone(),
-                backend: server,
-                timeout,
-                start_within: within,
-            });
-            job.attempts.push(Attempt { backend: place, sent: self.now, progress: Progress::Pending });
-            let delay = (HEDGE_DELAY_SHARE * class.latency_objective).max(3.0 * self.latency);
-            if self.settings.hedging && delay < timeout {
-                self.set_timer(self.now + delay, Timer::Hedge(id.clone()));
-            }
+    /// Sends an attempt where the rules and a backend allow one; whether it was sent.
+    fn send_attempt(&mut self, id: &RequestId) -> bool {
+        let Some(mut open) = self.requests.remove(id) else { return false };
+        let class = self.settings.classes[open.request.class].clone();
+        let timeout = self.attempt_timeout(&open, &class);
+        let attempts_left = open.attempts.len() < self.settings.max_attempts as usize;
+        let allowed = attempts_left && timeout > 0.0 && !open.closed;
+        let placement = if allowed { self.choose_backend(&open) } else { None };
+        if let Some(placement) = placement {
+            self.forward(&mut open, placement, timeout);
+            self.schedule_hedge(id, &class, timeout);
         }
-        self.requests.insert(id.clone(), job);
-        server.is_some()
+        self.requests.insert(id.clone(), open);
+        placement.is_some()
     }
 
-    pub(super) fn attempt_ended(
-        &mut self,
-        id: &RequestId,
-        attempt: u32,
-        status: Status,
-        over: bool,
-        settled: Option<f64>,
-    ) {
-        let Some(job) = self.requests.get_mut(id) else { return };
-        let Some(tried) = job.attempts.get_mut(attempt as usize) else { return };
-        if tried.progress == Progress::Pending {
-            let never = matches!(status, Status::Rejected | Status::ConnectFailed | Status::NotSent);
-            tried.progress = if never { Progress::NeverRan } else { Progress::MayHaveRun };
-            if let Some(customer) = self.customers.get_mut(&job.request.customer) {
-                customer.open_attempts = customer.open_attempts.saturating_sub(1);
-                if let Some(units) = settled {
-                    customer.add_uncounted(units - job.request.units, self.now);
-                }
-            }
-        }
-        let (idle, done, streaming) = (job.pending_attempts() == 0, over || job.over, job.streaming);
-        if done || streaming || !idle {
-            return if done {
-                self.close_request(id)
-            };
+    /// Seconds until a response is of no use: past the latency objective where a late one has no value, past
+    /// the deadline in any case.
+    fn attempt_timeout(&self, open: &OpenRequest, class: &Class) -> f64 {
+        let useful_until =
+            if class.late_weight > 0.0 { f64::INFINITY } else { open.arrived + class.latency_objective };
+        let latest = useful_until - RESPONSE_EVENT_INTERVALS * self.settings.event_interval;
+        latest.min(open.request.deadline) - self.now
+    }
+
+    fn forward(&mut self, open: &mut OpenRequest, placement: Placement, timeout: f64) {
+        let request = &open.request;
+        let backend = &mut self.backends.all[placement.backend];
+        backend.in_flight += 1.0;
+        backend.slow_start.level -= request.units.max(1.0);
+        self.concurrency.attempt_started();
+        if let Some(customer) = self.customers.get_mut(&request.customer) {
+            customer.open_attempts += 1;
         }
-        if self.retry_budget >= 1.0 && status != Status::Timeout && self.has_capacity(1.0) && self.send(id) {
-            self.retry_budget -= 1.0;
-            return;
+        self.load.record_sent(self.now, request.units);
+        self.actions.push(Action::Forward {
+            request: request.id.clone(),
+            backend: backend.id.clone(),
+            timeout,
+            start_within: placement.start_within,
+        });
+        let attempt = Attempt { backend: placement.backend, sent: self.now, progress: Progress::Pending };
+        open.attempts.push(attempt);
+    }
+
+    fn schedule_hedge(&mut self, id: &RequestId, class: &Class, timeout: f64) {
+        let delay =
+            (HEDGE_DELAY_FRACTION * class.latency_objective).max(HEDGE_DELAY_LATENCIES * self.latency.mean);
+        if self.settings.hedging && delay < timeout {
+            self.set_timer(self.now + delay, Timer::Hedge(id.clone()));
         }
-        self.respond_locally(id, self.latency, Reason::AttemptsFailed);
     }
 
+    /// Sends a hedged request where one attempt is in flight without a response and there is capacity to
+    /// spare.
     pub(super) fn send_hedge(&mut self, id: &RequestId) {
-        let waits =
-            self.requests.get(id).is_some_and(|j| !j.over && !j.streaming && j.pending_attempts() == 1);
-        if waits && self.retry_budget >= 1.0 && self.has_capacity(SPARE_CAPACITY_SHARE) && self.send(id) {
-            self.retry_budget -= 1.0;
+        let unanswered = |open: &OpenRequest| !open.closed && !open.streaming && open.pending_attempts() == 1;
+        if self.requests.get(id).is_some_and(unanswered)
+            && self.retry_budget.allows_one()
+            && self.has_capacity(SPARE_CAPACITY_FRACTION)
+            && self.send_attempt(id)
+        {
+            self.retry_budget.withdraw();
         }
     }
 
-    /// Gives the one response, refusing where a retry is known to do no harm.
-    pub(super) fn respond_locally(&mut self, id: &RequestId, retry_after: f64, reason: Reason) {
-        let Some(job) = self.requests.get(id).filter(|j| !j.over) else { return };
-        let clean = job.attempts.iter().all(|a| a.progress == Progress::NeverRan);
-        let harmless = match self.settings.classes.get(job.request.class).map(|c| c.idempotency) {
-            Some(Idempotency::NonIdempotent) => clean,
-            Some(Idempotency::Keyed { scope: group, .. }) => clean || group == DedupScope::All,
-            _ => true,
-        };
-        if harmless {
-            let most = if self.settings.sends_retry_after { self.settings.max_retry_after } else { 0.0 };
-            let retry_after = retry_after.max(0.0).min(most);
-            self.actions.push(Action::Reject { request: id.clone(), retry_after, reason });
-        } else {
-            self.actions.push(Action::Fail { request: id.clone(), reason });
+    /// Records the end of an attempt. When it was the last in flight, the request is closed, retried or
+    /// responded to.
+    pub(super) fn attempt_ended(&mut self, id: &RequestId, outcome: AttemptOutcome) {
+        let Some(open) = self.record_outcome(id, outcome) else { return };
+        let (in_flight, streaming) = (open.pending_attempts() > 0, open.streaming);
+        if outcome.request_ended || open.closed {
+            return self.close_request(id);
+        }
+        if streaming || in_flight {
+            return;
         }
-        self.close_request(id);
+        if self.retry_budget.allows_one()
+            && outcome.status != Status::Timeout
+            && self.has_capacity(1.0)
+            && self.send_attempt(id)
+        {
+            self.retry_budget.withdraw();
+            return;
+        }
+        self.respond_locally(id, self.latency.mean, Reason::AttemptsFailed);
     }
 
-    /// The request is over; it is kept only while attempts are out.
-    pub(super) fn close_request(&mut self, id: &RequestId) {
-        if let Some(job) = self.requests.get_mut(id) {
-            job.over = true;
-            if job.pending_attempts() == 0 {
-                self.requests.remove(id);
+    /// Marks the attempt as ended and settles its units; `None` for an attempt that is not known.
+    fn record_outcome(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Option<&OpenRequest> {
+        let open = self.requests.get_mut(id)?;
+        let attempt = open.attempts.get_mut(outcome.attempt as usize)?;
+        if attempt.progress == Progress::Pending {
+            attempt.progress = match outcome.status {
+                Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
+                _ => Progress::MayHaveRun,
+            };
+            if let Some(customer) = self.customers.get_mut(&open.request.customer) {
+                customer.open_attempts = customer.open_attempts.saturating_sub(1);
+                if let Some(units) = outcome.settled_units {
+                    customer.uncounted.add(self.now, units - open.request.units);
+                }
             }
         }
+        Some(open)
     }
 }
--- /dev/null
+++ b/src/policy/lease.rs
@@ -0,0 +1,159 @@
+//! Leases: when units of a customer's quota are requested from the counter, how many, and what the waiting
+//! requests get.
+//!
+//! A call adds to the customer's count what the waiting requests need, a second of recent demand on top, and
+//! what the gateway has spent without a lease. The total in the response decides how much of that is granted
+//! (`settlement`). Requests wait a few milliseconds at most; then the fallback limit decides.
+
+use super::Gateway;
+use super::counter::Purpose;
+use super::customer::Customer;
+use super::fractional_share::is_fractional;
+use super::quota::Funding;
+use super::timers::Timer;
+use super::tuning::{
+    COUNTER_WAIT_FRACTION, DEMAND_MEMORY_SECONDS, LEASE_DEMAND_SECONDS, LEVEL_REFRESH_SECONDS,
+};
+use super::window::Window;
+use crate::interface::{CustomerId, Plan, RequestId, Status, Time};
+
+/// Units that a call for a lease adds to the count. What it adds beyond both is the estimate for fractional
+/// shares.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct LeaseRequest {
+    /// Units to be leased.
+    pub(super) requested: f64,
+    /// Units spent before without a lease.
+    pub(super) uncounted: f64,
+}
+
+/// A call for a lease that is in flight.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PendingCall {
+    /// The token of the timer that ends the wait for it.
+    token: u64,
+    /// No request waits for it any more.
+    overdue: bool,
+}
+
+impl Customer {
+    /// Whether a request may wait for the call in flight.
+    pub(super) fn may_wait(&self) -> bool {
+        self.pending_call.is_some_and(|call| !call.overdue)
+    }
+
+    /// Units to request where the waiting requests need `needed`: with spare ones for the recent demand, up
+    /// to this gateway's share of the level. Only whole units are spare: a unit unused at each gateway is
+    /// most of a small burst.
+    fn lease_units(&self, now: Time, needed: f64, plan: &Plan) -> f64 {
+        let demand = self.demand.sum / DEMAND_MEMORY_SECONDS;
+        let level = self.level.map_or(plan.burst, |mut level| level.refill(now, plan.rate, plan.burst));
+        let spare = (demand * LEASE_DEMAND_SECONDS).min(level / self.instances_f64());
+        ((needed - self.lease).ceil() + spare.floor()).max(0.0)
+    }
+}
+
+impl Gateway {
+    /// Calls for a lease that covers the waiting requests.
+    pub(super) fn request_lease(&mut self, key: &CustomerId, plan: &Plan) {
+        let window = Window::at(self.now, key, plan).index;
+        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let needed: f64 = customer.waiting.iter().map(|id| self.requests[id].request.units).sum();
+        let requested = customer.lease_units(self.now, needed, plan);
+        let shares = &mut self.fractional_shares[customer.plan];
+        let estimate = if is_fractional(plan, customer.instances, needed) {
+            shares.record_request(self.now, needed, plan)
+        } else {
+            shares.age(self.now, 0.0, plan);
+            0.0
+        };
+        let uncounted = self.take_uncounted(key, plan);
+        let purpose = Purpose::Lease(LeaseRequest { requested, uncounted });
+        self.add_to_count(key, window, requested + uncounted + estimate, purpose, plan);
+        let wait = COUNTER_WAIT_FRACTION * self.settings.counter_timeout;
+        let token = self.set_timer(self.now + wait, Timer::LeaseWait(key.clone()));
+        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        customer.lease_window = window;
+        customer.pending_call = Some(PendingCall { token, overdue: false });
+    }
+
+    /// While the counter is unavailable: calls it to report what was spent without a lease, or, while calls
+    /// fail, to try whether it responds. No request waits for this call.
+    pub(super) fn report_uncounted(&mut self, key: &CustomerId, plan: &Plan) {
+        let window = Window::at(self.now, key, plan).index;
+        let customer = &self.customers[key];
+        let nothing_to_report = !self.counter.is_failing() && customer.uncounted.units <= 0.0;
+        if nothing_to_report || customer.pending_call.is_some() {
+            return;
+        }
+        let uncounted = self.take_uncounted(key, plan);
+        let purpose = Purpose::Lease(LeaseRequest { requested: 0.0, uncounted });
+        self.add_to_count(key, window, uncounted, purpose, plan);
+        let token = self.timers.next_token();
+        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        customer.pending_call = Some(PendingCall { token, overdue: true });
+    }
+
+    /// Takes the units that the next call has to report, without those that the refill has paid for during an
+    /// outage: the count does not know of that refill, as it holds no more than the burst. Nothing while
+    /// calls fail: a call that was counted without a response would be paid twice.
+    fn take_uncounted(&mut self, key: &CustomerId, plan: &Plan) -> f64 {
+        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        if self.counter.is_failing() {
+            return 0.0;
+        }
+        let uncounted = std::mem::take(&mut customer.uncounted);
+        let outage_end = self.counter.returned_at() - LEVEL_REFRESH_SECONDS;
+        let refilled = plan.rate * (outage_end - uncounted.since) - plan.burst;
+        (uncounted.units - refilled.max(0.0) / customer.instances_f64()).max(0.0)
+    }
+
+    /// Takes the end of a call to the counter: settles its total, and decides the requests that waited for
+    /// it. `total` is valid with [`Status::Ok`].
+    pub(super) fn counter_response(&mut self, counter: u64, status: Status, total: f64, elapsed: f64) {
+        let Some(call) = self.counter.finish(counter) else { return };
+        self.counter.observe(self.now, status, elapsed);
+        let Some(customer) = self.customers.get_mut(&call.customer) else { return };
+        let plan = self.settings.plans[customer.plan].clone();
+        match call.purpose {
+            _ if status == Status::Ok => self.apply_total(&call, total, &plan),
+            // Unless it surely was added, it stays uncounted: a customer must not gain by a lost response.
+            Purpose::Lease(lease) if lease.uncounted > 0.0 && status != Status::Error => {
+                customer.uncounted.add(self.now, lease.uncounted);
+            }
+            _ => {}
+        }
+        if let Purpose::Lease(_) = call.purpose {
+            let customer = self.customers.get_mut(&call.customer).expect("looked up above");
+            customer.pending_call = None;
+            let waiting = std::mem::take(&mut customer.waiting);
+            self.admit_waiting(waiting, status == Status::Ok, &plan);
+        }
+    }
+
+    /// Ends the wait for a lease that was requested with this token. Guards against a slow counter that holds
+    /// requests.
+    pub(super) fn end_lease_wait(&mut self, key: &CustomerId, token: u64) {
+        let Some(customer) = self.customers.get_mut(key) else { return };
+        let Some(call) = customer.pending_call.as_mut().filter(|call| call.token == token) else { return };
+        call.overdue = true;
+        let plan = self.settings.plans[customer.plan].clone();
+        let waiting = std::mem::take(&mut customer.waiting);
+        self.admit_waiting(waiting, false, &plan);
+    }
+
+    /// Decides requests that waited for a lease; `settled`: the count's total is known now.
+    fn admit_waiting(&mut self, waiting: impl IntoIterator<Item = RequestId>, settled: bool, plan: &Plan) {
+        for id in waiting {
+            let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { continue };
+            let units = open.request.units;
+            if self.customers[&open.request.customer].lease >= units {
+                self.spend(&id, units, Funding::Lease);
+            } else if settled {
+                self.over_quota(&id, plan);
+            } else {
+                self.admit_by_fallback(&id, plan);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/quota.rs
@@ -0,0 +1,145 @@
+//! Quota: what pays for a request of a customer whose plan has a rate.
+//!
+//! In this order: the lease; a call for a lease in flight or a new one; the fallback limit where no call can
+//! be made. A request beyond the quota is rejected at once with a Retry-After, unless the settings value it
+//! above its cost and there is capacity to spare. Under a ceiling it must also fit into the headroom. Inputs:
+//! the plan, the units of the request, the customer's level as last known.
+
+use super::Gateway;
+use super::customer::Customer;
+use super::fractional_share::is_fractional;
+use super::tuning::{LEVEL_REFRESH_SECONDS, SPARE_CAPACITY_FRACTION, UNIT_TOLERANCE};
+use super::window::Window;
+use crate::interface::{CustomerId, Plan, Reason, RequestId, Time};
+
+/// What pays for a request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum Funding {
+    /// Units of the lease, which are on the count already.
+    Lease,
+    /// The fallback limit; the units have to be reported to the count.
+    Fallback,
+}
+
+impl Customer {
+    /// Whether a recently known level shows that a call for a lease of `units` would come back empty. Where
+    /// the last lease was granted in part, all gateways wait until the refill is worth a request for each.
+    fn level_exhausted(&self, now: Time, plan: &Plan, units: f64) -> bool {
+        let recent = self.level.filter(|level| now - level.at < LEVEL_REFRESH_SECONDS);
+        let Some(mut level) = recent else { return false };
+        let requests = if self.partly_granted { self.instances_f64().min(plan.burst / 2.0) } else { 1.0 };
+        let needed = requests.max(1.0) * units;
+        level.refill(now, plan.rate, plan.burst) + self.lease + UNIT_TOLERANCE < needed
+    }
+
+    /// Seconds until the lease and the level known cover a request of `units`.
+    fn seconds_until_covered(&self, now: Time, plan: &Plan, units: f64) -> f64 {
+        let level = self.level.map_or(0.0, |level| level.level + plan.rate * (now - level.at));
+        (units - (self.lease + level)).max(0.0) / plan.rate
+    }
+}
+
+impl Gateway {
+    /// Admits a request by the quota, lets it wait for a lease, or rejects it.
+    pub(super) fn admit(&mut self, id: &RequestId, plan: &Plan) {
+        let request = &self.requests[id].request;
+        let (units, key) = (request.units, request.customer.clone());
+        let call_allowed = self.counter.allows_call(self.now, units * plan.priority_weight);
+        let customer = self.customers.get_mut(&key).expect("a customer with requests is known");
+        if customer.lease_window != Window::at(self.now, &key, plan).index {
+            customer.lease = 0.0; // It expires with its window.
+        }
+        if customer.lease >= units {
+            return self.spend(id, units, Funding::Lease);
+        }
+        if customer.may_wait() {
+            return customer.waiting.push_back(id.clone());
+        }
+        if self.counter.is_failing() || self.counter.is_unavailable(self.now) {
+            if call_allowed {
+                self.report_uncounted(&key, plan);
+            }
+            return self.admit_by_fallback(id, plan);
+        }
+        if customer.level_exhausted(self.now, plan, units) {
+            return self.over_quota(id, plan);
+        }
+        if customer.pending_call.is_none() && call_allowed {
+            return self.admit_by_new_lease(id, &key, plan, units);
+        }
+        self.admit_by_fallback(id, plan);
+    }
+
+    /// Calls for a lease. The request waits for it, but the first one of a customer is admitted by the
+    /// fallback limit where that covers it.
+    fn admit_by_new_lease(&mut self, id: &RequestId, key: &CustomerId, plan: &Plan, units: f64) {
+        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let unknown_level = customer.level.is_none() && !is_fractional(plan, customer.instances, units);
+        customer.waiting.push_back(id.clone());
+        self.request_lease(key, plan);
+        if unknown_level && self.fallback_covers(key, plan, units) {
+            let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+            customer.waiting.pop_back();
+            self.spend(id, units, Funding::Fallback);
+        }
+    }
+
+    /// Admits a request by the fallback limit, or treats it as beyond the quota.
+    pub(super) fn admit_by_fallback(&mut self, id: &RequestId, plan: &Plan) {
+        let request = &self.requests[id].request;
+        let (units, key) = (request.units, request.customer.clone());
+        if self.fallback_covers(&key, plan, units) {
+            self.spend(id, units, Funding::Fallback);
+        } else {
+            self.over_quota(id, plan);
+        }
+    }
+
+    /// Rejects a request beyond the quota, or sends it where it is worth more than it costs.
+    pub(super) fn over_quota(&mut self, id: &RequestId, plan: &Plan) {
+        let request = &self.requests[id].request;
+        let (units, key) = (request.units, request.customer.clone());
+        let worthwhile = plan.over_quota_weight > plan.over_quota_cost && plan.max_concurrent == 0;
+        let admitted = worthwhile
+            && self.has_capacity(SPARE_CAPACITY_FRACTION)
+            && (plan.ceiling_rate <= 0.0 || self.ceiling_covers(&key, plan, units));
+        let customer = self.customers.get_mut(&key).expect("a customer with requests is known");
+        if admitted {
+            customer.ceiling_headroom.take(units);
+            self.send_first_attempt(id);
+        } else {
+            let retry_after = customer.seconds_until_covered(self.now, plan, units);
+            self.respond_locally(id, retry_after, Reason::Quota);
+        }
+    }
+
+    /// Pays for a request and sends its first attempt, unless the customer has too many attempts in flight.
+    pub(super) fn spend(&mut self, id: &RequestId, units: f64, funding: Funding) {
+        let request = &self.requests[id].request;
+        let plan = &self.settings.plans[request.plan];
+        let failing = self.counter.is_failing() || self.counter.is_unavailable(self.now);
+        let customer = self.customers.get_mut(&request.customer).expect("a customer with requests is known");
+        match funding {
+            Funding::Lease => customer.lease -= units,
+            Funding::Fallback => {
+                customer.fallback.take(units);
+                if is_fractional(plan, customer.instances, units) && !failing {
+                    self.fractional_shares[customer.plan].record_uncounted(self.now, units, plan);
+                } else {
+                    customer.uncounted.add(self.now, units);
+                }
+            }
+        }
+        if plan.ceiling_rate > 0.0 {
+            customer.ceiling_headroom.take(units);
+        }
+        // Each gateway has an even share of the plan's concurrency limit, of one attempt at least.
+        let max_attempts = (plan.max_concurrent / customer.instances).max(1);
+        if plan.max_concurrent == 0 || customer.open_attempts < max_attempts {
+            self.send_first_attempt(id);
+        } else {
+            customer.lease += units; // Not sent, so not spent.
+            self.respond_locally(id, self.latency.mean, Reason::ConcurrencyLimit);
+        }
+    }
+}
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,11 +1,11 @@
 //! A request that is open, and its attempts.
 
-use crate::interface::*;
+use crate::interface::{Request, Time};
 
 /// Whether an attempt may have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Progress {
-    /// No end of it is known.
+    /// It is in flight.
     Pending,
     /// It surely never ran.
     NeverRan,
@@ -16,27 +16,37 @@
 /// One attempt of a request.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The backend's place among all.
+    /// Index of its backend.
     pub(super) backend: usize,
     pub(super) sent: Time,
     pub(super) progress: Progress,
 }
 
-/// A request that has no response yet, or attempts that are still out.
+/// A request without a response, or with attempts in flight.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
     pub(super) request: Request,
     pub(super) arrived: Time,
     pub(super) attempts: Vec<Attempt>,
     /// It has its response, or its client is gone.
-    pub(super) over: bool,
+    pub(super) closed: bool,
     /// Its response has begun.
     pub(super) streaming: bool,
 }
 
 impl OpenRequest {
-    /// How many attempts are out.
+    /// A request that arrived at `now`.
+    pub(super) fn new(request: Request, now: Time) -> Self {
+        Self { request, arrived: now, attempts: Vec::new(), closed: false, streaming: false }
+    }
+
+    /// How many attempts are in flight.
     pub(super) fn pending_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.progress == Progress::Pending).count()
     }
+
+    /// Whether no attempt can have taken effect.
+    pub(super) fn never_ran(&self) -> bool {
+        self.attempts.iter().all(|attempt| attempt.progress == Progress::NeverRan)
+    }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,78 +1,84 @@
-//! Which server an attempt goes to, and whether a retry may go out.
+//! Backend selection: which backend an attempt goes to.
+//!
+//! The backend with the lowest score wins: attempts in flight there, weighted by how much slower it is than
+//! the mean. The gateway's subset comes first, from a random place in it; other backends only where none of
+//! the subset may be sent to. Ejected backends, those outside the retry scope, those tried before and those
+//! whose slow-start budget is spent are passed over.
 
 use super::Gateway;
 use super::backend::Backend;
-use super::request::{OpenRequest, Progress};
-use super::tuning::*;
-use crate::interface::*;
+use super::request::OpenRequest;
+use super::tuning::{MIN_LATENCY_SECONDS, OBSERVATION_MEMORY_SECONDS, SLOW_BACKEND_FACTOR};
+
+/// Where an attempt goes.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Placement {
+    /// Index of the backend.
+    pub(super) backend: usize,
+    /// Seconds within which the attempt must have been sent; infinity: no matter when.
+    pub(super) start_within: f64,
+}
+
+/// The best candidate so far.
+#[derive(Debug, Clone, Copy)]
+struct Candidate {
+    score: f64,
+    backend: usize,
+}
+
+/// The least score: no attempt in flight at a backend that is not slow.
+const LEAST_SCORE: f64 = 1.0;
+/// Relative error of a score by rounding.
+const SCORE_TOLERANCE: f64 = 1e-9;
 
 impl Gateway {
-    /// The server that should answer first, among those this job may go to; `None`: all are full.
-    pub(super) fn choose_backend(&mut self, job: &OpenRequest) -> Option<(usize, f64)> {
-        let (within, group, zone, cell) = self.retry_scope(job)?;
-        let (mut best, count): (Option<(f64, usize)>, _) = (None, self.running.len());
-        let near = self.subset_size();
-        let (start, turn) =
-            ((self.subset_start * count as f64) as usize, (self.draw() * near as f64) as usize);
-        for i in 0..count {
-            // No score is under one, nor under one more than is out: most servers are passed over by that.
-            let least = best.map_or(f64::INFINITY, |(score, _)| score);
-            if least <= 1.0 || i >= near && best.is_some() {
+    /// The backend for the next attempt of a request; `None`: no attempt is allowed, or no backend may be
+    /// sent to.
+    pub(super) fn choose_backend(&mut self, open: &OpenRequest) -> Option<Placement> {
+        let scope = self.retry_scope(open)?;
+        let (running, subset) = (self.backends.running.len(), self.subset_size());
+        let subset_start = (self.subset_start * running as f64) as usize;
+        let first = (self.draw() * subset as f64) as usize;
+        let mut best: Option<Candidate> = None;
+        for i in 0..running {
+            let best_score = best.map_or(f64::INFINITY, |candidate| candidate.score);
+            if best_score <= LEAST_SCORE || i >= subset && best.is_some() {
                 break;
             }
-            let place = if i >= near { i } else { (turn + i) % near };
-            let at = self.running[(start + place) % count];
-            let backend = &self.backends[at];
-            if 1.0 + backend.inflight >= least {
+            let offset = if i >= subset { i } else { (first + i) % subset };
+            let index = self.backends.running[(subset_start + offset) % running];
+            let backend = &self.backends.all[index];
+            // A score is no less than this: most backends are passed over here.
+            if LEAST_SCORE + backend.in_flight >= best_score {
                 continue;
             }
-            let in_group = match group {
-                DedupScope::All => true,
-                DedupScope::Zone => backend.zone == zone,
-                DedupScope::Cell => backend.cell == cell && backend.zone == zone,
-            };
-            if self.now < backend.ejected_until || !in_group || job.attempts.iter().any(|a| a.backend == at) {
+            let tried = || open.attempts.iter().any(|attempt| attempt.backend == index);
+            if self.now < backend.ejected_until || !scope.includes(backend) || tried() {
                 continue;
             }
-            let score = self.score(backend, least);
-            if score < least && self.slow_start_budget(at, if i < near { near } else { count }) >= 1.0 {
-                best = Some((score, at));
+            let score = self.score(backend, best_score);
+            let candidates = if i < subset { subset } else { running };
+            if score < best_score && self.slow_start_budget(index, candidates) >= 1.0 {
+                best = Some(Candidate { score, backend: index });
             }
         }
-        best.map(|(_, at)| (at, within))
+        best.map(|candidate| Placement { backend: candidate.backend, start_within: scope.start_within })
     }
 
-    /// How full a server is: slower ones are sent less, by news that fades; those known as quick are not told
-    /// apart. What surely is `least` or more is not worked out.
-    pub(super) fn score(&self, backend: &Backend, least: f64) -> f64 {
-        let (out, excess) =
-            (1.0 + backend.inflight, backend.latency / self.latency.max(1e-3) * SLOW_SERVER_FACTOR - 1.0);
-        if excess <= 0.0 {
-            return out;
+    /// How loaded a backend is. Slow ones score higher, by observations that fade with time; fast ones are
+    /// not told apart. Infinity may stand for a score that is not below `best_score`.
+    fn score(&self, backend: &Backend, best_score: f64) -> f64 {
+        let attempts = LEAST_SCORE + backend.in_flight;
+        let slowness =
+            backend.latency / self.latency.mean.max(MIN_LATENCY_SECONDS) * SLOW_BACKEND_FACTOR - 1.0;
+        if slowness <= 0.0 {
+            return attempts;
         }
-        let age = (self.now - backend.last_observed) / OBSERVATION_MEMORY;
-        if out * (excess * (1.0 - age) + 1.0) > least * (1.0 + 1e-9) {
-            return f64::INFINITY; // exp(-age) is no less than 1 - age.
-        }
-        out * (excess * (-age).exp() + 1.0)
-    }
-
-    /// Rule 2: `None`: no retry may go out; else within how long, and in which group.
-    pub(super) fn retry_scope(&self, job: &OpenRequest) -> Option<(f64, DedupScope, u32, u32)> {
-        let anywhere = Some((f64::INFINITY, DedupScope::All, 0, 0));
-        if job.pending_attempts() > 0 && !self.settings.hedging {
-            return None;
-        }
-        let Some(first) = job.attempts.iter().find(|a| a.progress != Progress::NeverRan) else {
-            return anywhere;
-        };
-        match self.settings.classes[job.request.class].idempotency {
-            Idempotency::Idempotent => anywhere,
-            Idempotency::NonIdempotent => None,
-            Idempotency::Keyed { scope: group, window } => {
-                let (backend, within) = (&self.backends[first.backend], first.sent + window - self.now);
-                (within > 0.0).then_some((within, group, backend.zone, backend.cell))
-            }
+        let age = (self.now - backend.last_observed) / OBSERVATION_MEMORY_SECONDS;
+        // exp(-age) is no less than 1 - age, which saves the exponential for most backends.
+        if attempts * (slowness * (1.0 - age) + 1.0) > best_score * (1.0 + SCORE_TOLERANCE) {
+            return f64::INFINITY;
         }
+        attempts * (slowness * (-age).exp() + 1.0)
     }
 }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -1,25 +1,29 @@
-//! The servers that a gateway keeps to while any of them may be sent to: it hears of few often, not of all
-//! rarely, and opens few connections. Together the subsets of a fleet cover all servers evenly.
+//! The subset: the backends that a gateway prefers while any of them may be sent to.
+//!
+//! A gateway then observes a few backends often rather than all of them rarely, and opens few connections.
+//! Subsets are runs of the sorted list of running backends; those of a fleet together cover all backends
+//! evenly. Inputs: the number of this gateway, of gateways and of running backends.
 
 use super::Gateway;
-use super::tuning::*;
+use super::tuning::{GATEWAYS_PER_BACKEND, MAX_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND, MIN_SUBSET_SIZE};
 
 /// The fractional part of the golden ratio.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// Where among the running servers, from 0 to 1, a gateway's subset begins. The multiples of the golden ratio
-/// are evenly spread however many there are; places of chance leave some servers to half as many gateways.
+/// Where in the list of running backends, from 0 to 1, the subset of a gateway begins. Multiples of the
+/// golden ratio are evenly spread however many there are; random places would leave some backends to half as
+/// many gateways.
 pub(super) fn subset_start(gateway: u32) -> f64 {
     (f64::from(gateway) * GOLDEN_RATIO_FRACTION).fract()
 }
 
 impl Gateway {
-    /// Servers in the subset: enough for [`SUBSET_GATEWAYS`] to meet at each, but not many more than a
-    /// gateway's own traffic keeps in use, while [`SUBSET_GATEWAYS_LEAST`] still meet.
+    /// Backends in the subset: enough for [`GATEWAYS_PER_BACKEND`] to share each, but no more than
+    /// [`MAX_SUBSET_SIZE`] while [`MIN_GATEWAYS_PER_BACKEND`] still do.
     pub(super) fn subset_size(&self) -> usize {
-        let (running, gateways) = (self.running.len(), self.settings.instances as usize);
-        let most = SUBSET_MOST.max(SUBSET_GATEWAYS_LEAST * running / gateways);
-        let shared = (SUBSET_GATEWAYS * running / gateways).min(most);
-        shared.max(SUBSET_LEAST).min(running)
+        let (running, gateways) = (self.backends.running.len(), self.settings.instances as usize);
+        let limit = MAX_SUBSET_SIZE.max(MIN_GATEWAYS_PER_BACKEND * running / gateways);
+        let shared = (GATEWAYS_PER_BACKEND * running / gateways).min(limit);
+        shared.max(MIN_SUBSET_SIZE).min(running)
     }
 }
--- /dev/null
+++ b/src/policy/timers.rs
@@ -0,0 +1,60 @@
+//! The timers of a gateway: what each is set for, by the token that comes back when it is due.
+
+use super::Gateway;
+use super::customer::Customer;
+use super::tuning::IDLE_CUSTOMER_SECONDS;
+use crate::interface::{Action, CustomerId, RequestId, Time};
+use std::collections::HashMap;
+
+/// What a timer is set for.
+#[derive(Debug, Clone)]
+pub(super) enum Timer {
+    /// Requests have waited long enough for a lease of this customer.
+    LeaseWait(CustomerId),
+    /// A hedged request may be sent for this request.
+    Hedge(RequestId),
+    /// Idle customers are forgotten.
+    Sweep,
+}
+
+/// The timers that are set.
+#[derive(Debug, Default)]
+pub(super) struct Timers {
+    set: HashMap<u64, Timer>,
+    last_token: u64,
+}
+
+impl Timers {
+    /// A token that no other timer or call has.
+    pub(super) fn next_token(&mut self) -> u64 {
+        self.last_token += 1;
+        self.last_token
+    }
+}
+
+impl Gateway {
+    /// Sets a timer that is due at `at`, and returns its token.
+    pub(super) fn set_timer(&mut self, at: Time, timer: Timer) -> u64 {
+        let token = self.timers.next_token();
+        self.timers.set.insert(token, timer);
+        self.actions.push(Action::SetTimer { token, at });
+        token
+    }
+
+    /// Does what the timer was set for; an unknown token is ignored.
+    pub(super) fn handle_timeout(&mut self, token: u64) {
+        match self.timers.set.remove(&token) {
+            Some(Timer::LeaseWait(customer)) => self.end_lease_wait(&customer, token),
+            Some(Timer::Hedge(request)) => self.send_hedge(&request),
+            Some(Timer::Sweep) => self.forget_idle_customers(),
+            None => {}
+        }
+    }
+
+    fn forget_idle_customers(&mut self) {
+        let now = self.now;
+        let in_use = |c: &Customer| now - c.last_used < IDLE_CUSTOMER_SECONDS || !c.is_idle();
+        self.customers.retain(|_, customer| in_use(customer));
+        self.set_timer(self.now + IDLE_CUSTOMER_SECONDS, Timer::Sweep);
+    }
+}
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -1,83 +1,162 @@
-//! Tuned constants: unit and reason beside each; all else is scaled from the settings.
-
-/// Windows' length, in bursts over rate: several, as each turn costs calls.
-pub(super) const WINDOW_BURSTS: f64 = 4.0;
-/// Shortest and longest window, seconds: no turn within a refresh, and names last less than 60 s.
-pub(super) const WINDOW_BOUNDS: (f64, f64) = (2.0, 25.0);
-/// Seconds of recent demand a lease covers: a crowded counter bears no call for each request; more strands.
-pub(super) const LEASE_SPAN: f64 = 1.0;
-/// Seconds over which demand is averaged: a few leases.
-pub(super) const DEMAND_MEMORY: f64 = 1.0;
-/// Seconds after which a known level is asked again: the page's refresh.
-pub(super) const REFRESH: f64 = 1.0;
-/// Share of the burst by which the count may lag behind what has lapsed before it is put right: for the first
-/// call in a window, whose level all others start from, and for later ones.
-pub(super) const LAPSE_SLACK: (f64, f64) = (0.1, 0.5);
-/// Calls that failed in a row, and the time limits they took, from which on the counter is unavailable.
-pub(super) const UNAVAILABLE_AFTER: (u32, f64) = (3, 5.0);
-/// Seconds after its return for which shares still decide, while each gateway's debt reaches it.
-pub(super) const SETTLING: f64 = 2.0 * REFRESH;
-/// Share of a customer's gateways at which a share under one request holds one at first: at all, too many.
-pub(super) const THIN_SHARE_STARTS: f64 = 0.85;
-/// Share of the burst by which a count must have fallen within a window to show that it was emptied.
-pub(super) const EMPTIED_SHARE: f64 = 0.2;
-/// Share of the counter's time limit that a request is held for: a few milliseconds.
-pub(super) const COUNTER_WAIT_SHARE: f64 = 0.4;
-/// Share of the counter's time limit past which an answer shows a crowded counter.
-pub(super) const CROWDED_SHARE: f64 = 0.6;
-/// Calls a second: at least (trials while it is quiet); at the start over all: one run over looks quiet.
-pub(super) const CALL_RATE: (f64, f64) = (1.0, 200.0);
-/// Calls that may be saved up, at least, and in seconds of the rate.
-pub(super) const CALLS_SAVED: (f64, f64) = (3.0, 0.1);
-/// How the rate of calls moves: up by this times its root when quick, times these when slow or lost.
-pub(super) const CALL_RATE_STEP: (f64, f64, f64) = (0.25, 0.8, 0.6);
-/// Share of the rate of calls before it was quiet with which a counter that is back is called.
-pub(super) const CALL_RATE_RESTORED: f64 = 0.5;
-/// Share of the room between quota and ceiling that stores off the count may use.
-pub(super) const CEILING_SHARE: f64 = 0.8;
-/// Share of the aim that answers may take before less is let in: the rest is for swings.
-pub(super) const LATENCY_SHARE: f64 = 0.08;
-/// Share of the aim after which a hedged request may go out.
-pub(super) const HEDGE_DELAY_SHARE: f64 = 0.4;
-/// Share of the bound that hedged requests and what is beyond quotas may fill: none in a slow fleet.
-pub(super) const SPARE_CAPACITY_SHARE: f64 = 0.5;
-/// Retries per first send, and how many may be saved up: too few to feed an overload.
-pub(super) const RETRY_BUDGET: (f64, f64) = (0.1, 10.0);
-/// Share of the cold budget that all gateways together plan to use.
-pub(super) const SLOW_START_SHARE: f64 = 0.4;
-/// A server counts as fuller by its mean latency over that of all servers, from one over this on.
-pub(super) const SLOW_SERVER_FACTOR: f64 = 1.5;
-/// Seconds over which sends are averaged.
-pub(super) const RATE_MEMORY: f64 = 3.0;
-/// Seconds over which the most that a server carried is forgotten: a warm-up.
-pub(super) const PEAK_MEMORY: f64 = 20.0;
-/// Weight of a new value in a mean.
-pub(super) const GAIN: f64 = 0.15;
-/// Share of attempts without an answer in time from which they count as slow answers, not as lost ones.
-pub(super) const TIMEOUT_SHARE_LIMIT: f64 = 0.5;
-/// Seconds after which what was heard of a server counts for little.
-pub(super) const OBSERVATION_MEMORY: f64 = 14.0;
-/// Most that the bound may be above what was out of late.
-pub(super) const LIMIT_GROWTH: f64 = 3.0;
-/// Servers that a gateway keeps to at least.
-pub(super) const SUBSET_LEAST: usize = 6;
-/// Gateways that keep to each server: a server's load is their mean.
-pub(super) const SUBSET_GATEWAYS: usize = 20;
-/// Servers beyond which a gateway of tens of requests a second hears of each too rarely ...
-pub(super) const SUBSET_MOST: usize = 32;
-/// ... and gateways that keep to each server all the same: fewer leave it to the chance of their traffic.
-pub(super) const SUBSET_GATEWAYS_LEAST: usize = 5;
-/// Failures in a row that put a server out; a refused connection counts as all of them.
-pub(super) const EJECT_AFTER: u32 = 3;
-/// Share of the limit for a connection within which a refusal comes: a round trip, where limits are several.
-pub(super) const REFUSAL_SHARE: f64 = 0.5;
-/// Seconds a server is first and at most put out for.
-pub(super) const EJECTION_SECONDS: (f64, f64) = (1.0, 8.0);
-/// Share of the servers that may be put out at once: more failing together is no server's own fault.
-pub(super) const EJECTED_SHARE_LIMIT: f64 = 0.5;
-/// Attempts a server, over all gateways, that the bound on what is out rests on: to keep its cores in work.
-pub(super) const MIN_ATTEMPTS_PER_SERVER: f64 = 3.0;
-/// Deviations over the mean that what is out may swing while answers come fast: few requests come by chance.
+//! The constants of the decisions. All other figures are derived from the settings.
+//!
+//! A name that ends in `_SECONDS` is a span of time, one that ends in `_FRACTION` a part, from 0 to 1, of the
+//! quantity that its comment names. Units are quota units.
+
+// Windows of a count.
+
+/// Length of a window, in times that the rate takes to refill the burst; each new window costs extra calls.
+pub(super) const WINDOW_REFILLS: f64 = 4.0;
+/// Shortest window: longer than [`LEVEL_REFRESH_SECONDS`].
+pub(super) const MIN_WINDOW_SECONDS: f64 = 2.0;
+/// Longest window: a count's name lives for two windows, within [`MAX_COUNT_TTL_SECONDS`].
+pub(super) const MAX_WINDOW_SECONDS: f64 = 25.0;
+/// Time to live of a count, in windows: the window itself and the one that reads it as the previous one.
+pub(super) const COUNT_TTL_WINDOWS: f64 = 2.2;
+/// Longest time to live of a count.
+pub(super) const MAX_COUNT_TTL_SECONDS: f64 = 60.0;
+
+// Leases.
+
+/// Seconds of recent demand that a lease covers; a longer span leaves more units unused at idle gateways.
+pub(super) const LEASE_DEMAND_SECONDS: f64 = 1.0;
+/// Memory of the demand of a customer.
+pub(super) const DEMAND_MEMORY_SECONDS: f64 = 1.0;
+/// Age up to which a known quota level is relied on.
+pub(super) const LEVEL_REFRESH_SECONDS: f64 = 1.0;
+/// Fraction of the counter's timeout that a request waits for a lease.
+pub(super) const COUNTER_WAIT_FRACTION: f64 = 0.4;
+/// Fraction of a customer's gateways at which a share under one request admits a first one: at all of them
+/// together the customer would have many times its burst.
+pub(super) const FRACTIONAL_SHARE_START_FRACTION: f64 = 0.85;
+/// Units under which a difference is rounding.
+pub(super) const UNIT_TOLERANCE: f64 = 1e-6;
+
+// Settlement of a count's total.
+
+/// Fraction of the burst that may be missing from a new window's count before it is corrected.
+pub(super) const CARRYOVER_SLACK_FRACTION: f64 = 0.1;
+/// Fraction of the burst by which a count may lag behind what has expired, after a window's first call.
+pub(super) const EXPIRY_SLACK_FRACTION: f64 = 0.5;
+/// Fraction of the burst by which a count falls within a window when the counter has lost its data.
+pub(super) const COUNT_RESET_FRACTION: f64 = 0.2;
+/// Counter timeouts after which a lost count that nobody has restored is restored by each gateway.
+pub(super) const RESTORE_AFTER_TIMEOUTS: f64 = 2.0;
+
+// Availability of the counter.
+
+/// Failed calls in a row from which on the counter may be unavailable ...
+pub(super) const UNAVAILABLE_AFTER_FAILURES: u32 = 3;
+/// ... if the first of them is this many counter timeouts ago.
+pub(super) const UNAVAILABLE_AFTER_TIMEOUTS: f64 = 5.0;
+/// Time after an outage in which the fallback limits still decide, while all gateways report what they spent.
+pub(super) const SETTLING_SECONDS: f64 = 2.0 * LEVEL_REFRESH_SECONDS;
+
+// Pacing of the calls to the counter.
+
+/// Fraction of the counter's timeout from which on a response shows a crowded counter.
+pub(super) const SLOW_CALL_FRACTION: f64 = 0.6;
+/// Least calls a second: the trials while the counter is unavailable.
+pub(super) const MIN_CALL_RATE: f64 = 1.0;
+/// Calls a second at the start, over all gateways.
+pub(super) const INITIAL_FLEET_CALL_RATE: f64 = 200.0;
+/// Calls that may be saved up, at least ...
+pub(super) const MIN_CALL_BURST: f64 = 3.0;
+/// ... and in seconds of the call rate.
+pub(super) const CALL_BURST_SECONDS: f64 = 0.1;
+/// Increase of the call rate by a quick response, in square roots of the rate.
+pub(super) const CALL_RATE_INCREASE: f64 = 0.25;
+/// Factor of the call rate after a slow response.
+pub(super) const CALL_RATE_SLOW_FACTOR: f64 = 0.8;
+/// Factor of the call rate after a failed call.
+pub(super) const CALL_RATE_FAILURE_FACTOR: f64 = 0.6;
+/// Fraction of the call rate before an outage at which calls are resumed.
+pub(super) const RESTORED_CALL_RATE_FRACTION: f64 = 0.5;
+/// Least cost of a call that carries more priority than the mean, in calls.
+pub(super) const MIN_CALL_COST: f64 = 0.2;
+
+// Ceilings.
+
+/// Fraction of the headroom between quota and ceiling that gateways may use without the count.
+pub(super) const CEILING_HEADROOM_FRACTION: f64 = 0.8;
+
+// Concurrency limit.
+
+/// Fraction of the latency objective that the median latency may reach before the limit falls.
+pub(super) const LATENCY_TARGET_FRACTION: f64 = 0.08;
+/// Fraction of the limit that hedged requests and requests beyond the quota may fill.
+pub(super) const SPARE_CAPACITY_FRACTION: f64 = 0.5;
+/// Largest ratio of the limit to the recent number of attempts in flight.
+pub(super) const MAX_LIMIT_GROWTH: f64 = 3.0;
+/// Attempts for each backend, over all gateways, that the limit never falls below, so that its cores have
+/// work.
+pub(super) const MIN_ATTEMPTS_PER_BACKEND: f64 = 3.0;
+/// Standard deviations of a random number of attempts that the limit leaves room for while responses are
+/// fast.
 pub(super) const CONCURRENCY_DEVIATIONS: f64 = 2.0;
-/// Seconds after which an idle customer is forgotten; longer than any window.
+/// Weight of a new value in a moving average.
+pub(super) const EWMA_GAIN: f64 = 0.15;
+/// Fraction of attempts that time out from which on timeouts count as slow responses and not as lost ones.
+pub(super) const OVERLOAD_TIMEOUT_FRACTION: f64 = 0.5;
+/// Least latency and latency objective that is reckoned with.
+pub(super) const MIN_LATENCY_SECONDS: f64 = 1e-3;
+
+// Attempts.
+
+/// Fraction of the latency objective after which a hedged request may be sent.
+pub(super) const HEDGE_DELAY_FRACTION: f64 = 0.4;
+/// Mean latencies after which a hedged request may be sent, at least.
+pub(super) const HEDGE_DELAY_LATENCIES: f64 = 3.0;
+/// Retries and hedged requests for each first attempt; few enough not to feed an overload.
+pub(super) const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Retries and hedged requests that may be saved up.
+pub(super) const MAX_RETRY_BUDGET: f64 = 10.0;
+/// Event intervals that the response to a request takes to reach the client.
+pub(super) const RESPONSE_EVENT_INTERVALS: f64 = 2.0;
+/// Counter waits and event intervals that must be left until a request's deadline for it to be decided in
+/// time.
+pub(super) const ADMISSION_COUNTER_WAITS: f64 = 2.0;
+/// See [`ADMISSION_COUNTER_WAITS`].
+pub(super) const ADMISSION_EVENT_INTERVALS: f64 = 4.0;
+
+// Slow start.
+
+/// Fraction of the load that a backend in slow start can bear which all gateways together plan to send.
+pub(super) const SLOW_START_FRACTION: f64 = 0.4;
+/// Memory of the rate of units sent.
+pub(super) const RATE_MEMORY_SECONDS: f64 = 3.0;
+/// Memory of the peaks of that rate and of the number of running backends: a warm-up.
+pub(super) const PEAK_MEMORY_SECONDS: f64 = 20.0;
+
+// Backend selection.
+
+/// A backend counts as slow from a mean latency of one over this, relative to that of all backends.
+pub(super) const SLOW_BACKEND_FACTOR: f64 = 1.5;
+/// Memory of what attempts have shown of a backend.
+pub(super) const OBSERVATION_MEMORY_SECONDS: f64 = 14.0;
+/// Least backends in a gateway's subset.
+pub(super) const MIN_SUBSET_SIZE: usize = 6;
+/// Gateways whose subsets hold the same backend: its load is the mean of theirs.
+pub(super) const GATEWAYS_PER_BACKEND: usize = 20;
+/// Backends beyond which a gateway of little traffic observes each too rarely ...
+pub(super) const MAX_SUBSET_SIZE: usize = 32;
+/// ... unless fewer gateways than this would then hold the same backend.
+pub(super) const MIN_GATEWAYS_PER_BACKEND: usize = 5;
+
+// Outlier ejection.
+
+/// Failures in a row that eject a backend; a refused connection counts as all of them.
+pub(super) const EJECT_AFTER_FAILURES: u32 = 3;
+/// Fraction of the connect timeout within which a failed connection was refused; a later one timed out.
+pub(super) const REFUSED_CONNECT_FRACTION: f64 = 0.5;
+/// Length of a first ejection.
+pub(super) const INITIAL_EJECTION_SECONDS: f64 = 1.0;
+/// Longest ejection.
+pub(super) const MAX_EJECTION_SECONDS: f64 = 8.0;
+/// Fraction of the backends from which on none is ejected: so many failing together have a common cause.
+pub(super) const MAX_EJECTED_FRACTION: f64 = 0.5;
+
+// Idle customers.
+
+/// Time after which an idle customer is forgotten; longer than any window.
 pub(super) const IDLE_CUSTOMER_SECONDS: f64 = 60.0;
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -1,29 +1,49 @@
 //! The windows of a customer's count, and the names that counts go by.
+//!
+//! A count is kept for one window, and begins at nothing in the next. A window is a few times as long as the
+//! rate takes to refill the burst. Each customer's windows begin at a phase of its own, so that the fleet's
+//! calls do not coincide.
 
-use super::tuning::*;
-use crate::interface::*;
-use std::hash::Hasher;
+use super::stable_hash::{hash_fraction, stable_hash};
+use super::tuning::{
+    COUNT_TTL_WINDOWS, MAX_COUNT_TTL_SECONDS, MAX_WINDOW_SECONDS, MIN_WINDOW_SECONDS, WINDOW_REFILLS,
+};
+use crate::interface::{CustomerId, Plan, Time};
 
-pub(super) fn hash(parts: &[&[u8]]) -> u64 {
-    let mut hasher = fnv::FnvHasher::default();
-    parts.iter().for_each(|p| hasher.write(p));
-    // FNV leaves the high bits of short inputs poor; one multiply-shift round spreads them.
-    let h = hasher.finish();
-    (h ^ (h >> 32)).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 1
+/// A window of a customer's count, at some instant.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Window {
+    /// Its number since the origin of time.
+    pub(super) index: u64,
+    /// Seconds since it began.
+    pub(super) age: f64,
 }
 
-pub(super) fn window_length(plan: &Plan) -> f64 {
-    (WINDOW_BURSTS * plan.burst / plan.rate).clamp(WINDOW_BOUNDS.0, WINDOW_BOUNDS.1)
+impl Window {
+    /// The window of a customer at `now`.
+    pub(super) fn at(now: Time, customer: &CustomerId, plan: &Plan) -> Self {
+        let length = window_seconds(plan);
+        let windows = (now / length + phase(customer)).max(0.0);
+        Self { index: windows as u64, age: windows.fract() * length }
+    }
+}
+
+/// The length of a plan's windows, in seconds.
+pub(super) fn window_seconds(plan: &Plan) -> f64 {
+    (WINDOW_REFILLS * plan.burst / plan.rate).clamp(MIN_WINDOW_SECONDS, MAX_WINDOW_SECONDS)
+}
+
+/// Seconds after its first call for which a count is kept.
+pub(super) fn count_ttl(plan: &Plan) -> f64 {
+    (COUNT_TTL_WINDOWS * window_seconds(plan)).min(MAX_COUNT_TTL_SECONDS)
 }
 
 /// A customer's own phase, from 0 to 1, the same at every gateway.
-pub(super) fn phase(id: &CustomerId) -> f64 {
-    (hash(&[id.as_bytes()]) % 1024) as f64 / 1024.0
+pub(super) fn phase(customer: &CustomerId) -> f64 {
+    hash_fraction(&[customer.as_bytes()])
 }
 
-/// The window at `now` and the seconds since it began; each customer's turns stand at a phase of its own.
-pub(super) fn window(plan: &Plan, id: &CustomerId, now: Time) -> (u64, f64) {
-    let length = window_length(plan);
-    let spans = (now / length + phase(id)).max(0.0);
-    (spans as u64, spans.fract() * length)
+/// The name, below 2^63, of a customer's count in a window.
+pub(super) fn counter_name(customer: &CustomerId, plan: usize, window: u64) -> u64 {
+    stable_hash(&[customer.as_bytes(), &(plan as u64).to_le_bytes(), &window.to_le_bytes()])
 }
