--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -68,7 +68,7 @@
     (plan.rate, plan.burst, plan.priority_weight) = (50.0, 50.0, 1.0);
     let mut settings = Settings::default();
     (settings.instances, settings.has_counter, settings.max_attempts) = (2, true, 3);
-    (settings.hedging, settings.may_cancel) = (true, true);
+    settings.hedging = true;
     settings.plans = vec![plan];
     settings.classes = vec![Class::default()];
     settings
--- a/examples/fleet_load.rs
+++ b/examples/fleet_load.rs
@@ -115,7 +115,7 @@
 fn settings(me: usize, gateways: usize, work: f64) -> Settings {
     let mut settings = Settings::default();
     (settings.instance, settings.instances) = (me as u32, gateways as u32);
-    (settings.hedging, settings.max_attempts, settings.may_cancel) = (true, 3, true);
+    (settings.hedging, settings.max_attempts) = (true, 3);
     let mut class = Class::default();
     (class.latency_objective, class.deadline, class.late_weight) = (AIM * work, DEADLINE * work, 0.0);
     (settings.classes, settings.plans) = (vec![class], vec![Plan::default()]);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! weirusher: the decisions of a gateway that holds customers to shared quotas before a common back end.
+//! weirusher: the decisions of an API gateway that holds customers to shared quotas before a fleet of
+//! backends.
 //!
-//! The crate does no I/O and reads no clock: feed [`Gateway::handle`] one [`Event`] at a time with the
-//! current time, and carry out the [`Action`]s it appends. In a page:
+//! The crate does no I/O and reads no clock. Pass [`Gateway::handle`] one [`Event`] at a time with the
+//! present time, and carry out the [`Action`]s that it appends.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -11,6 +12,9 @@
 mod policy;
 mod validation;
 
-pub use interface::*;
+pub use interface::{
+    Action, BackendId, Class, CustomerId, DedupScope, Endpoint, EndpointListKind, Event, Idempotency,
+    Lifecycle, LoadReport, Plan, Reason, Request, RequestId, Settings, SettingsError, Status, Time,
+};
 pub use platform_settings::{PlatformSettings, PlatformSettingsError};
 pub use policy::Gateway;
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -1,35 +1,58 @@
-//! Checks of the settings that a gateway is given at its start.
+//! Validation of the settings that a gateway is given at its start.
 
-use crate::interface::{Settings, SettingsError};
+use crate::interface::{Class, Plan, Settings, SettingsError};
+
+/// A figure with its configuration key.
+type Figure = (&'static str, f64);
 
 /// Rejects settings that no gateway can work with.
 ///
 /// # Errors
-/// The first figure that cannot be used.
-pub(crate) fn validate(s: &Settings) -> Result<(), SettingsError> {
-    if s.instance >= s.instances {
-        return Err(if s.instances == 0 {
-            SettingsError::NoInstances
-        } else {
-            SettingsError::InstanceOutOfRange
-        });
+/// The first figure that is invalid.
+pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
+    if settings.instances == 0 {
+        return Err(SettingsError::NoInstances);
+    }
+    if settings.instance >= settings.instances {
+        return Err(SettingsError::InstanceOutOfRange);
     }
-    let mut figures = vec![("count_limit", s.counter_timeout), ("max_retry_after", s.max_retry_after)];
-    figures.extend([
-        ("cold_from", s.slow_start_min_capacity),
-        ("cold", s.slow_start_seconds),
-        ("step", s.event_interval),
-        ("fall", s.overload_seconds),
-    ]);
-    figures.extend([("fall_multiple", s.overload_multiple), ("connect_limit", s.connect_timeout)]);
-    figures.extend(s.classes.iter().flat_map(|c| {
-        [("aim", c.latency_objective), ("late_worth", c.late_weight), ("deadline", c.deadline)]
-    }));
-    for p in &s.plans {
-        figures.extend([("rate", p.rate), ("burst", p.burst), ("excess_worth", p.over_quota_weight)]);
-        figures.extend([("overrun_cost", p.over_quota_cost), ("ceiling_rate", p.ceiling_rate)]);
-        figures.extend([("ceiling_burst", p.ceiling_burst), ("pays", p.priority_weight)]);
+    let figures = gateway_figures(settings)
+        .into_iter()
+        .chain(settings.classes.iter().flat_map(class_figures))
+        .chain(settings.plans.iter().flat_map(plan_figures));
+    for (key, value) in figures {
+        if !value.is_finite() || value < 0.0 {
+            return Err(SettingsError::InvalidNumber(key));
+        }
     }
-    let bad = figures.into_iter().find(|(_, v)| !v.is_finite() || *v < 0.0);
-    bad.map_or(Ok(()), |(name, _)| Err(SettingsError::InvalidNumber(name)))
+    Ok(())
+}
+
+fn gateway_figures(settings: &Settings) -> [Figure; 8] {
+    [
+        ("count_limit", settings.counter_timeout),
+        ("max_retry_after", settings.max_retry_after),
+        ("cold_from", settings.slow_start_min_capacity),
+        ("cold", settings.slow_start_seconds),
+        ("step", settings.event_interval),
+        ("fall", settings.overload_seconds),
+        ("fall_multiple", settings.overload_multiple),
+        ("connect_limit", settings.connect_timeout),
+    ]
+}
+
+fn class_figures(class: &Class) -> [Figure; 3] {
+    [("aim", class.latency_objective), ("late_worth", class.late_weight), ("deadline", class.deadline)]
+}
+
+fn plan_figures(plan: &Plan) -> [Figure; 7] {
+    [
+        ("rate", plan.rate),
+        ("burst", plan.burst),
+        ("excess_worth", plan.over_quota_weight),
+        ("overrun_cost", plan.over_quota_cost),
+        ("ceiling_rate", plan.ceiling_rate),
+        ("ceiling_burst", plan.ceiling_burst),
+        ("pays", plan.priority_weight),
+    ]
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,13 +18,8 @@
 pub fn settings() -> Settings {
     let mut s = Settings::default();
     (s.instances, s.has_counter, s.hedging, s.max_attempts) = (2, true, true, 3);
-    (
-        s.may_cancel,
-        s.slow_start_seconds,
-        s.slow_start_min_capacity,
-        s.overload_multiple,
-        s.overload_seconds,
-    ) = (true, 10.0, 0.2, 2.0, 1.0);
+    (s.slow_start_seconds, s.slow_start_min_capacity) = (10.0, 0.2);
+    (s.overload_multiple, s.overload_seconds) = (2.0, 1.0);
     s.classes = vec![Class::default()];
     s.plans = vec![plan(10.0, 20.0)];
     s
