--- a/crates/core/benches/wheel.rs
+++ b/crates/core/benches/wheel.rs
@@ -4,12 +4,12 @@
 
 use std::collections::BTreeMap;
 use std::time::Instant;
-use weirusher_core::Wheel;
+use weirusher_core::TimerWheel;
 
 const ROUNDS: u64 = 1_000_000;
 
 fn wheel(open: u64) -> f64 {
-    let (mut rng, mut wheel, mut keys) = (fastrand::Rng::with_seed(1), Wheel::new(0.0), Vec::new());
+    let (mut rng, mut wheel, mut keys) = (fastrand::Rng::with_seed(1), TimerWheel::new(0.0), Vec::new());
     let (mut due, began) = (0, Instant::now());
     for n in 0..ROUNDS {
         let now = n as f64 * 1e-5;
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -1,94 +1,119 @@
-//! What both fronts do alike with the decision module: its timers, its counter calls in order, the starts of servers by
-//! the gateway's clock, and what it wants done.
+//! Drives the decision state machine for [`Engine`](crate::Engine) and [`ProxyCore`](crate::ProxyCore): its timers,
+//! its counter calls in order, and backend start times on the gateway's clock.
 
-use crate::calls::CallOrder;
-use crate::starts::ServerStarts;
-use crate::wheel::Wheel;
+use crate::response_order::{CounterResponse, InOrder, ResponseOrder};
+use crate::start_times::StartTimes;
+use crate::timer_wheel::TimerWheel;
 use weirusher::{Action, Endpoint, EndpointListKind, Event, Gateway, Settings, SettingsError, Status, Time};
 
-/// What the module wants of the world around, whichever front it decides for.
+/// What the decisions want done outside of the request table.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Call the counter.
     AddToCounter {
-        /// Names the call.
+        /// Names the call, for its response.
         call: u64,
-        /// The count's name.
+        /// Names the counter.
         counter: u64,
-        /// What to add.
+        /// Units to add.
         amount: f64,
-        /// Seconds until a new name is forgotten.
+        /// Seconds after which a counter that this call creates expires.
         ttl: f64,
     },
-    /// Follow the list of servers.
+    /// Keep the endpoint list up to date from now on.
     WatchEndpoints,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// A timer that the module asked for, by its token.
+/// A timer that the decisions asked for, by their token.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Token(pub u64);
+pub(crate) struct DecisionTimer(pub u64);
 
-/// The module, driven by a front.
+/// The decision state machine with what both of its users handle alike; `T` is the user's kind of timer.
 #[derive(Debug)]
-pub(crate) struct DecisionDriver<D> {
+pub(crate) struct DecisionDriver<T> {
     gateway: Gateway,
-    calls: CallOrder,
-    starts: ServerStarts,
-    /// The front's timers and the module's.
-    pub wheel: Wheel<D>,
-    spare: Vec<Action>,
+    counter_calls: ResponseOrder,
+    start_times: StartTimes,
+    /// The timers of the user and of the decisions.
+    pub timers: TimerWheel<T>,
+    /// An empty vector, kept so that no event allocates one.
+    spare_actions: Vec<Action>,
 }
 
-impl<D: From<Token>> DecisionDriver<D> {
+impl<T: From<DecisionTimer>> DecisionDriver<T> {
+    /// Starts at `now`; `seed` feeds the decisions' randomness.
+    ///
+    /// # Errors
+    /// Settings that the decisions cannot work with.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
-        let starts = ServerStarts::new(settings.slow_start_min_capacity, settings.slow_start_seconds);
-        let (gateway, calls) = (Gateway::new(settings, seed)?, CallOrder::default());
-        Ok(Self { gateway, calls, starts, wheel: Wheel::new(now), spare: Vec::new() })
+        let start_times = StartTimes::new(settings.slow_start_min_capacity, settings.slow_start_seconds);
+        Ok(Self {
+            gateway: Gateway::new(settings, seed)?,
+            counter_calls: ResponseOrder::default(),
+            start_times,
+            timers: TimerWheel::new(now),
+            spare_actions: Vec::new(),
+        })
     }
 
-    /// Tells the module; what it wants done with requests comes back, in order, and the vector is to be
-    /// handed back by [`DecisionDriver::done`].
+    /// Handles an event. Timers are set and commands go to `outputs`; actions about requests are returned in order, in a
+    /// vector to be handed back by [`DecisionDriver::recycle`].
     pub fn handle<O: From<Command>>(&mut self, now: Time, event: Event, outputs: &mut Vec<O>) -> Vec<Action> {
-        let mut actions = std::mem::take(&mut self.spare);
+        let mut actions = std::mem::take(&mut self.spare_actions);
         self.gateway.handle(now, event, &mut actions);
-        actions.retain(|action| !self.common(action, outputs));
+        actions.retain(|action| !self.carry_out(action, outputs));
         actions
     }
 
-    /// The list of servers came: what the module is told of it.
-    pub fn list(&mut self, now: Time, kind: EndpointListKind, mut servers: Vec<Endpoint>) -> Event {
-        self.starts.localize(now, kind, &mut servers);
-        Event::EndpointList { kind, endpoints: servers }
+    /// Takes the vector of [`DecisionDriver::handle`] back, for the next event.
+    pub fn recycle(&mut self, mut actions: Vec<Action>) {
+        actions.clear();
+        self.spare_actions = actions;
     }
 
-    /// Discovery answered that the list is as it was.
-    pub fn list_confirmed(&mut self, now: Time) {
-        self.starts.confirm(now);
+    /// The event for a new endpoint list, with start times on the gateway's clock.
+    pub fn endpoint_list(
+        &mut self,
+        now: Time,
+        kind: EndpointListKind,
+        mut endpoints: Vec<Endpoint>,
+    ) -> Event {
+        self.start_times.localize(now, kind, &mut endpoints);
+        Event::EndpointList { kind, endpoints }
     }
 
-    /// Takes the vector of [`DecisionDriver::handle`] back, for the next event.
-    pub fn done(&mut self, mut actions: Vec<Action>) {
-        actions.clear();
-        self.spare = actions;
+    /// Discovery confirmed that the endpoint list is unchanged.
+    pub fn endpoint_list_confirmed(&mut self, now: Time) {
+        self.start_times.confirm(now);
     }
 
-    /// A counter call ended: the events that may be told now, in the order in which the calls were made.
-    pub fn counted(&mut self, call: u64, status: Status, total: f64, spent: f64) -> Vec<Event> {
-        let Some((counter, ends)) = self.calls.end(call, (status, total, spent)) else { return Vec::new() };
-        let told = |(status, total, spent)| Event::CounterResponse { counter, status, total, elapsed: spent };
-        ends.into_iter().map(told).collect()
+    /// The events for an ended counter call and for those that waited for it, in the order of the calls. `total` is in
+    /// units, `elapsed` in seconds.
+    pub fn counter_response(&mut self, call: u64, status: Status, total: f64, elapsed: f64) -> Vec<Event> {
+        let response = CounterResponse { status, total, elapsed };
+        let Some(InOrder { counter, responses }) = self.counter_calls.end_call(call, response) else {
+            return Vec::new();
+        };
+        let event = |CounterResponse { status, total, elapsed }| Event::CounterResponse {
+            counter,
+            status,
+            total,
+            elapsed,
+        };
+        responses.into_iter().map(event).collect()
     }
 
-    fn common<O: From<Command>>(&mut self, action: &Action, outputs: &mut Vec<O>) -> bool {
+    /// Carries an action out that concerns no request; `false` for any other.
+    fn carry_out<O: From<Command>>(&mut self, action: &Action, outputs: &mut Vec<O>) -> bool {
         let command = match *action {
             Action::SetTimer { token, at } => {
-                self.wheel.set(at, D::from(Token(token)));
+                self.timers.set(at, T::from(DecisionTimer(token)));
                 return true;
             }
             Action::AddToCounter { counter, amount, ttl } => {
-                Command::AddToCounter { call: self.calls.begin(counter), counter, amount, ttl }
+                Command::AddToCounter { call: self.counter_calls.start_call(counter), counter, amount, ttl }
             }
             Action::WatchEndpoints => Command::WatchEndpoints,
             Action::Log(ref text) => Command::Log(text.clone()),
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -4,9 +4,9 @@
 //! allowed one leaves with a ticket, and the ledger keeps the attempt until a report closes it, or its limit
 //! does. What comes late, twice or from nowhere changes nothing and is counted.
 
-use crate::driver::{Command, DecisionDriver, Token};
+use crate::driver::{Command, DecisionDriver, DecisionTimer};
 use crate::ticket::{Keyring, Ticket, TicketError};
-use crate::wheel::TimerKey;
+use crate::timer_wheel::TimerKey;
 use std::collections::HashMap;
 use std::sync::Arc;
 use weirusher::{
@@ -251,8 +251,8 @@
     Forget(u64),
 }
 
-impl From<Token> for Due {
-    fn from(Token(token): Token) -> Self {
+impl From<DecisionTimer> for Due {
+    fn from(DecisionTimer(token): DecisionTimer) -> Self {
         Self::Module(token)
     }
 }
@@ -330,7 +330,7 @@
 
     /// When [`Engine::advance`] should be called next.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.driver.wheel.next()
+        self.driver.timers.next_expiry()
     }
 
     /// What is to be done, in order.
@@ -420,20 +420,20 @@
 
     /// A counter call ended.
     pub fn counter_response(&mut self, now: Time, call: u64, status: Status, total: f64, spent: f64) {
-        for event in self.driver.counted(call, status, total, spent) {
+        for event in self.driver.counter_response(call, status, total, spent) {
             self.handle(now, event);
         }
     }
 
     /// The list of backends came.
     pub fn update_endpoints(&mut self, now: Time, kind: EndpointListKind, servers: Vec<Endpoint>) {
-        let event = self.driver.list(now, kind, servers);
+        let event = self.driver.endpoint_list(now, kind, servers);
         self.handle(now, event);
     }
 
     /// Lets the timers come due.
     pub fn advance(&mut self, now: Time) {
-        for due in self.driver.wheel.expire(now) {
+        for due in self.driver.timers.expire(now) {
             match due {
                 Due::Module(token) => self.handle(now, Event::Timer { token }),
                 Due::Limit(seq, attempt) => {
@@ -466,7 +466,7 @@
         let seq = self.next;
         let job: RequestId = Arc::from(format!("{seq:x}"));
         let expires = now + check.patience;
-        let forget = Some(self.driver.wheel.set(expires + KEEP, Due::Forget(seq)));
+        let forget = Some(self.driver.timers.set(expires + KEEP, Due::Forget(seq)));
         self.callers.insert(caller, seq);
         self.ledger.insert(
             seq,
@@ -519,7 +519,7 @@
         match state {
             State::Parked => self.issue(now, seq, last),
             State::Issued => {
-                let timer = self.driver.wheel.set(now + ENDING_WAIT, Due::Ending(seq));
+                let timer = self.driver.timers.set(now + ENDING_WAIT, Due::Ending(seq));
                 self.ledger.get_mut(&seq).expect("seen above").ending = Some(timer);
             }
             State::Closed => {
@@ -592,7 +592,7 @@
         if entry.waiting.is_some() {
             return self.issue(now, seq, attempt);
         }
-        let timer = self.driver.wheel.set((now + PARK_WAIT).min(limit), Due::Parked(seq));
+        let timer = self.driver.timers.set((now + PARK_WAIT).min(limit), Due::Parked(seq));
         self.ledger.get_mut(&seq).expect("seen above").attempts[attempt as usize].timer = Some(timer);
     }
 
@@ -602,9 +602,9 @@
         (tried.state, tried.since) = (State::Issued, now);
         self.issued += 1;
         if let Some(timer) = tried.timer.take() {
-            self.driver.wheel.cancel(timer);
+            self.driver.timers.cancel(timer);
         }
-        tried.timer = Some(self.driver.wheel.set(tried.limit + REPORT_WAIT, Due::Limit(seq, attempt)));
+        tried.timer = Some(self.driver.timers.set(tried.limit + REPORT_WAIT, Due::Limit(seq, attempt)));
         let ticket = Ticket {
             issuer: self.me,
             epoch: self.epoch,
@@ -633,10 +633,10 @@
             self.issued -= 1;
         }
         if let Some(timer) = tried.timer.take() {
-            self.driver.wheel.cancel(timer);
+            self.driver.timers.cancel(timer);
         }
         if let Some(timer) = entry.ending.take() {
-            self.driver.wheel.cancel(timer);
+            self.driver.timers.cancel(timer);
         }
         let most = (now - tried.since).max(0.0);
         // A reporter's own figure is believed only as far as the time that has passed here.
@@ -694,7 +694,7 @@
         }
         let entry = self.ledger.remove(&seq).expect("seen above");
         for timer in [entry.forget, entry.ending].into_iter().flatten() {
-            self.driver.wheel.cancel(timer);
+            self.driver.timers.cancel(timer);
         }
     }
 
@@ -705,7 +705,7 @@
         for action in actions.drain(..) {
             self.act(now, action);
         }
-        self.driver.done(actions);
+        self.driver.recycle(actions);
     }
 
     fn act(&mut self, now: Time, action: Action) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,29 +1,34 @@
-//! What a running gateway does between the sockets and the decisions, without I/O.
+//! The state machines between a gateway's sockets and its decisions, without I/O.
 //!
-//! [`Engine`] turns Checks, reports, counter answers and lists into the decision module's events and its
-//! actions into answers, tickets and calls; it keeps the ledger of requests and attempts. [`Ticket`]s bind a
-//! request to the backend chosen for it. [`Wheel`] holds the timers, [`Pipeline`] the counter calls on one
-//! connection, [`Backoff`] the pauses before a new one. Nothing here reads a clock: time comes in.
+//! [`Engine`] serves external authorisation: checks and reports go in, check outcomes and counter calls come out.
+//! [`ProxyCore`] does the same for requests that the gateway forwards itself. Both keep a table of their requests and drive the
+//! decisions ([`weirusher::Gateway`]). A [`Ticket`] binds a request to the backend chosen for it.
+//! [`TimerWheel`] holds timers, [`Pipeline`] the counter calls of one connection, [`Backoff`] the delays before a new one.
+//! Nothing here reads a clock: each call states the time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod calls;
+mod backoff;
 mod clock;
+mod counter_connections;
 mod driver;
 mod engine;
 mod guard;
 mod overshoot;
+mod pipeline;
 mod pool;
 mod proxy;
+mod response_order;
 mod shutdown;
 mod slots;
-mod starts;
+mod start_times;
 mod ticket;
+mod timer_wheel;
 mod watch;
-mod wheel;
 
-pub use calls::{Backoff, CallEnd, CallOrder, GIVE_UP_CONNECTION, Lines, Pipeline, Route, Unasked};
+pub use backoff::Backoff;
 pub use clock::Anchor;
+pub use counter_connections::{CounterConnections, Route};
 pub use driver::Command;
 pub use engine::{
     Allowed, Answer, Caller, Check, Delivery, Ending, Engine, EngineError, Failure, Output, Report, Tally,
@@ -31,10 +36,11 @@
 };
 pub use guard::{Blocked, Earlier, Guard, Progress, SendCheck, SendLimits, Violation, Violations};
 pub use overshoot::Overshoot;
+pub use pipeline::{EndedCall, Pipeline, UNRESPONSIVE_TIMEOUTS, UnexpectedResponse};
 pub use pool::{Pool, Room};
 pub use proxy::{Arrived, IncomingRequest, Outcome, ProxyCore, ProxyOutput, ProxyTally, ReasonCounts};
 pub use shutdown::{Shutdown, longest_deadline};
 pub use slots::{FIRST_REQUEST, SlotCounts, SlotId, Slots};
 pub use ticket::{Gate, Key, Keyring, Ticket, TicketError, TurnedAway};
+pub use timer_wheel::{TimerKey, TimerWheel};
 pub use watch::{LineId, ListWatch, WatchStep, WatchTerms};
-pub use wheel::{TimerKey, Wheel};
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -4,11 +4,11 @@
 //! A front tells what arrived and how attempts ended, and carries out the outputs in order. An attempt ends
 //! once, whichever comes first: what its connection brought, or its limit. What comes after that is ignored.
 
-use crate::driver::{Command, DecisionDriver, Token};
+use crate::driver::{Command, DecisionDriver, DecisionTimer};
 use crate::engine::EngineError;
 use crate::guard::{Blocked, Earlier, Guard, Progress, SendCheck, SendLimits, Violation, Violations};
 use crate::shutdown::Shutdown;
-use crate::wheel::TimerKey;
+use crate::timer_wheel::TimerKey;
 use std::collections::HashMap;
 use std::fmt;
 use weirusher::{
@@ -202,8 +202,8 @@
     Expiry(RequestId),
 }
 
-impl From<Token> for Due {
-    fn from(Token(token): Token) -> Self {
+impl From<DecisionTimer> for Due {
+    fn from(DecisionTimer(token): DecisionTimer) -> Self {
         Self::Module(token)
     }
 }
@@ -264,7 +264,7 @@
 
     /// When [`ProxyCore::advance`] should be called next.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.driver.wheel.next()
+        self.driver.timers.next_expiry()
     }
 
     /// Moves what is to be done, in order, to the end of `into`.
@@ -297,7 +297,7 @@
             is_retry: repeat,
             ..
         } = request;
-        let pending = Some(self.driver.wheel.set(deadline, Due::Expiry(job.clone())));
+        let pending = Some(self.driver.timers.set(deadline, Due::Expiry(job.clone())));
         self.requests
             .insert(job.clone(), OpenRequest { class, attempts: Vec::new(), out: 0, deadline, pending });
         self.pending += 1;
@@ -331,9 +331,9 @@
         let latest = shutdown.respond_by();
         for (job, entry) in &mut self.requests {
             let Some(timer) = entry.pending.filter(|_| entry.deadline > latest) else { continue };
-            self.driver.wheel.cancel(timer);
+            self.driver.timers.cancel(timer);
             entry.deadline = latest;
-            entry.pending = Some(self.driver.wheel.set(latest, Due::Expiry(job.clone())));
+            entry.pending = Some(self.driver.timers.set(latest, Due::Expiry(job.clone())));
         }
         shutdown
     }
@@ -421,25 +421,25 @@
 
     /// A counter call ended.
     pub fn counter_response(&mut self, now: Time, call: u64, status: Status, total: f64, spent: f64) {
-        for event in self.driver.counted(call, status, total, spent) {
+        for event in self.driver.counter_response(call, status, total, spent) {
             self.handle(now, event);
         }
     }
 
     /// The list of servers came.
     pub fn update_endpoints(&mut self, now: Time, kind: EndpointListKind, servers: Vec<Endpoint>) {
-        let event = self.driver.list(now, kind, servers);
+        let event = self.driver.endpoint_list(now, kind, servers);
         self.handle(now, event);
     }
 
     /// Discovery answered that the list is as it was.
     pub fn confirm_endpoints(&mut self, now: Time) {
-        self.driver.list_confirmed(now);
+        self.driver.endpoint_list_confirmed(now);
     }
 
     /// Lets the timers come due.
     pub fn advance(&mut self, now: Time) {
-        for due in self.driver.wheel.expire(now) {
+        for due in self.driver.timers.expire(now) {
             match due {
                 Due::Module(token) => self.handle(now, Event::Timer { token }),
                 Due::Attempt(job, attempt) => {
@@ -488,7 +488,7 @@
     /// The response is given: `true` the first time.
     fn complete(&mut self, job: &RequestId) -> bool {
         let Some(pending) = self.requests.get_mut(job).and_then(|e| e.pending.take()) else { return false };
-        self.driver.wheel.cancel(pending);
+        self.driver.timers.cancel(pending);
         self.pending -= 1;
         true
     }
@@ -503,7 +503,7 @@
     ) -> Option<(BackendId, f64)> {
         let entry = self.requests.get_mut(job)?;
         let tried = entry.attempts.get_mut(attempt as usize)?;
-        self.driver.wheel.cancel(tried.limit.take()?);
+        self.driver.timers.cancel(tried.limit.take()?);
         tried.progress = match status {
             Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
             Status::Ok | Status::Error | Status::Timeout | Status::Reset | Status::Cancelled => {
@@ -528,7 +528,7 @@
         for action in actions.drain(..) {
             self.act(now, action);
         }
-        self.driver.done(actions);
+        self.driver.recycle(actions);
     }
 
     fn act(&mut self, now: Time, action: Action) {
@@ -555,7 +555,7 @@
         // No longer than the request has: a shutdown may have moved its deadline since the module heard of it.
         let timeout = timeout.min(entry.deadline - now);
         let (send_by, give_up) = (now + within, now + timeout);
-        let limit = Some(self.driver.wheel.set(give_up, Due::Attempt(job.clone(), attempt)));
+        let limit = Some(self.driver.timers.set(give_up, Due::Attempt(job.clone(), attempt)));
         let (server_id, progress) = (server.clone(), Progress::Out);
         entry.attempts.push(Attempt { server: server_id, sent: now, send_by, give_up, progress, limit });
         entry.out += 1;
--- a/crates/ext-authz/src/clients/counter.rs
+++ b/crates/ext-authz/src/clients/counter.rs
@@ -12,7 +12,7 @@
 use tokio_util::codec::FramedRead;
 use weirusher::Status;
 use weirusher_clock::Clock;
-use weirusher_core::{Backoff, GIVE_UP_CONNECTION, Pipeline};
+use weirusher_core::{Backoff, EndedCall, Pipeline, UNRESPONSIVE_TIMEOUTS};
 use weirusher_net::Stream;
 use weirusher_wire::resp::{self, Frame, RespCodec};
 
@@ -40,7 +40,7 @@
     pub async fn run(mut self) {
         let mut backoff = Backoff::new(self.seed);
         loop {
-            let limit = Duration::from_secs_f64(self.limit * GIVE_UP_CONNECTION);
+            let limit = Duration::from_secs_f64(self.limit * UNRESPONSIVE_TIMEOUTS);
             let connect = tokio::time::timeout(limit, Stream::connect(self.address));
             let connected = tokio::select! {
                 connected = connect => connected.ok().and_then(Result::ok),
@@ -55,7 +55,7 @@
                     Ok(_) => {}
                 }
             }
-            let pause = tokio::time::sleep(Duration::from_secs_f64(backoff.pause()));
+            let pause = tokio::time::sleep(Duration::from_secs_f64(backoff.next_delay()));
             tokio::select! {
                 () = pause => {}
                 stopped = turn_away(&mut self.calls, &self.world, &self.stats) => match stopped { Stopped => return },
@@ -93,11 +93,11 @@
                     if due.is_some() =>
                 {
                     let now = self.clock.now();
-                    for (call, spent) in pipeline.give_up(now) {
+                    for EndedCall { call, elapsed: spent } in pipeline.take_timed_out(now) {
                         self.stats.add(|s| &s.counter_given_up);
                         self.tell(call, Status::Timeout, 0.0, spent).await?;
                     }
-                    if pipeline.dead(now) {
+                    if pipeline.is_unresponsive(now) {
                         tracing::warn!("the counter answers nothing; its connection is dropped");
                         break;
                     }
@@ -117,7 +117,7 @@
                 }
             }
         }
-        for (call, spent) in pipeline.broken(self.clock.now()) {
+        for EndedCall { call, elapsed: spent } in pipeline.close(self.clock.now()) {
             self.stats.add(|s| &s.counter_lost);
             self.tell(call, Status::Reset, 0.0, spent).await?;
         }
@@ -141,13 +141,13 @@
 
     /// Hands an answer on; `false` where nothing was asked.
     async fn answer(&self, pipeline: &mut Pipeline<u64>, frame: &Frame) -> Result<bool, Stopped> {
-        match pipeline.answered(self.clock.now()) {
+        match pipeline.response_completed(self.clock.now()) {
             Err(error) => {
                 tracing::warn!(%error, "the counter's connection is dropped");
                 return Ok(false);
             }
             Ok(None) => {}
-            Ok(Some((call, spent))) => match resp::number(frame) {
+            Ok(Some(EndedCall { call, elapsed: spent })) => match resp::number(frame) {
                 Some(total) => {
                     self.stats.add(|s| &s.counter_answered);
                     self.tell(call, Status::Ok, total, spent).await?;
--- a/crates/ext-authz/src/clients/discovery.rs
+++ b/crates/ext-authz/src/clients/discovery.rs
@@ -70,7 +70,7 @@
             if self.world.send(failed).await.is_err() {
                 return;
             }
-            tokio::time::sleep(Duration::from_secs_f64(backoff.pause())).await;
+            tokio::time::sleep(Duration::from_secs_f64(backoff.next_delay())).await;
         }
     }
 
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use weirusher::Status;
-use weirusher_core::{Lines, Route};
+use weirusher_core::{CounterConnections, EndedCall, Route};
 use weirusher_platform::counter::{MOST_ANSWER, outcome, write_call};
 use weirusher_platform::response::{Response, ResponseReader};
 
@@ -23,7 +23,7 @@
 pub struct Counter {
     node: Rc<NodeContext>,
     address: SocketAddr,
-    lines: RefCell<Lines>,
+    lines: RefCell<CounterConnections>,
     wires: RefCell<Vec<Rc<Wire>>>,
     moved: Cell<bool>,
     told: Notify,
@@ -38,7 +38,7 @@
 
 impl Counter {
     pub fn new(node: Rc<NodeContext>, address: SocketAddr, seed: u64) -> Rc<Self> {
-        let lines = RefCell::new(Lines::new(node.count_limit, seed));
+        let lines = RefCell::new(CounterConnections::new(node.count_limit, seed));
         let (wires, moved, told) = (RefCell::default(), Cell::new(false), Notify::new());
         Rc::new(Self { node, address, lines, wires, moved, told })
     }
@@ -69,11 +69,11 @@
     fn send(self: &Rc<Self>, Call { call, counter, amount, ttl }: Call) {
         let route = self.lines.borrow_mut().send(self.node.now(), call, counter);
         let line = match route {
-            Route::On(line) | Route::Open(line) => line,
+            Route::Existing(line) | Route::New(line) => line,
             // At once: the module falls back on its safe share.
-            Route::Nowhere => return self.node.counted(call, Status::ConnectFailed, 0.0, 0.0),
+            Route::Unavailable => return self.node.counted(call, Status::ConnectFailed, 0.0, 0.0),
         };
-        if let Route::Open(_) = route {
+        if let Route::New(_) = route {
             self.open(line);
         }
         let wire = self.wires.borrow()[line].clone();
@@ -104,8 +104,8 @@
             tracing::debug!(%error, line, "the counter's connection is dropped");
         }
         let left = self.lines.borrow_mut().closed(self.node.now(), line);
-        for (call, spent) in left {
-            self.node.counted(call, status, 0.0, spent);
+        for EndedCall { call, elapsed } in left {
+            self.node.counted(call, status, 0.0, elapsed);
         }
     }
 
@@ -157,13 +157,13 @@
     /// `begun` and does not end, it is spoilt: the first of them was added.
     fn give_up(&self, line: usize, begun: bool) -> bool {
         let now = self.node.now();
-        let late = self.lines.borrow_mut().give_up(now, line);
+        let late = self.lines.borrow_mut().take_timed_out(now, line);
         let spoilt = begun && !late.is_empty();
-        for (nth, (call, spent)) in late.into_iter().enumerate() {
+        for (nth, EndedCall { call, elapsed }) in late.into_iter().enumerate() {
             let status = if spoilt && nth == 0 { Status::Error } else { Status::Timeout };
-            self.node.counted(call, status, 0.0, spent);
+            self.node.counted(call, status, 0.0, elapsed);
         }
-        spoilt || self.lines.borrow().dead(now, line)
+        spoilt || self.lines.borrow().is_unresponsive(now, line)
     }
 
     /// Hands the answers on that have come. An error: the line is of no further use.
@@ -173,7 +173,7 @@
                 Ok(Some(response)) => self.answer(line, Some(response))?,
                 Ok(None) => {
                     if answers.begun() {
-                        self.lines.borrow_mut().begun(self.node.now(), line);
+                        self.lines.borrow_mut().response_started(self.node.now(), line);
                     }
                     return Ok(());
                 }
@@ -188,11 +188,11 @@
         let invalid = |error: String| io::Error::new(io::ErrorKind::InvalidData, error);
         let closes = response.as_ref().is_none_or(|response| response.closes);
         let told = response.as_ref().and_then(outcome);
-        let answered = self.lines.borrow_mut().answered(self.node.now(), line);
-        if let Some((call, spent)) = answered.map_err(|e| invalid(e.to_string()))? {
+        let answered = self.lines.borrow_mut().response_completed(self.node.now(), line);
+        if let Some(EndedCall { call, elapsed }) = answered.map_err(|e| invalid(e.to_string()))? {
             // One with no total was added, but how much there is nobody knows.
             let (status, total) = told.unwrap_or((Status::Error, 0.0));
-            self.node.counted(call, status, total, spent);
+            self.node.counted(call, status, total, elapsed);
         }
         if told.is_none() || closes {
             return Err(invalid("its answer holds no total, or is the last".into()));
--- a/crates/simulation/src/counter.rs
+++ b/crates/simulation/src/counter.rs
@@ -1,7 +1,7 @@
 //! A model of the counter, and of one gateway's connection to it.
 
 use std::collections::HashMap;
-use weirusher_core::{Backoff, Pipeline};
+use weirusher_core::{Backoff, EndedCall, Pipeline};
 
 /// The counts of a counter.
 #[derive(Debug, Default)]
@@ -79,13 +79,13 @@
         self.made += 1;
     }
 
-    /// The connection is gone; its calls that still waited, with the seconds each took, and the pause.
-    pub fn drop_connection(&mut self, now: f64) -> (Vec<(u64, f64)>, f64) {
+    /// The connection is gone; its calls that still waited, and the pause.
+    pub fn drop_connection(&mut self, now: f64) -> (Vec<EndedCall<u64>>, f64) {
         self.up = false;
         self.made += 1;
         if self.answered {
             self.backoff.reset();
         }
-        (self.pipeline.broken(now), self.backoff.pause())
+        (self.pipeline.close(now), self.backoff.next_delay())
     }
 }
--- a/crates/simulation/src/simulator.rs
+++ b/crates/simulation/src/simulator.rs
@@ -358,8 +358,8 @@
             return;
         }
         gateway.line.answered = true;
-        if let Ok(Some((call, spent))) = gateway.line.pipeline.answered(self.now) {
-            gateway.engine.counter_response(self.now, call, status, total, spent);
+        if let Ok(Some(ended)) = gateway.line.pipeline.response_completed(self.now) {
+            gateway.engine.counter_response(self.now, ended.call, status, total, ended.elapsed);
             self.settle(instance);
         }
     }
@@ -369,10 +369,10 @@
         if gateway.line.made != made {
             return;
         }
-        for (call, spent) in gateway.line.pipeline.give_up(self.now + 1e-9) {
-            gateway.engine.counter_response(self.now, call, Status::Timeout, 0.0, spent);
+        for ended in gateway.line.pipeline.take_timed_out(self.now + 1e-9) {
+            gateway.engine.counter_response(self.now, ended.call, Status::Timeout, 0.0, ended.elapsed);
         }
-        let dead = gateway.line.pipeline.dead(self.now);
+        let dead = gateway.line.pipeline.is_unresponsive(self.now);
         let next = gateway.line.pipeline.deadline();
         if dead {
             self.lose(instance);
@@ -390,8 +390,8 @@
         }
         let (calls, pause) = gateway.line.drop_connection(self.now);
         let made = gateway.line.made;
-        for (call, spent) in calls {
-            gateway.engine.counter_response(self.now, call, Status::Reset, 0.0, spent);
+        for ended in calls {
+            gateway.engine.counter_response(self.now, ended.call, Status::Reset, 0.0, ended.elapsed);
         }
         self.push(self.now + pause, Event::Reconnect { instance, made });
         self.settle(instance);
@@ -403,7 +403,7 @@
             return;
         }
         if self.state == State::Gone {
-            let pause = line.backoff.pause();
+            let pause = line.backoff.next_delay();
             self.push(self.now + pause, Event::Reconnect { instance, made });
         } else {
             line.connect(LIMIT);
