--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -346,7 +346,7 @@
         match &check.ticket {
             None => self.first(now, caller, check, false),
             Some(text) => match self.ring.verify(text) {
-                Ok(ticket) if (ticket.issuer, ticket.epoch) == (self.me, self.epoch) => {
+                Ok(ticket) if (ticket.issuer, ticket.incarnation) == (self.me, self.epoch) => {
                     self.further(now, caller, check, ticket.request, ticket.attempt);
                 }
                 Ok(ticket) => self.foreign(now, caller, check, usize::from(ticket.class)),
@@ -386,7 +386,7 @@
                 return Verdict::Invalid(error);
             }
         };
-        if (ticket.issuer, ticket.epoch) != (self.me, self.epoch) {
+        if (ticket.issuer, ticket.incarnation) != (self.me, self.epoch) {
             // Only the issuer knows the attempt; it closes it at its limit (docs/external-authorisation.md).
             self.tally.foreign_reports += 1;
             return Verdict::Foreign { issuer: ticket.issuer };
@@ -607,13 +607,13 @@
         tried.timer = Some(self.driver.timers.set(tried.limit + REPORT_WAIT, Due::Limit(seq, attempt)));
         let ticket = Ticket {
             issuer: self.me,
-            epoch: self.epoch,
+            incarnation: self.epoch,
             request: seq,
             attempt,
             units: entry.units,
-            expires: tried.limit,
+            expires_at: tried.limit,
             class: entry.class as u16,
-            server: tried.server.to_string(),
+            backend: tried.server.to_string(),
         };
         let (server, timeout) = (tried.server.clone(), tried.limit - now);
         let ticket = self.ring.sign(&ticket);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,12 +9,12 @@
 #![warn(missing_docs)]
 
 mod backoff;
-mod clock;
+mod clock_anchor;
 mod counter_connections;
 mod driver;
 mod engine;
 mod guard;
-mod overshoot;
+mod overshoot_bound;
 mod pipeline;
 mod pool;
 mod proxy;
@@ -23,11 +23,12 @@
 mod slots;
 mod start_times;
 mod ticket;
+mod ticket_validator;
 mod timer_wheel;
 mod watch;
 
 pub use backoff::Backoff;
-pub use clock::Anchor;
+pub use clock_anchor::ClockAnchor;
 pub use counter_connections::{CounterConnections, Route};
 pub use driver::Command;
 pub use engine::{
@@ -35,12 +36,13 @@
     Verdict,
 };
 pub use guard::{Blocked, Earlier, Guard, Progress, SendCheck, SendLimits, Violation, Violations};
-pub use overshoot::Overshoot;
+pub use overshoot_bound::OvershootBound;
 pub use pipeline::{EndedCall, Pipeline, UNRESPONSIVE_TIMEOUTS, UnexpectedResponse};
 pub use pool::{Pool, Room};
 pub use proxy::{Arrived, IncomingRequest, Outcome, ProxyCore, ProxyOutput, ProxyTally, ReasonCounts};
 pub use shutdown::{Shutdown, longest_deadline};
 pub use slots::{FIRST_REQUEST, SlotCounts, SlotId, Slots};
-pub use ticket::{Gate, Key, Keyring, Ticket, TicketError, TurnedAway};
+pub use ticket::{Key, Keyring, Ticket, TicketError};
+pub use ticket_validator::{TicketRejection, TicketValidator};
 pub use timer_wheel::{TimerKey, TimerWheel};
 pub use watch::{LineId, ListWatch, WatchStep, WatchTerms};
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 use tokio_util::codec::Framed;
-use weirusher_core::{Anchor, Gate, Keyring, TurnedAway};
+use weirusher_core::{ClockAnchor, Keyring, TicketRejection, TicketValidator};
 use weirusher_wire::http1::{Request, Response, ServerCodec};
 
 /// Used tickets that a checker remembers.
@@ -53,11 +53,11 @@
 
 struct Shared {
     spec: FakeBackendSpec,
-    gate: Mutex<Gate>,
+    validator: Mutex<TicketValidator>,
     cores: Semaphore,
     recorder: Recorder,
     born: Instant,
-    anchor: Anchor,
+    clock: ClockAnchor,
     /// Times and work of what was taken within the fall's span.
     recent: Mutex<VecDeque<(f64, f64)>>,
     slow: Mutex<f64>,
@@ -92,12 +92,12 @@
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let shared = Arc::new(Shared {
-            gate: Mutex::new(Gate::new(spec.ring.clone(), me.clone(), MOST_TICKETS)),
+            validator: Mutex::new(TicketValidator::new(spec.ring.clone(), me.clone(), MOST_TICKETS)),
             cores: Semaphore::new(spec.cores),
             spec: FakeBackendSpec { me, ..spec },
             recorder,
             born: Instant::now(),
-            anchor: Anchor::new(unix),
+            clock: ClockAnchor::new(unix),
             recent: Mutex::default(),
             slow: Mutex::new(1.0),
             fell: tokio::sync::Notify::new(),
@@ -171,14 +171,14 @@
         if self.cores.available_permits() == 0 && self.waiting() >= self.spec.queue {
             return Door::Full;
         }
-        let now = self.anchor.at(self.born.elapsed());
-        match self.gate.lock().expect("no holder panics").admit(now, ticket) {
+        let now = self.clock.unix_time_after(self.born.elapsed());
+        match self.validator.lock().expect("no holder panics").validate(now, ticket) {
             Ok(_) => Door::Runs,
-            Err(TurnedAway::Expired) => Door::Expired,
-            Err(TurnedAway::Replayed) => Door::Replayed,
-            Err(TurnedAway::Misdirected) => Door::Misdirected,
-            Err(TurnedAway::Full) => Door::Full,
-            Err(TurnedAway::Missing | TurnedAway::Invalid) => Door::Invalid,
+            Err(TicketRejection::Expired) => Door::Expired,
+            Err(TicketRejection::Replayed) => Door::Replayed,
+            Err(TicketRejection::Misdirected) => Door::Misdirected,
+            Err(TicketRejection::Full) => Door::Full,
+            Err(TicketRejection::Missing | TicketRejection::Invalid) => Door::Invalid,
         }
     }
 
--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::io::BufRead;
-use weirusher_core::Overshoot;
+use weirusher_core::OvershootBound;
 use weirusher_fakes::{Door, Fact, Final, Line, RuleBook, ServerState, Verdict};
 
 /// Seconds by which an answer may pass the client's patience: timers and sockets of a busy machine.
@@ -363,7 +363,8 @@
         let [rate, burst, ceiling_rate, ceiling_burst] = *plan;
         self.audit.units.0 += units;
         let largest = self.rules.max_units;
-        let bound = Overshoot { burst, spread: self.rules.gatekeepers as f64, largest };
+        let bound =
+            OvershootBound { burst, instances: self.rules.gatekeepers as f64, largest_request: largest };
         let hard = (self.rules.slack * ceiling_burst).max(largest);
         let forgotten = self.forgotten;
         let quota = (false, Rule::QuotasKept, rate, burst);
@@ -380,7 +381,7 @@
             }
             (bucket.level, bucket.at) = (bucket.level - units, t);
             let (restarts, emptied) = (forgotten.0 - bucket.forgotten.0, forgotten.1 - bucket.forgotten.1);
-            let slack = if is_hard { hard } else { bound.most(restarts, emptied) };
+            let slack = if is_hard { hard } else { bound.max_excess(restarts, emptied) };
             if !is_hard && -bucket.level > self.audit.beyond.0 {
                 self.audit.beyond = (-bucket.level, slack);
             }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -20,7 +20,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::Duration;
-use weirusher_core::Overshoot;
+use weirusher_core::OvershootBound;
 
 /// Worst schedules that a proof names.
 const NAMED: usize = 10;
@@ -67,8 +67,8 @@
         let [_, burst] = schedule.quota;
         let forgets = |f: &&Fault| matches!(f.trouble, Trouble::Emptied | Trouble::Replaced);
         let emptied = schedule.faults.iter().filter(forgets).count() as u32;
-        let quota = Overshoot { burst, spread: f64::from(schedule.gateways), largest: 1.0 };
-        let (beyond, allowed) = (verdict.worst(), quota.most(verdict.restarts, emptied));
+        let quota = OvershootBound { burst, instances: f64::from(schedule.gateways), largest_request: 1.0 };
+        let (beyond, allowed) = (verdict.worst(), quota.max_excess(verdict.restarts, emptied));
         let hard = (0.1 * schedule.ceiling[1]).max(1.0);
         let over = verdict.customers.iter().map(|c| c.ceiling_beyond - hard).fold(f64::MIN, f64::max);
         let run = Run {
--- a/crates/simulation/tests/bound.rs
+++ b/crates/simulation/tests/bound.rs
@@ -1,6 +1,6 @@
 //! The bound on what a customer may get beyond its bucket, and what is still given, under random schedules.
 
-use weirusher_core::Overshoot;
+use weirusher_core::OvershootBound;
 use weirusher_simulation::{Schedule, Trouble, play, prove, prove_many};
 
 /// Schedules of each landing.
@@ -26,7 +26,7 @@
 
 #[test]
 fn nine_outages_cost_no_more_than_one() {
-    let quota = Overshoot { burst: 20.0, spread: 4.0, largest: 1.0 };
+    let quota = OvershootBound { burst: 20.0, instances: 4.0, largest_request: 1.0 };
     for trouble in [Trouble::Gone, Trouble::Silent, Trouble::Late(0.12), Trouble::Reset, Trouble::Wrong] {
         let verdict = play(&Schedule::looped(trouble, 4, 3, 1));
         assert!(verdict.worst() <= quota.burst, "{trouble:?}: {} beyond", verdict.worst());
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -9,8 +9,8 @@
 
 # name | file | what stands there | what the mutant has | day or test:package
 mutants=(
-  "ticket-used-twice|crates/core/src/ticket.rs|if self.used.contains(&id) {|if false {|effects"
-  "ticket-code|crates/core/src/ticket.rs|.verify_truncated_left(&code)|.verify_truncated_left(\&Self::mac(begun, signed).finalize().into_bytes()[..CODE])|effects"
+  "ticket-used-twice|crates/core/src/ticket_validator.rs|if self.used.contains(&id) {|if false {|effects"
+  "ticket-code|crates/core/src/ticket.rs|.verify_truncated_left(&code)|.verify_truncated_left(\&key.over(signed).finalize().into_bytes()[..CODE_BYTES])|effects"
   "unsafe-again|src/policy/selection.rs|Effect::Unsafe => None,|Effect::Unsafe => anywhere,|effects"
   "keyed-window|src/policy/selection.rs|first.sent + window - self.now);|first.sent + window + 1e6 - self.now);|test:weirusher"
   "drained|src/policy/backend.rs|backend.running = entry.lifecycle == Lifecycle::Running;|backend.running = true;|drains"
