--- a/crates/simulation/src/simulator.rs
+++ b/crates/simulation/src/simulator.rs
@@ -6,7 +6,9 @@
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
 use weirusher::{Class, CustomerId, Endpoint, EndpointListKind, Plan, Settings, Status};
-use weirusher_core::{Answer, Check, Command, Ending, Engine, Key, Keyring, Output, Report};
+use weirusher_core::{
+    Check, CheckOutcome, Command, Completion, Engine, InstanceRange, Key, Keyring, Output, Report,
+};
 
 /// Unix seconds at which every schedule begins.
 const START: f64 = 1_800_000_000.0;
@@ -258,8 +260,8 @@
             plan: 0,
             class: 0,
             units: 1.0,
-            patience: PATIENCE,
-            spread: (self.line.gateways, 0),
+            time_budget: PATIENCE,
+            instances: InstanceRange { count: self.line.gateways, first: 0 },
             ticket: None,
         };
         self.gateways[instance].engine.check(self.now, self.next_caller, &check);
@@ -288,12 +290,17 @@
 
     fn output(&mut self, instance: usize, output: Output) {
         match output {
-            Output::Answer { caller, answer, .. } => {
+            Output::CheckOutcome { caller, outcome, .. } => {
                 let Some(customer) = self.callers.remove(&caller) else { return };
-                if let Answer::Allowed(allowed) = answer {
+                if let CheckOutcome::Allowed(grant) = outcome {
                     self.watches[customer].sent(self.now);
-                    let ending = Ending::Request(Status::Ok);
-                    let report = Report { ticket: &allowed.ticket, ending, spent: Some(WORK), settled: None };
+                    let completion = Completion::Request(Status::Ok);
+                    let report = Report {
+                        ticket: &grant.ticket,
+                        completion,
+                        elapsed: Some(WORK),
+                        settled_units: None,
+                    };
                     self.gateways[instance].engine.report(self.now, &report);
                 }
             }
@@ -358,8 +365,8 @@
             return;
         }
         gateway.line.answered = true;
-        if let Ok(Some((call, spent))) = gateway.line.pipeline.answered(self.now) {
-            gateway.engine.counter_response(self.now, call, status, total, spent);
+        if let Ok(Some(ended)) = gateway.line.pipeline.response_completed(self.now) {
+            gateway.engine.counter_response(self.now, ended.call, status, total, ended.elapsed);
             self.settle(instance);
         }
     }
@@ -369,10 +376,10 @@
         if gateway.line.made != made {
             return;
         }
-        for (call, spent) in gateway.line.pipeline.give_up(self.now + 1e-9) {
-            gateway.engine.counter_response(self.now, call, Status::Timeout, 0.0, spent);
+        for ended in gateway.line.pipeline.take_timed_out(self.now + 1e-9) {
+            gateway.engine.counter_response(self.now, ended.call, Status::Timeout, 0.0, ended.elapsed);
         }
-        let dead = gateway.line.pipeline.dead(self.now);
+        let dead = gateway.line.pipeline.is_unresponsive(self.now);
         let next = gateway.line.pipeline.deadline();
         if dead {
             self.lose(instance);
@@ -390,8 +397,8 @@
         }
         let (calls, pause) = gateway.line.drop_connection(self.now);
         let made = gateway.line.made;
-        for (call, spent) in calls {
-            gateway.engine.counter_response(self.now, call, Status::Reset, 0.0, spent);
+        for ended in calls {
+            gateway.engine.counter_response(self.now, ended.call, Status::Reset, 0.0, ended.elapsed);
         }
         self.push(self.now + pause, Event::Reconnect { instance, made });
         self.settle(instance);
@@ -403,7 +410,7 @@
             return;
         }
         if self.state == State::Gone {
-            let pause = line.backoff.pause();
+            let pause = line.backoff.next_delay();
             self.push(self.now + pause, Event::Reconnect { instance, made });
         } else {
             line.connect(LIMIT);
