--- /dev/null
+++ b/crates/peers/tests/page_keys.rs
@@ -0,0 +1,45 @@
+//! The JSON keys of `/fleet` and `/fleet/brief`, pinned: operators' tools and kept captures read them.
+
+use std::net::SocketAddr;
+use weirusher_fleet::{Fleet, Settings};
+
+fn fleet() -> Fleet {
+    let members = [2000, 2001].map(|port| SocketAddr::from(([127, 0, 0, 1], port))).to_vec();
+    let settings = Settings { instance: 0, members, key: vec![7; 32] };
+    Fleet::new(settings, 9, 1, 0).unwrap()
+}
+
+const REACHABILITY: &str = concat!(
+    r#""hearing":{"others":1,"alive":0,"expected":0,"heard":0,"watchers":0,"confirmed":0,"denied":0,"#,
+    r#""age_ms":null,"superseded":false}"#
+);
+
+#[test]
+fn the_full_view_keeps_its_keys() {
+    let view = serde_json::to_string(&fleet().view(5)).unwrap();
+    let expected = [
+        r#"{"number":0,"incarnation":9,"#,
+        REACHABILITY,
+        r#","members":[{"number":1,"state":"unknown","for_ms":5,"incarnation":0,"age_ms":null,"#,
+        r#""direct_ms":null,"denies":false}],"#,
+        r#""counters":{"sent":0,"sent_bytes":0,"received":0,"received_bytes":0,"oversized":0,"#,
+        r#""misplaced":0,"flooded":0,"forged":0,"malformed":0,"other_size":0,"misdelivered":0,"#,
+        r#""replayed":0,"stale":0,"unproven":0,"unreadable":0,"put_off":0,"rumors_dropped":0,"away":0},"#,
+        r#""rumors":0}"#,
+    ];
+    assert_eq!(view, expected.concat());
+}
+
+#[test]
+fn the_brief_view_keeps_its_keys() {
+    let brief = serde_json::to_string(&fleet().brief(5)).unwrap();
+    let expected = [r#"{"number":0,"incarnation":9,"#, REACHABILITY, r#","alive":[],"gone":[]}"#];
+    assert_eq!(brief, expected.concat());
+}
+
+#[test]
+fn the_states_keep_their_words() {
+    use weirusher_fleet::State::{Alive, Gone, Suspected, Unknown};
+    let words = [Unknown, Alive, Suspected, Gone].map(|state| serde_json::to_string(&state).unwrap());
+    assert_eq!(words, [r#""unknown""#, r#""alive""#, r#""suspected""#, r#""gone""#]);
+}
