--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 use tokio_util::codec::Framed;
-use weirusher_core::{Anchor, Gate, Keyring, TurnedAway};
+use weirusher_core::{ClockAnchor, Keyring, TicketRejection, TicketValidator};
 use weirusher_wire::http1::{Request, Response, ServerCodec};
 
 /// Used tickets that a backend remembers.
@@ -64,11 +64,11 @@
 
 struct Shared {
     spec: FakeBackendSpec,
-    gate: Mutex<Gate>,
+    validator: Mutex<TicketValidator>,
     cores: Semaphore,
     recorder: Recorder,
     started: Instant,
-    anchor: Anchor,
+    clock: ClockAnchor,
     /// Work that arrived within the overload window.
     arrivals: Mutex<VecDeque<Arrival>>,
     slowdown: Mutex<f64>,
@@ -106,14 +106,15 @@
             recorder.record(CaptureEvent::BackendChanged { backend, state });
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let gate = Gate::new(spec.keyring.clone(), advertised_address.clone(), MAX_USED_TICKETS);
+        let validator =
+            TicketValidator::new(spec.keyring.clone(), advertised_address.clone(), MAX_USED_TICKETS);
         let shared = Arc::new(Shared {
-            gate: Mutex::new(gate),
+            validator: Mutex::new(validator),
             cores: Semaphore::new(spec.cores),
             spec: FakeBackendSpec { advertised_address, ..spec },
             recorder,
             started: Instant::now(),
-            anchor: Anchor::new(unix),
+            clock: ClockAnchor::new(unix),
             arrivals: Mutex::default(),
             slowdown: Mutex::new(1.0),
             overloaded: tokio::sync::Notify::new(),
@@ -192,14 +193,14 @@
         if self.cores.available_permits() == 0 && self.queue_length() >= self.spec.queue_limit {
             return Admission::QueueFull;
         }
-        let now = self.anchor.at(self.started.elapsed());
-        match self.gate.lock().expect("no holder panics").admit(now, ticket) {
+        let now = self.clock.unix_time_after(self.started.elapsed());
+        match self.validator.lock().expect("no holder panics").validate(now, ticket) {
             Ok(_) => Admission::Admitted,
-            Err(TurnedAway::Expired) => Admission::ExpiredTicket,
-            Err(TurnedAway::Replayed) => Admission::ReplayedTicket,
-            Err(TurnedAway::Misdirected) => Admission::WrongBackend,
-            Err(TurnedAway::Full) => Admission::QueueFull,
-            Err(TurnedAway::Missing | TurnedAway::Invalid) => Admission::InvalidTicket,
+            Err(TicketRejection::Expired) => Admission::ExpiredTicket,
+            Err(TicketRejection::Replayed) => Admission::ReplayedTicket,
+            Err(TicketRejection::Misdirected) => Admission::WrongBackend,
+            Err(TicketRejection::Full) => Admission::QueueFull,
+            Err(TicketRejection::Missing | TicketRejection::Invalid) => Admission::InvalidTicket,
         }
     }
 
--- a/crates/scenarios/src/audit/quotas.rs
+++ b/crates/scenarios/src/audit/quotas.rs
@@ -5,7 +5,7 @@
 use super::Moment;
 use super::report::{AuditReport, Overrun, Rule};
 use std::collections::HashMap;
-use weirusher_core::Overshoot;
+use weirusher_core::OvershootBound;
 use weirusher_fakes::{AuditParameters, PlanLimits, RateLimit};
 
 /// Rounding that a bound allows for, in units.
@@ -64,9 +64,12 @@
         report.units.admitted += units;
         let largest = parameters.largest_request_units;
         if let Some((excess, losses)) = self.draw(at, customer, Limit::Quota, quota, units) {
-            let overshoot =
-                Overshoot { burst: quota.burst_units, spread: parameters.gateways as f64, largest };
-            let allowed_units = overshoot.most(losses.gateway_restarts, losses.counter_losses);
+            let bound = OvershootBound {
+                burst: quota.burst_units,
+                instances: parameters.gateways as f64,
+                largest_request: largest,
+            };
+            let allowed_units = bound.max_excess(losses.gateway_restarts, losses.counter_losses);
             if excess > report.overrun.units {
                 report.overrun = Overrun { units: excess, allowed_units };
             }
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -9,13 +9,13 @@
 
 # name | file | what stands there | what the mutant has | day or test:package
 mutants=(
-  "ticket-used-twice|crates/core/src/ticket.rs|if self.used.contains(&id) {|if false {|effects"
-  "ticket-code|crates/core/src/ticket.rs|.verify_truncated_left(&code)|.verify_truncated_left(\&Self::mac(begun, signed).finalize().into_bytes()[..CODE])|effects"
-  "unsafe-again|src/policy/selection.rs|Effect::Unsafe => None,|Effect::Unsafe => anywhere,|effects"
-  "keyed-window|src/policy/selection.rs|first.sent + window - self.now);|first.sent + window + 1e6 - self.now);|test:weirusher"
-  "drained|src/policy/backend.rs|backend.running = entry.lifecycle == Lifecycle::Running;|backend.running = true;|drains"
-  "cold-budget|src/policy/selection.rs|if score < least \&\& self.slow_start_budget(at, if i < near { near } else { count }) >= 1.0 {|if score < least {|cold"
-  "cold-ramp|src/policy/tuning.rs|const SLOW_START_SHARE: f64 = 0.4;|const SLOW_START_SHARE: f64 = 1.6;|test:weirusher"
+  "ticket-used-twice|crates/core/src/ticket_validator.rs|if self.used.contains(&id) {|if false {|effects"
+  "ticket-code|crates/core/src/ticket.rs|.verify_truncated_left(&code)|.verify_truncated_left(\&key.over(signed).finalize().into_bytes()[..CODE_BYTES])|effects"
+  "unsafe-again|src/policy/retry_scope.rs|Idempotency::NonIdempotent => None,|Idempotency::NonIdempotent => Some(RetryScope::ANYWHERE),|effects"
+  "keyed-window|src/policy/retry_scope.rs|first.sent + window - self.now;|first.sent + window + 1e6 - self.now;|test:weirusher"
+  "drained|src/policy/endpoint_list.rs|backend.running = entry.lifecycle == Lifecycle::Running;|backend.running = true;|drains"
+  "cold-budget|src/policy/selection.rs|if score < best_score \&\& self.slow_start_budget(index, candidates) >= 1.0 {|if score < best_score {|cold"
+  "cold-ramp|src/policy/tuning.rs|const SLOW_START_FRACTION: f64 = 0.4;|const SLOW_START_FRACTION: f64 = 1.6;|test:weirusher"
   "repeat-window|crates/node/src/attempt.rs|limit(limits.send_within),|limit(f64::INFINITY),|test:weirusher-cli"
   "client-gone|crates/node/src/client_socket.rs|Ok(ready) if ready.is_read_closed() =>|Ok(ready) if ready.is_empty() =>|test:weirusher-cli"
   "reload-settings|crates/node/src/run.rs|self.watch = Self::watch(\&self.node, \&self.config);|self.watch = Self::watch(\&self.node, newer);|test:weirusher-cli"
@@ -27,10 +27,10 @@
   "second-answer|crates/core/src/pool.rs|const REST: f64 = 0.01;|const REST: f64 = -1.0;|test:weirusher-cli"
   "woken-list|crates/node/src/attempt.rs|if node.now() > node.current_until.get() {|if node.now() < 0.0 {|test:weirusher-cli"
   "asked-late|crates/core/src/watch.rs|const ASKED: (f64, f64) = (4.0, 0.75);|const ASKED: (f64, f64) = (4.0, 3.0);|test:weirusher-core"
-  "thin-starts|src/policy/tuning.rs|const THIN_SHARE_STARTS: f64 = 0.85;|const THIN_SHARE_STARTS: f64 = 1.0;|test:weirusher"
-  "ceiling-share|src/policy/admission.rs|if plan.ceiling_rate > 0.0 { 0.0 } else {|if plan.ceiling_rate > 1e9 { 0.0 } else {|ceilings"
-  "safe-share|src/policy/admission.rs|plan.ceiling_rate > 0.0 \&\& !self.ceiling_share_covers(\&key, plan, units)|plan.ceiling_rate > 1e9 \&\& !self.ceiling_share_covers(\&key, plan, units)|ceilings"
-  "held-released|src/policy/mod.rs|Some(Timer::CounterWait(key)) => self.stop_waiting(\&key, token),|Some(Timer::CounterWait(_)) => {}|ceilings"
+  "thin-starts|src/policy/tuning.rs|const FRACTIONAL_SHARE_START_FRACTION: f64 = 0.85;|const FRACTIONAL_SHARE_START_FRACTION: f64 = 1.0;|test:weirusher"
+  "ceiling-share|src/policy/admission.rs|if plan.ceiling_rate > 0.0 {|if plan.ceiling_rate > 1e9 {|ceilings"
+  "safe-share|src/policy/quota.rs|(plan.ceiling_rate <= 0.0 \|\||(plan.ceiling_rate <= 1e9 \|\||ceilings"
+  "held-released|src/policy/timers.rs|Some(Timer::LeaseWait(customer)) => self.end_lease_wait(\&customer, token),|Some(Timer::LeaseWait(_)) => {}|ceilings"
   "listener-closed|crates/ext-authz/src/server.rs|_ = self.stopped.wait_for(.stop. .stop) => return,|_ = std::future::pending::<()>() => return,|answers"
   "watch-anew|crates/core/src/watch.rs|(self.opened, self.open_at) = (now, now + self.pause());|(self.opened, self.open_at) = (now, now + 6.0);|test:weirusher-core"
   "watch-oldest|crates/core/src/watch.rs|steps.extend(self.lines.remove(1)|steps.extend(self.lines.remove(0)|test:weirusher-core"
@@ -63,13 +63,13 @@
   "fleet-revival|crates/fleet/src/table.rs|State::Gone => sent > record.since,|State::Gone => true,|test:weirusher-fleet"
   "fleet-forgotten|crates/fleet/src/table.rs|now.saturating_sub(record.lived.max(self.begun)) >= forgotten;|false;|test:weirusher-fleet"
   "fleet-plausible|crates/fleet/src/fleet.rs|if self.table.plausible(member, copy.beat, now) {|if true {|test:weirusher-fleet"
-  "attempt-limit|crates/core/src/engine.rs|Due::Limit(seq, attempt) => {|Due::Limit(seq, attempt) if seq == 0 => {|answers"
+  "attempt-limit|crates/core/src/engine.rs|Timer::AttemptDeadline(id) => self.close_at_deadline(now, id),|Timer::AttemptDeadline(_) => {}|answers"
   "accept-stopping|crates/core/src/guard.rs|Some(shutdown) => Ok(deadline.min(shutdown.respond_by())),|Some(_) => Ok(deadline),|test:weirusher-cli"
   "accept-late|crates/core/src/guard.rs|if now + LEAST_TIME > shutdown.respond_by() => Err(Reason::Stopping),|if now > shutdown.respond_by() + 1e6 => Err(Reason::Stopping),|test:weirusher-cli"
   "deadline-told|crates/core/src/guard.rs|timeout: give_up.min(deadline) - now,|timeout: give_up - now + 0.3,|test:weirusher-cli"
-  "shrunken-list|src/policy/capacity.rs| * self.listed_share();|;|test:weirusher"
+  "shrunken-list|src/policy/slow_start.rs| * self.load.running_fraction(self.now, running)||test:weirusher"
   "subset-places|src/policy/subset.rs|(f64::from(gateway) * GOLDEN_RATIO_FRACTION).fract()|(f64::from(gateway) * 0.3).fract()|test:weirusher"
-  "subset-bound|src/policy/tuning.rs|const SUBSET_MOST: usize = 32;|const SUBSET_MOST: usize = 3200;|test:weirusher"
+  "subset-bound|src/policy/tuning.rs|const MAX_SUBSET_SIZE: usize = 32;|const MAX_SUBSET_SIZE: usize = 3200;|test:weirusher"
 )
 
 copy() {
@@ -93,8 +93,6 @@
 if flat not in text:
     sys.exit(f"the guard is not there any more: {flat}")
 text = text.replace(flat, new, 1)
-if "if seq == 0" in new:
-    text = text.replace("Due::Parked(seq) => {", "Due::Limit(..) => {}\n                Due::Parked(seq) => {", 1)
 open(path, "w").write(text)
 PY
   if [[ "$day" == test:* ]]; then
