--- a/crates/cli/src/logs/tests.rs
+++ b/crates/cli/src/logs/tests.rs
@@ -1,6 +1,6 @@
 //! The budget of log lines.
 
-use super::*;
+use super::{Decision, Instant, LineBudget};
 use std::time::Duration;
 
 #[test]
--- a/crates/cli/tests/growth.rs
+++ b/crates/cli/tests/growth.rs
@@ -1,5 +1,5 @@
-//! What one gateway needs before 3,200 backends, against the standing test's table of growth. Processor time is left to
-//! `weirusher-growth`, which measures a release build.
+//! The resources of one gateway with 3,200 backends, against the standing test's table of growth. `weirusher-growth` checks
+//! processor time, with a release build.
 
 use std::time::Duration;
 use weirusher_soak::growth::{FleetSize, GrowthOptions, compare, measure};
@@ -15,7 +15,7 @@
     };
     let usual = measure(FleetSize::USUAL, &options).await.unwrap();
     let large = measure(FleetSize::LARGEST, &options).await.unwrap();
-    // A run in which nothing happened shows nothing.
+    // A run without load shows nothing.
     assert!(usual.connections > 5.0 && usual.list_bytes > 0.0 && usual.served > 0.9, "{usual:?}");
     for row in compare(&usual, &large, FleetSize::LARGEST) {
         assert!(row.holds() || row.name == "CPU seconds", "{row:?}");
--- a/crates/cli/tests/kept_list.rs
+++ b/crates/cli/tests/kept_list.rs
@@ -1,5 +1,5 @@
-//! The file in which `weirusher run` keeps its last list: a folder that takes nothing for a while, and kills at each step
-//! of a write. At the next start the last whole list is read, or the file is passed over with a warning that names it.
+//! The file in which `weirusher run` stores its last endpoint list: a folder that cannot be written for a while, and kills at
+//! each step of a write. The next start reads the last complete list, or skips the file with a warning that names it.
 
 #[path = "support/process.rs"]
 mod process;
@@ -16,10 +16,10 @@
 use weirusher_fakes::{Discovery, Recorder};
 use weirusher_fault_shim::{Action, Call, Errno, Fault, FaultShim};
 
-const ANYWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// A generous limit for whatever must come about.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+/// Limit for what must happen.
 const LIMIT: Duration = Duration::from_secs(30);
-/// Servers of the list that is kept at first, and of the one that comes.
+/// Backends of the list that is stored at first, and of the one that arrives.
 const OLD: [&str; 1] = ["127.0.0.1:7001"];
 const NEW: [&str; 2] = ["127.0.0.1:7002", "127.0.0.1:7003"];
 
@@ -27,7 +27,7 @@
     discovery: Discovery,
     shim: FaultShim,
     dir: tempfile::TempDir,
-    /// What the gateways wrote to their logs, which are no files: faults of files are for the list.
+    /// Log of the last gateway. It is no file, so that faults of files concern the list only.
     log: Arc<Mutex<String>>,
 }
 
@@ -41,9 +41,9 @@
 }
 
 impl Site {
-    /// A folder in which the old list is kept, and a discovery that has the new one.
+    /// A folder with the old list, and a discovery with the new one.
     async fn new() -> Self {
-        let discovery = Discovery::start(ANYWHERE, Duration::ZERO, Recorder::new(None)).await.unwrap();
+        let discovery = Discovery::start(ANY_PORT, Duration::ZERO, Recorder::new(None)).await.unwrap();
         discovery.set(NEW.into_iter().map(running).collect());
         let (shim, dir) = (FaultShim::new().unwrap(), tempfile::tempdir().unwrap());
         let site = Self { discovery, shim, dir, log: Arc::default() };
@@ -56,13 +56,13 @@
         self.dir.path().join("servers.json")
     }
 
-    /// Starts a gateway with a log of its own; without `discovery` it finds none.
+    /// Starts a gateway with a log of its own; without `discovery`, no discovery listens at its address.
     fn start(&self, discovery: bool) -> Gateway {
         let file = self.dir.path().join("gateway.toml");
         let address = if discovery { self.discovery.address.to_string() } else { "127.0.0.1:9".into() };
         let text = format!(
-            "default_plan = \"only\"\n[instance]\nnumber = 0\ngateways = 1\n[listen]\next_authz = \"{ANYWHERE}\"\n\
-             admin = \"{ANYWHERE}\"\n[[tickets.keys]]\nid = 1\nsecret = \"0123456789abcdef0123456789abcdef\"\n\
+            "default_plan = \"only\"\n[instance]\nnumber = 0\ngateways = 1\n[listen]\next_authz = \"{ANY_PORT}\"\n\
+             admin = \"{ANY_PORT}\"\n[[tickets.keys]]\nid = 1\nsecret = \"0123456789abcdef0123456789abcdef\"\n\
              [discovery]\naddress = \"{address}\"\nkeep = \"{}\"\n[[plan]]\nname = \"only\"\nrate = 100\nburst = 100\n\
              [[class]]\nname = \"only\"\naim_ms = 1000\neffect = \"unsafe\"\n",
             self.list().display()
@@ -88,22 +88,22 @@
         gateway
     }
 
-    fn said(&self) -> String {
+    fn log_text(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// The servers that the file names, which is whole.
-    fn kept(&self) -> Vec<String> {
+    /// The backends in the file, which must be complete.
+    fn stored(&self) -> Vec<String> {
         servers(&self.list())
     }
 
-    async fn until_kept(&self, servers: &[&str]) {
+    async fn until_stored(&self, servers: &[&str]) {
         let kept = async {
-            while self.kept() != servers {
+            while self.stored() != servers {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(LIMIT, kept).await.expect("the list is kept");
+        tokio::time::timeout(LIMIT, kept).await.expect("the list is stored");
     }
 }
 
@@ -113,11 +113,11 @@
 }
 
 fn servers(file: &Path) -> Vec<String> {
-    let list: Vec<Value> = serde_json::from_slice(&std::fs::read(file).unwrap()).expect("a whole list");
+    let list: Vec<Value> = serde_json::from_slice(&std::fs::read(file).unwrap()).expect("a complete list");
     list.iter().map(|server| server["address"].as_str().unwrap().to_string()).collect()
 }
 
-/// Waits for the line that says where it listens.
+/// Waits for the line with the addresses.
 fn announced(gateway: &mut Gateway) -> bool {
     let mut line = String::new();
     BufReader::new(gateway.0.stdout.take().unwrap()).read_line(&mut line).unwrap();
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_folder_that_takes_nothing_for_a_while_has_the_list_afterwards() {
+async fn the_list_is_stored_once_a_failing_folder_recovers() {
     let failing = [
         (Call::Open, Errno::ENOSPC),
         (Call::WriteFile, Errno::ENOSPC),
@@ -140,24 +140,24 @@
         let mut gateway = site.start(true);
         assert!(announced(&mut gateway));
         let failed = async {
-            while site.shim.injected(fails) == 0 || !site.said().contains("could not be kept") {
+            while site.shim.injected(fails) == 0 || !site.log_text().contains("could not be kept") {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
         let failed = tokio::time::timeout(LIMIT, failed).await;
         failed.unwrap_or_else(|_| panic!("{call:?} {errno}: it is tried, and the log says so"));
-        assert!(site.said().contains(&site.list().display().to_string()), "{}", site.said());
-        assert_eq!(site.kept(), OLD, "{call:?} {errno}: the old list is whole");
+        assert!(site.log_text().contains(&site.list().display().to_string()), "{}", site.log_text());
+        assert_eq!(site.stored(), OLD, "{call:?} {errno}: the old list is whole");
         site.shim.end(fails);
-        site.until_kept(&NEW).await;
+        site.until_stored(&NEW).await;
         assert!(gateway.0.try_wait().unwrap().is_none(), "it goes on");
     }
 }
 
 #[tokio::test]
-async fn a_list_is_on_the_disk_before_it_takes_the_place_of_the_old_one() {
+async fn a_list_is_synced_before_it_replaces_the_old_one() {
     let site = Site::new().await;
-    // A rename that comes first would leave a name without its bytes after a crash of the machine.
+    // A rename before the sync would leave an incomplete file after a crash of the machine.
     let synced = site.shim.inject(Fault::new(Call::Sync, Action::Delay(Duration::from_millis(1))));
     let never = site.shim.inject(Fault::new(Call::Rename, Action::Fail(Errno::EIO)));
     let _gateway = site.start(true);
@@ -170,12 +170,12 @@
     assert!(site.shim.injected(synced) > 0, "the file is synced first");
     let before = site.shim.injected(synced);
     site.shim.end(never);
-    site.until_kept(&NEW).await;
+    site.until_stored(&NEW).await;
     assert!(site.shim.injected(synced) > before, "and the folder behind it");
 }
 
 #[tokio::test]
-async fn a_kill_at_each_step_of_a_write_leaves_a_whole_list() {
+async fn a_kill_at_each_step_of_a_write_leaves_a_complete_list() {
     let steps = [
         (Call::Open, Action::Kill, 0),
         (Call::Open, Action::KillAfter, 0),
@@ -195,35 +195,35 @@
         let mut gateway = site.start(true);
         ended(&mut gateway.0).await;
         assert!(site.shim.end(step) > 0);
-        let kept = site.kept();
+        let kept = site.stored();
         assert!(kept == OLD || kept == NEW, "{call:?} {action:?}: {kept:?}");
         // The next start reads it.
         let mut next = site.start(false);
         assert!(announced(&mut next), "{call:?} {action:?}");
-        assert!(!site.said().contains("damaged"), "{}", site.said());
+        assert!(!site.log_text().contains("damaged"), "{}", site.log_text());
     }
 }
 
 #[tokio::test]
-async fn a_damaged_list_is_passed_over_with_a_warning_that_names_it() {
+async fn a_damaged_list_is_skipped_with_a_warning_that_names_it() {
     for damaged in ["", "[", "{}", "[{\"address\":1}]", "\u{0}\u{0}\u{0}\u{0}"] {
         let site = Site::new().await;
         std::fs::write(site.list(), damaged).unwrap();
         let mut gateway = site.start(true);
         assert!(announced(&mut gateway));
         let warned = async {
-            while !site.said().contains("damaged") {
+            while !site.log_text().contains("damaged") {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
         tokio::time::timeout(LIMIT, warned).await.expect("a warning");
         let name = site.list().display().to_string();
         assert!(
-            site.said().lines().any(|line| line.contains("damaged") && line.contains(&name)),
+            site.log_text().lines().any(|line| line.contains("damaged") && line.contains(&name)),
             "{}",
-            site.said()
+            site.log_text()
         );
-        // What comes takes its place.
+        // A list that arrives replaces it.
         let whole = async {
             loop {
                 let text = std::fs::read(site.list()).unwrap();
@@ -233,16 +233,16 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(LIMIT, whole).await.expect("a whole list");
+        tokio::time::timeout(LIMIT, whole).await.expect("a complete list");
     }
 }
 
 #[tokio::test]
-async fn a_list_that_comes_in_short_transfers_is_kept() {
+async fn a_list_that_arrives_in_short_transfers_is_stored() {
     let site = Site::new().await;
     let short = [Call::Receive, Call::Send].map(|call| site.shim.inject(Fault::new(call, Action::Short(1))));
     let mut gateway = site.start(true);
     assert!(announced(&mut gateway));
-    site.until_kept(&NEW).await;
+    site.until_stored(&NEW).await;
     assert!(short.into_iter().all(|fault| site.shim.end(fault) > 100));
 }
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,9 +1,9 @@
-//! How CI reads the list of tests that fail for a fault which is not mended yet.
+//! How CI reads the list of tests that fail for a known fault.
 
 use std::path::Path;
 use std::process::Command;
 
-/// The names in a list, or nothing where it is refused.
+/// The names in a list; `None` where the list is rejected.
 fn read(list: Option<&str>) -> Option<String> {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("KNOWN-RED.txt");
--- a/crates/cli/tests/node/crossing.rs
+++ b/crates/cli/tests/node/close_races.rs
@@ -1,32 +1,32 @@
-//! Requests that cross the close of their connection, whatever closes it: each has its response, or its bytes were not
-//! read, which a reset tells.
+//! Requests that race with the close of their connection, whatever closes it: each gets its response, or its bytes were not
+//! read, which a reset shows.
 
-use crate::support::*;
+use crate::support::{Client, READY, Site, id, parse_response, request};
 use nix::sys::signal::Signal;
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Requests around each close, and how far apart.
-const MANY: u32 = 40;
-const APART: Duration = Duration::from_millis(3);
-/// A connection that ended in order over bytes that were not read is reset within this.
+/// Requests around each close, and the time between two.
+const REQUESTS: u32 = 40;
+const INTERVAL: Duration = Duration::from_millis(3);
+/// A connection that ended in order with unread bytes is reset within this time.
 const LATE_RESET: Duration = Duration::from_millis(800);
-/// When a connection goes that brought nothing, and half a request.
+/// Time after which a connection without a request, or with half of one, is closed.
 const FIRST_REQUEST: Duration = Duration::from_millis(2500);
-/// When an idle connection may give way, and a new one during a shutdown.
-const GIVES_WAY: Duration = Duration::from_millis(250);
+/// Time after which an idle connection may be closed for others, and a new one during a shutdown.
+const REUSABLE_AFTER: Duration = Duration::from_millis(250);
 
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 enum Outcome {
     Response(u16),
     Unread,
-    /// It was read, and its connection closed.
+    /// The request was read, and its connection closed without a response.
     Lost,
 }
 
-/// Sends what is left of a request at its moment, whatever came before that.
+/// Sends the rest of a request at a moment.
 async fn send_at(mut client: Client, rest: String, at: Instant) -> Outcome {
     sleep_until(at).await;
     if tokio::io::AsyncWriteExt::write_all(&mut client.0, rest.as_bytes()).await.is_err() {
@@ -36,18 +36,18 @@
     loop {
         match client.0.read_buf(&mut bytes).await {
             Ok(1..) => {
-                if let Some((status, ..)) = whole(&bytes) {
+                if let Some((status, ..)) = parse_response(&bytes) {
                     return Outcome::Response(status);
                 }
             }
-            Ok(_) => return after_its_end(&client).await,
+            Ok(_) => return outcome_after_end(&client).await,
             Err(_) => return Outcome::Unread,
         }
     }
 }
 
-/// Whether a connection that ended in order is reset: its request came to a closed one.
-async fn after_its_end(client: &Client) -> Outcome {
+/// Whether a connection that ended in order is reset after that: its request arrived at a closed one.
+async fn outcome_after_end(client: &Client) -> Outcome {
     let until = Instant::now() + LATE_RESET;
     while Instant::now() < until {
         let broken = |error: std::io::Error| error.kind() != ErrorKind::WouldBlock;
@@ -59,32 +59,35 @@
     Outcome::Lost
 }
 
-/// Moments around one.
+/// The moments around one.
 fn around(moment: Instant) -> impl Iterator<Item = Instant> {
-    (0..MANY).map(move |nth| moment - APART * (MANY / 2) + APART * nth)
+    (0..REQUESTS).map(move |nth| moment - INTERVAL * (REQUESTS / 2) + INTERVAL * nth)
 }
 
-/// Sends each request at its moment, and judges all of them; what is told of them if none is lost.
-async fn cross(site: &Site, requests: Vec<(Client, String, String, Instant)>) -> Vec<Outcome> {
+/// Sends each request at its moment, and checks that none is lost.
+async fn send_all(site: &Site, requests: Vec<(Client, String, String, Instant)>) -> Vec<Outcome> {
     let sent = requests.into_iter().map(async |(client, id, rest, at)| (id, send_at(client, rest, at).await));
     let outcomes = futures::future::join_all(sent).await;
     for (id, outcome) in &outcomes {
         assert_ne!(*outcome, Outcome::Lost, "{id}");
-        let tries = site.tries(id);
-        assert!(tries == 0 || matches!(outcome, Outcome::Response(_)), "{id}: {tries} attempts, {outcome:?}");
+        let attempts = site.attempts(id);
+        assert!(
+            attempts == 0 || matches!(outcome, Outcome::Response(_)),
+            "{id}: {attempts} attempts, {outcome:?}"
+        );
     }
     outcomes.into_iter().map(|(_, outcome)| outcome).collect()
 }
 
-/// Both sides of the moment were met, or the test shows nothing.
-fn both_sides(outcomes: &[Outcome]) {
+/// Checks that there were requests before and after the close: otherwise the test shows nothing.
+fn assert_both_sides(outcomes: &[Outcome]) {
     let answered = outcomes.iter().filter(|outcome| matches!(outcome, Outcome::Response(_))).count();
     assert!(answered > 0 && answered < outcomes.len(), "{outcomes:?}");
 }
 
-async fn old_connection(site: &Site) -> Client {
+async fn idle_connection(site: &Site) -> Client {
     let mut client = site.client().await;
-    assert_eq!(client.ask(READY).await.unwrap().0, 200);
+    assert_eq!(client.exchange(READY).await.unwrap().0, 200);
     client
 }
 
@@ -95,14 +98,14 @@
 }
 
 #[tokio::test]
-async fn on_a_new_connection_that_brought_nothing_in_time() {
+async fn on_a_new_connection_without_a_request_in_time() {
     let site = Site::start(2).await;
     let accepted = Instant::now();
     let mut requests = Vec::new();
     for at in around(accepted + FIRST_REQUEST + Duration::from_millis(3)) {
         requests.push(asked(site.client().await, at));
     }
-    both_sides(&cross(&site, requests).await);
+    assert_both_sides(&send_all(&site, requests).await);
 }
 
 #[tokio::test]
@@ -112,12 +115,12 @@
     let mut requests = Vec::new();
     for (nth, at) in around(began + FIRST_REQUEST + Duration::from_millis(8)).enumerate() {
         let (mut client, id, text, at) =
-            asked(if nth % 2 == 0 { old_connection(&site).await } else { site.client().await }, at);
+            asked(if nth % 2 == 0 { idle_connection(&site).await } else { site.client().await }, at);
         client.send(&text[..40]).await;
         requests.push((client, id, text[40..].to_string(), at));
     }
-    let outcomes = cross(&site, requests).await;
-    // What came too late is told so, or its rest was not read.
+    let outcomes = send_all(&site, requests).await;
+    // One that is completed too late gets a 408, or its rest is not read.
     assert!(
         outcomes.contains(&Outcome::Response(200)) && outcomes.contains(&Outcome::Response(408)),
         "{outcomes:?}"
@@ -125,63 +128,63 @@
 }
 
 #[tokio::test]
-async fn on_an_old_connection_that_gives_way_to_others() {
+async fn on_an_idle_connection_that_is_closed_for_others() {
     let site = Site::with(2, 96, &[]).await;
-    // More than there are slots for: each of those that wait makes some give way.
+    // More connections than slots: each one that waits has an idle one closed.
     let mut crowd = Vec::new();
     let mut requests = Vec::new();
     let idle = Instant::now();
-    for at in around(idle + GIVES_WAY + Duration::from_millis(10)).take(24) {
-        requests.push(asked(old_connection(&site).await, at));
+    for at in around(idle + REUSABLE_AFTER + Duration::from_millis(10)).take(24) {
+        requests.push(asked(idle_connection(&site).await, at));
     }
     for _ in 0..60 {
         crowd.push(site.client().await);
     }
-    cross(&site, requests).await;
+    send_all(&site, requests).await;
 }
 
 #[tokio::test]
-async fn on_old_and_new_connections_as_a_shutdown_begins() {
+async fn on_idle_and_new_connections_as_a_shutdown_begins() {
     let site = Site::start(2).await;
     let mut old = Vec::new();
-    for _ in 0..MANY {
-        old.push(old_connection(&site).await);
+    for _ in 0..REQUESTS {
+        old.push(idle_connection(&site).await);
     }
-    // The close of idle connections comes with the signal.
+    // Idle connections are closed with the signal.
     let signal = Instant::now() + Duration::from_millis(200);
     let requests: Vec<_> =
         old.into_iter().zip(around(signal)).map(|(client, at)| asked(client, at)).collect();
     let mut new = Vec::new();
-    for at in around(signal + GIVES_WAY) {
+    for at in around(signal + REUSABLE_AFTER) {
         new.push(asked(site.client().await, at));
     }
-    let told = async {
+    let notified = async {
         sleep_until(signal).await;
         site.signal(Signal::SIGTERM);
     };
-    let (old, new, ()) = tokio::join!(cross(&site, requests), cross(&site, new), told);
-    both_sides(&old);
-    both_sides(&new);
+    let (old, new, ()) = tokio::join!(send_all(&site, requests), send_all(&site, new), notified);
+    assert_both_sides(&old);
+    assert_both_sides(&new);
 }
 
 #[tokio::test]
-async fn behind_a_response_that_closes_and_behind_an_error() {
+async fn after_a_response_that_closes_and_after_an_error() {
     let site = Site::start(2).await;
     for closing in ["Connection: close\r\n", "Plan: none\r\n"] {
         let mut requests = Vec::new();
         for _ in 0..10 {
             let mut client = site.client().await;
             let first = request(&id(), "iso", 3000);
-            // What comes right behind the last response, before its end is seen.
+            // A request right after the last response, before the end of the connection is seen.
             client.send(&first.replace("Plan: iso\r\n", &format!("Plan: iso\r\n{closing}"))).await;
-            assert!(matches!(client.answer().await.expect("a response").0, 200 | 400));
+            assert!(matches!(client.response().await.expect("a response").0, 200 | 400));
             requests.push(asked(client, Instant::now()));
         }
         let sent =
             requests.into_iter().map(async |(client, id, rest, at)| (id, send_at(client, rest, at).await));
         for (id, outcome) in futures::future::join_all(sent).await {
-            assert_eq!(site.tries(&id), 0);
-            // Behind an error what comes is dropped: what it belongs to is not known.
+            assert_eq!(site.attempts(&id), 0);
+            // Bytes after an error are dropped: what they belong to is not known.
             assert!(outcome == Outcome::Unread || closing.starts_with("Plan"), "{outcome:?}");
         }
     }
--- a/crates/cli/tests/node/quiet.rs
+++ b/crates/cli/tests/node/idle_connections.rs
@@ -1,8 +1,11 @@
-//! Trouble behind a long quiet time, connections that their servers end meanwhile, configurations in a row, and clients
-//! that go as a hedged request is about to begin.
+//! Idle times and idle connections: long ones, and those that backends or middleboxes end; reloads in quick succession; and
+//! clients that close as a hedged request is about to begin.
 
 use crate::platform::{STOP_WITHIN, configuration};
-use crate::support::*;
+use crate::support::{
+    ANY_PORT, Client, LIMIT, REUSE_PAUSE, Site, delayed_echo, echo, id, last_attempt_at_draining_backend,
+    list, request, store,
+};
 use nix::sys::signal::Signal;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,46 +13,46 @@
 use tokio::io::AsyncWriteExt;
 use weirusher_fakes::{DiscoveryAgent, Link, Reply, ScriptedServer, counting};
 
-/// Longer than an idle client may stay.
-const LONG: Duration = Duration::from_millis(20_500);
-/// When a hedged request goes out: 0.4 of the aim.
-const HEDGED: Duration = Duration::from_millis(800);
-/// The longest behind its deadline that a response may come.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// The longest after a client's close that an attempt may begin.
-const GONE: Duration = Duration::from_millis(100);
+/// Longer than an idle client connection is kept.
+const LONG_IDLE: Duration = Duration::from_millis(20_500);
+/// When a hedged request is sent: 0.4 of the latency objective.
+const HEDGE_DELAY: Duration = Duration::from_millis(800);
+/// How late a response may be after its deadline.
+const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// How long after a client's close an attempt may still begin.
+const CLOSE_SLACK: Duration = Duration::from_millis(100);
 
 #[tokio::test]
-async fn behind_a_long_quiet_time_all_is_as_before() {
+async fn after_a_long_idle_time_all_is_as_before() {
     let site = Site::start(2).await;
     let mut old = site.client().await;
-    assert_eq!(old.ask(&store(&id(), "x")).await.unwrap().0, 200);
-    tokio::time::sleep(LONG).await;
+    assert_eq!(old.exchange(&store(&id(), "x")).await.unwrap().0, 200);
+    tokio::time::sleep(LONG_IDLE).await;
     old.closed().await;
     let mut client = site.client().await;
     for _ in 0..4 {
-        assert_eq!(client.ask(&store(&id(), "x")).await.unwrap().0, 200);
-        tokio::time::sleep(RESTED).await;
+        assert_eq!(client.exchange(&store(&id(), "x")).await.unwrap().0, 200);
+        tokio::time::sleep(REUSE_PAUSE).await;
     }
-    // A drain is heard, and a shutdown answers what it took.
-    let last = last_at_a_leaving_worker(&site, &site.discovery).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was told");
-    site.workers[1].set_script(slow(200));
+    // A drain is respected, and a shutdown answers what is pending.
+    let last = last_attempt_at_draining_backend(&site, &site.discovery).await;
+    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
+    site.backends[1].set_script(delayed_echo(200));
     let (open, mut client) = (id(), site.client().await);
     client.send(&store(&open, "x")).await;
-    while site.tries(&open) == 0 {
+    while site.attempts(&open) == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     site.signal(Signal::SIGTERM);
-    assert_eq!(client.answer().await.expect("a whole response").2, format!("done {open}"));
+    assert_eq!(client.response().await.expect("a complete response").2, format!("done {open}"));
 }
 
 #[tokio::test]
-async fn idle_connections_that_their_server_closes_or_resets_cost_no_unsafe_request() {
+async fn idle_connections_that_their_backend_closes_or_resets_cost_no_request() {
     for resets in [false, true] {
         let site = Site::start(2).await;
-        site.workers.iter().for_each(|worker| {
-            worker.set_script(move |request| match echo(request) {
+        site.backends.iter().for_each(|backend| {
+            backend.set_script(move |request| match echo(request) {
                 Reply::Bytes(bytes) if resets => Reply::BytesThenReset(bytes),
                 Reply::Bytes(bytes) => Reply::BytesThenClose(bytes),
                 other => other,
@@ -58,28 +61,28 @@
         let mut client = site.client().await;
         for _ in 0..8 {
             let id = id();
-            assert_eq!(client.ask(&store(&id, "x")).await.unwrap().0, 200, "resets: {resets}");
-            assert_eq!(site.tries(&id), 1);
-            tokio::time::sleep(RESTED).await;
+            assert_eq!(client.exchange(&store(&id, "x")).await.unwrap().0, 200, "resets: {resets}");
+            assert_eq!(site.attempts(&id), 1);
+            tokio::time::sleep(REUSE_PAUSE).await;
         }
     }
 }
 
-/// Sends a request and returns its status; its response is in time.
+/// Sends a request and returns its status; its response must be in time.
 async fn status_in_time(client: &mut Client, text: &str, deadline: Duration) -> u16 {
     let sent = Instant::now();
-    let (status, ..) = client.ask(text).await.expect("a whole response");
-    assert!(sent.elapsed() < deadline + ANSWER_SLACK, "{status} after {:?}", sent.elapsed());
+    let (status, ..) = client.exchange(text).await.expect("a complete response");
+    assert!(sent.elapsed() < deadline + RESPONSE_SLACK, "{status} after {:?}", sent.elapsed());
     status
 }
 
 #[tokio::test]
-async fn idle_connections_that_are_forgotten_silently_cost_one_attempt_each_and_no_response() {
+async fn idle_connections_that_a_middlebox_drops_cost_one_attempt_each_and_no_response() {
     const DEADLINE: Duration = Duration::from_secs(3);
     for is_unsafe in [false, true] {
         let mut backends = Vec::new();
         for _ in 0..2 {
-            let backend = ScriptedServer::start(ANYWHERE, slow(30)).await.unwrap();
+            let backend = ScriptedServer::start(ANY_PORT, delayed_echo(30)).await.unwrap();
             let link = Link::start(Some(backend.address)).await.unwrap();
             backends.push((backend, link));
         }
@@ -97,10 +100,10 @@
             |answers: &[(u16, String)]| answers.iter().map(|(status, _)| *status).collect::<Vec<_>>();
         assert_eq!(statuses(&together(1).await), [200]);
         assert_eq!(statuses(&together(2).await), [200; 2]);
-        tokio::time::sleep(RESTED).await;
+        tokio::time::sleep(REUSE_PAUSE).await;
         let pooled: u64 = backends.iter().map(|(backend, _)| backend.connections()).sum();
         backends.iter().for_each(|(_, link)| link.blackhole());
-        // Each forgotten connection takes one attempt with it at most; a new one serves.
+        // Each dropped connection costs one attempt at most; a new one serves.
         let mut failed = 0;
         while failed <= pooled {
             let answers = together(1).await;
@@ -110,29 +113,30 @@
             failed += 1;
         }
         assert!(failed <= pooled, "{failed} requests failed behind {pooled} connections");
-        tokio::time::sleep(RESTED).await;
+        tokio::time::sleep(REUSE_PAUSE).await;
         let mut later = 0;
         for _ in 0..pooled + 4 {
             later += u64::from(statuses(&together(1).await) != [200]);
         }
         assert!(failed + later <= pooled, "{failed} and {later} requests failed behind {pooled} connections");
-        let came: Vec<_> = backends.iter().flat_map(|(backend, _)| backend.received()).collect();
+        let received: Vec<_> = backends.iter().flat_map(|(backend, _)| backend.received()).collect();
         let mut seen = HashSet::new();
-        for came in came {
-            let id = came.request.headers.get("x-trace-id").unwrap().to_string();
-            assert!(seen.insert(id.clone()) || !is_unsafe, "{id} came twice");
+        for received in received {
+            let id = received.request.headers.get("x-trace-id").unwrap().to_string();
+            assert!(seen.insert(id.clone()) || !is_unsafe, "{id} received twice");
         }
     }
 }
 
 #[tokio::test]
-async fn configurations_in_a_row_end_with_the_last_one() {
+async fn the_last_of_several_reloads_is_in_force() {
     let site = Site::start(2).await;
-    let entries = [("s-0", site.workers[0].address, "SERVING"), ("s-1", site.workers[1].address, "SERVING")];
-    let other = DiscoveryAgent::start(ANYWHERE, 2, list(2, &entries)).await.unwrap();
-    // One count, at two addresses.
+    let entries =
+        [("s-0", site.backends[0].address, "SERVING"), ("s-1", site.backends[1].address, "SERVING")];
+    let other = DiscoveryAgent::start(ANY_PORT, 2, list(2, &entries)).await.unwrap();
+    // One counter, at two addresses.
     let count = Arc::new(counting());
-    let counter = ScriptedServer::start(ANYWHERE, {
+    let counter = ScriptedServer::start(ANY_PORT, {
         let count = count.clone();
         move |request| count(request)
     })
@@ -150,67 +154,68 @@
         };
         std::fs::write(&site.file, text).unwrap();
         site.signal(Signal::SIGHUP);
-        assert_eq!(client.ask(&request(&id(), "iso", 3000)).await.unwrap().0, 200, "{nth}");
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200, "{nth}");
     }
     site.reload(there).await;
-    // The first discovery falls silent: the other one is heard of all the same.
+    // The first discovery stops answering, which must not matter: the other one is polled.
     site.discovery.stop_answering();
-    let last = last_at_a_leaving_worker(&site, &other).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was told");
-    // No connection is left at the addresses before but those whose calls were out.
-    assert_eq!(client.ask(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    let last = last_attempt_at_draining_backend(&site, &other).await;
+    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
+    // The calls that were pending at the former addresses cost no response.
+    assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
 }
 
 #[tokio::test]
-async fn a_client_that_goes_as_a_hedged_request_is_about_to_begin_is_not_worked_for() {
+async fn no_hedged_request_begins_for_a_client_that_has_closed() {
     let site = Site::start(2).await;
-    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::NoReply));
-    let go = async |before: u64, how: usize| {
+    site.backends.iter().for_each(|backend| backend.set_script(|_| Reply::NoReply));
+    let close_client = async |before: u64, how: usize| {
         let (id, mut client) = (id(), site.client().await);
         client.send(&request(&id, "iso", 3000)).await;
-        while site.tries(&id) == 0 {
+        while site.attempts(&id) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        tokio::time::sleep(HEDGED - Duration::from_millis(before)).await;
-        let gone = Instant::now();
+        tokio::time::sleep(HEDGE_DELAY - Duration::from_millis(before)).await;
+        let closed = Instant::now();
         match how {
             0 => drop(client),
             1 => client.0.shutdown().await.unwrap(),
             _ => client.0.set_zero_linger().unwrap(),
         }
-        (id, gone)
+        (id, closed)
     };
-    // The moments around that in which it begins; few enough at once for each to be let in.
+    // The moments around the one at which it begins; few enough at once for each to be admitted.
     let mut hedged = 0;
     for before in [40, 12, 6, 3, 1, 0] {
-        let gone = futures::future::join_all((0..3).map(|how| go(before, how))).await;
+        let clients = futures::future::join_all((0..3).map(|how| close_client(before, how))).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        for (id, gone) in gone {
-            let came: Vec<_> = site.workers.iter().flat_map(ScriptedServer::received).collect();
-            let mine = came.iter().filter(|came| came.request.headers.get("x-trace-id") == Some(&id));
-            let late = mine.clone().filter(|came| came.received_at > gone + GONE).count();
+        for (id, closed) in clients {
+            let received: Vec<_> = site.backends.iter().flat_map(ScriptedServer::received).collect();
+            let mine =
+                received.iter().filter(|received| received.request.headers.get("x-trace-id") == Some(&id));
+            let late = mine.clone().filter(|received| received.received_at > closed + CLOSE_SLACK).count();
             assert_eq!(late, 0, "{before} ms before");
             hedged += mine.count() - 1;
         }
     }
-    assert!(hedged < 18, "some went before it began");
+    assert!(hedged < 18, "some closed before it began");
 }
 
 #[tokio::test]
-async fn a_configuration_that_cannot_be_used_ends_the_program_at_its_start() {
+async fn an_invalid_configuration_ends_the_program_at_its_start() {
     let site = Site::start(1).await;
-    let sound = configuration(site.listen, site.discovery.address(), site.counter.address, 256);
+    let valid = configuration(site.listen, site.discovery.address(), site.counter.address, 256);
     let dir = tempfile::tempdir().unwrap();
     let cases = [
         ("", "EOF"),
         ("{", "EOF"),
         ("[]", "invalid length"),
-        (&sound.replace(r#""seed":"8c1f30d27a5be964""#, r#""seed":"none""#), "seed"),
-        (&sound.replace("at_most_once", "at_times"), "Effect"),
-        (&sound.replace(r#""Slo":2.0"#, r#""Slo":-2.0"#), "aim"),
-        (&sound.replace(r#""PeersTotal":1"#, r#""PeersTotal":0"#), "gateways"),
-        // Another process has the address, and keeps it.
-        (&sound, "cannot listen"),
+        (&valid.replace(r#""seed":"8c1f30d27a5be964""#, r#""seed":"none""#), "seed"),
+        (&valid.replace("at_most_once", "at_times"), "Effect"),
+        (&valid.replace(r#""Slo":2.0"#, r#""Slo":-2.0"#), "aim"),
+        (&valid.replace(r#""PeersTotal":1"#, r#""PeersTotal":0"#), "gateways"),
+        // Another process has the address.
+        (&valid, "cannot listen"),
     ];
     let started = cases.iter().enumerate().map(async |(nth, (text, reason))| {
         let file = dir.path().join(format!("{nth}.json"));
--- a/crates/cli/tests/node/limits.rs
+++ b/crates/cli/tests/node/resource_limits.rs
@@ -1,7 +1,7 @@
-//! Limits of the platform: descriptors, one process, what the deploy file starts.
+//! Limits of the platform: descriptors, one process, the program that the deploy file starts.
 
 use crate::platform::STOP_WITHIN;
-use crate::support::*;
+use crate::support::{Client, Site, delayed_echo, id, last_attempt_at_draining_backend, request};
 use object::Endianness;
 use object::elf::DT_NEEDED;
 use object::read::elf::{Dyn, ElfFile64, ProgramHeader};
@@ -10,23 +10,24 @@
 use std::time::Duration;
 
 #[tokio::test]
-async fn at_the_bound_the_useless_give_way_and_those_that_ask_are_served() {
+async fn at_the_connection_limit_silent_connections_are_closed_and_requests_are_served() {
     let site = Site::with(1, 64, &[]).await;
     let mut silent = Vec::new();
     for _ in 0..60 {
         silent.push(site.client().await);
     }
-    assert_eq!(site.client().await.ask(&request(&id(), "iso", 10_000)).await.unwrap().0, 200);
+    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 10_000)).await.unwrap().0, 200);
 }
 
-/// Clients that ask once and keep their connections, more than it has descriptors for: each is answered in its time.
+/// Clients that send one request and keep their connections, more than there are descriptors: each gets its response in
+/// time.
 async fn idle_clients(site: &Site, many: usize) -> Vec<Client> {
-    let patience = Duration::from_millis(1500);
+    let deadline = Duration::from_millis(1500);
     let mut idle = Vec::new();
     for nth in 0..many {
         let mut client = site.client().await;
-        let asked = request(&id(), "iso", patience.as_millis() as u64);
-        let answer = tokio::time::timeout(patience, client.ask(&asked)).await;
+        let asked = request(&id(), "iso", deadline.as_millis() as u64);
+        let answer = tokio::time::timeout(deadline, client.exchange(&asked)).await;
         assert_eq!(answer.unwrap_or_else(|_| panic!("client {nth} waits past its time")).unwrap().0, 200);
         idle.push(client);
     }
@@ -34,18 +35,18 @@
 }
 
 #[tokio::test]
-async fn idle_clients_fill_the_descriptors_while_discovery_is_down_and_its_news_are_kept() {
+async fn idle_clients_at_the_descriptor_limit_do_not_keep_lists_from_being_read() {
     let site = Site::with(2, 64, &[]).await;
     site.discovery.stop_answering();
     let idle = idle_clients(&site, 34).await;
-    // No descriptor is missing for the calls that are made anew, nor for whoever asks meanwhile.
-    let last = last_at_a_leaving_worker(&site, &site.discovery).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was told");
+    // There are descriptors for the polls that are sent again, and for requests meanwhile.
+    let last = last_attempt_at_draining_backend(&site, &site.discovery).await;
+    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
     assert_eq!(idle.len(), 34);
 }
 
 #[tokio::test]
-async fn at_a_very_small_limit_idle_clients_and_a_silent_discovery_take_no_descriptor_past_it() {
+async fn at_a_very_small_descriptor_limit_idle_clients_and_a_silent_discovery_stay_within_it() {
     let limit = 32;
     let site = Site::with(2, limit, &[]).await;
     let process = procfs::process::Process::new(site.child.id() as i32).unwrap();
@@ -56,19 +57,19 @@
         idle.extend(idle_clients(&site, 4).await);
         assert!(taken() <= limit, "{} of {limit}", taken());
     }
-    let last = last_at_a_leaving_worker(&site, &site.discovery).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was told");
+    let last = last_attempt_at_draining_backend(&site, &site.discovery).await;
+    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
     assert!(taken() <= limit, "{} of {limit}", taken());
 }
 
 #[tokio::test]
 async fn under_load_it_is_one_process_whose_sockets_are_tcp_over_ipv4() {
     let site = Site::start(2).await;
-    site.workers[0].set_script(slow(300));
-    site.workers[1].set_script(slow(300));
+    site.backends[0].set_script(delayed_echo(300));
+    site.backends[1].set_script(delayed_echo(300));
     let (id, mut client) = (id(), site.client().await);
     client.send(&request(&id, "iso", 3000)).await;
-    while site.tries(&id) == 0 || site.counter.connections() == 0 {
+    while site.attempts(&id) == 0 || site.counter.connections() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let process = procfs::process::Process::new(site.child.id() as i32).unwrap();
@@ -76,7 +77,7 @@
         process.tasks().unwrap().flat_map(|task| task.unwrap().children().unwrap()).collect();
     assert!(children.is_empty(), "{children:?}");
     let tcp: HashSet<u64> = process.tcp().unwrap().into_iter().map(|entry| entry.inode).collect();
-    // The signal handler wakes its reader by a pair that has no name: nobody can come to it.
+    // The signal handler wakes its reader by an unnamed socket pair, which nobody can connect to.
     let unix = process.unix().unwrap().into_iter().filter(|entry| entry.path.is_none());
     let paired: HashSet<u64> = unix.map(|entry| entry.inode).collect();
     let mut over_ipv4 = 0;
@@ -88,8 +89,8 @@
             _ => {}
         }
     }
-    assert!(over_ipv4 >= 5, "listener, front, worker, counter, discovery: {over_ipv4}");
-    assert_eq!(client.answer().await.unwrap().2, format!("done {id}"));
+    assert!(over_ipv4 >= 5, "listener, front, backend, counter, discovery: {over_ipv4}");
+    assert_eq!(client.response().await.unwrap().2, format!("done {id}"));
 }
 
 #[test]
--- a/crates/cli/tests/node/shutdown.rs
+++ b/crates/cli/tests/node/shutdown_deadline.rs
@@ -1,7 +1,7 @@
-//! A shutdown that is ended by SIGKILL at the earliest moment that the platform allows: the longest deadline of the
-//! deployment (3 s at most) and 0.7 s after SIGTERM. Clients go on sending on every connection that stays open.
+//! A shutdown that SIGKILL ends at the earliest moment that the platform allows: the longest deadline of the deployment (3 s
+//! at most) and 0.7 s after SIGTERM. Clients send on every connection that stays open.
 
-use crate::support::*;
+use crate::support::{Client, READY, Site, delayed_echo, id, parse_response, request, store};
 use nix::sys::signal::Signal;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 use weirusher_fakes::Reply;
 
-/// The longest deadline that counts towards the moment of SIGKILL, in seconds.
+/// The longest deadline that counts towards the time of SIGKILL, in seconds.
 const LONGEST_COUNTED: f64 = 3.0;
 /// Seconds from SIGTERM to SIGKILL beyond the longest deadline.
 const KILL_MARGIN: f64 = 0.7;
 
-/// A site whose classes all have this deadline, in seconds, and are worth as much until then.
+/// A site whose classes all have this deadline and latency objective, in seconds.
 async fn site_with_deadline(seconds: f64) -> Site {
     let change = |text: String| {
         let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -27,39 +27,39 @@
     Site::configured(4, 256, &[], change).await
 }
 
-/// Waits until a request has come to a server.
+/// Waits until a backend has received a request.
 async fn forwarded(site: &Site, id: &str) {
-    while site.tries(id) == 0 {
+    while site.attempts(id) == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
 fn hang(site: &Site) {
-    site.workers.iter().for_each(|worker| worker.set_script(|_| Reply::NoReply));
+    site.backends.iter().for_each(|backend| backend.set_script(|_| Reply::NoReply));
 }
 
-/// A request of a class that must not be repeated, whose client waits for `seconds`.
+/// A request that is not idempotent, with a deadline of `seconds`.
 fn unsafe_request(id: &str, seconds: f64) -> String {
     store(id, "x").replace("3000m", &format!("{:.0}m", seconds * 1e3))
 }
 
-/// What became of a request that was sent on a connection which had not ended by then.
+/// The outcome of a request.
 #[derive(Debug, PartialEq)]
 enum Outcome {
-    /// A whole response with this status.
+    /// A complete response with this status.
     Response(u16),
     /// The connection was reset: the request's bytes were not read.
     Unread,
     /// The connection had ended before the request was sent.
     ClosedBefore,
-    /// No whole response, and no reset.
+    /// No complete response, and no reset.
     Lost,
 }
 
-/// Sends the rest of a request at its time, and reads until the moment of the kill.
+/// Sends the rest of a request at a time, and reads until the kill.
 async fn send_at(mut client: Client, at: Instant, rest: String, kill: Instant) -> Outcome {
     let mut first = [0; 1];
-    // Ended, or with an error response that was not asked for: what is sent no longer counts.
+    // It has ended, or has an error response to half a request: what is sent from here on does not count.
     if timeout_at(at, client.0.read(&mut first)).await.is_ok() {
         return Outcome::ClosedBefore;
     }
@@ -70,19 +70,19 @@
     let end = async {
         loop {
             match client.0.read_buf(&mut bytes).await {
-                Ok(1..) if whole(&bytes).is_none() => {}
+                Ok(1..) if parse_response(&bytes).is_none() => {}
                 end => break end,
             }
         }
     };
     match timeout_at(kill, end).await {
-        Ok(Ok(1..)) => Outcome::Response(whole(&bytes).expect("read whole").0),
+        Ok(Ok(1..)) => Outcome::Response(parse_response(&bytes).expect("read whole").0),
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => Outcome::Unread,
         _ => Outcome::Lost,
     }
 }
 
-/// Sends SIGKILL at its time, unless the process has ended before; tells whether it had.
+/// Sends SIGKILL at a time; whether the process had ended before.
 async fn kill_at(site: &mut Site, kill: Instant) -> bool {
     sleep_until(kill).await;
     let ended = site.child.try_wait().unwrap().is_some();
@@ -91,12 +91,12 @@
 }
 
 #[tokio::test]
-async fn what_is_accepted_late_in_a_shutdown_has_its_response_before_the_kill() {
+async fn a_request_that_is_accepted_late_in_a_shutdown_has_its_response_before_the_kill() {
     let deadline = 1.5;
     let mut site = site_with_deadline(deadline).await;
     hang(&site);
     let span = deadline + KILL_MARGIN;
-    // One connection of each kind for each moment: without a byte so far, and with half a request.
+    // For each moment, a connection without a byte so far and one with half a request.
     let moments: Vec<f64> = (1..(span * 10.0) as u32).map(|tenth| f64::from(tenth) / 10.0).collect();
     let (mut ids, mut waiting) = (Vec::new(), Vec::new());
     for moment in &moments {
@@ -109,30 +109,30 @@
             waiting.push((client, *moment, rest.to_string()));
         }
     }
-    // One that has been answered shows that the process has taken the others.
+    // A response shows that the process has accepted the others.
     let mut front = site.client().await;
-    assert_eq!(front.ask(READY).await.unwrap().0, 200);
-    let told = Instant::now();
+    assert_eq!(front.exchange(READY).await.unwrap().0, 200);
+    let notified = Instant::now();
     site.signal(Signal::SIGTERM);
-    let kill = told + Duration::from_secs_f64(span);
+    let kill = notified + Duration::from_secs_f64(span);
     let sending = waiting.into_iter().map(|(client, moment, rest)| {
-        tokio::spawn(send_at(client, told + Duration::from_secs_f64(moment), rest, kill))
+        tokio::spawn(send_at(client, notified + Duration::from_secs_f64(moment), rest, kill))
     });
     let sending: Vec<_> = sending.collect();
     kill_at(&mut site, kill).await;
     let mut lost = Vec::new();
     for (task, (id, moment, half)) in sending.into_iter().zip(ids) {
-        let (outcome, tries) = (task.await.unwrap(), site.tries(&id));
-        // A reset tells that nothing was read, and what reached a server was.
-        if outcome == Outcome::Lost || tries > 0 && !matches!(outcome, Outcome::Response(_)) {
-            lost.push((moment, half, outcome, tries));
+        let (outcome, attempts) = (task.await.unwrap(), site.attempts(&id));
+        // A reset shows that nothing was read; a request that reached a backend was read.
+        if outcome == Outcome::Lost || attempts > 0 && !matches!(outcome, Outcome::Response(_)) {
+            lost.push((moment, half, outcome, attempts));
         }
     }
     assert!(lost.is_empty(), "sent at, half of it before, outcome, attempts: {lost:?}");
 }
 
 #[tokio::test]
-async fn what_is_pending_at_the_signal_has_its_response_before_the_kill() {
+async fn a_request_that_is_pending_at_sigterm_has_its_response_before_the_kill() {
     let deadline = 6.0;
     let mut site = site_with_deadline(deadline).await;
     hang(&site);
@@ -141,17 +141,18 @@
         let (id, mut client) = (id(), site.client().await);
         let text = if nth % 2 == 0 { unsafe_request(&id, deadline) } else { request(&id, "iso", 6000) };
         client.send(&text).await;
-        // Some may be refused at once: the servers answer nothing.
+        // Some may be rejected at once: the backends do not answer.
         tokio::select! {
             () = forwarded(&site, &id) => clients.push(client),
-            answer = client.answer() => assert_eq!(answer.expect("a whole response").0, 429),
+            answer = client.response() => assert_eq!(answer.expect("a whole response").0, 429),
         }
     }
     assert!(!clients.is_empty());
-    let told = Instant::now();
+    let notified = Instant::now();
     site.signal(Signal::SIGTERM);
-    let kill = told + Duration::from_secs_f64(LONGEST_COUNTED.min(deadline) + KILL_MARGIN);
-    let reading = clients.into_iter().map(|client| tokio::spawn(send_at(client, told, String::new(), kill)));
+    let kill = notified + Duration::from_secs_f64(LONGEST_COUNTED.min(deadline) + KILL_MARGIN);
+    let reading =
+        clients.into_iter().map(|client| tokio::spawn(send_at(client, notified, String::new(), kill)));
     let reading: Vec<_> = reading.collect();
     kill_at(&mut site, kill).await;
     for task in reading {
@@ -163,18 +164,18 @@
 #[tokio::test]
 async fn pipelined_requests_that_were_read_before_a_shutdown_have_their_responses() {
     let mut site = site_with_deadline(1.5).await;
-    site.workers.iter().for_each(|worker| worker.set_script(slow(300)));
+    site.backends.iter().for_each(|backend| backend.set_script(delayed_echo(300)));
     let (mut client, ids) = (site.client().await, [id(), id(), id()]);
     let text: String = ids.iter().map(|id| request(id, "iso", 1500)).collect();
     client.send(&text).await;
     forwarded(&site, &ids[0]).await;
-    // What is sent in one piece has come in one piece: the others are in its buffer.
-    let told = Instant::now();
+    // All were sent in one piece: when one was forwarded, the others are in the buffer.
+    let notified = Instant::now();
     site.signal(Signal::SIGTERM);
-    let kill = told + Duration::from_secs_f64(1.5 + KILL_MARGIN);
+    let kill = notified + Duration::from_secs_f64(1.5 + KILL_MARGIN);
     let answers = async {
         let mut statuses = Vec::new();
-        while let Some((status, head, _)) = client.answer().await {
+        while let Some((status, head, _)) = client.response().await {
             statuses.push((status, head.contains("connection: close")));
         }
         statuses
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process between scripted parties, and its clients.
+//! A gateway as a process between scripted servers, and its clients.
 
 use crate::platform::{STOP_WITHIN, configuration};
 use serde_json::json;
@@ -15,17 +15,17 @@
 use weirusher_fault_shim::FaultShim;
 use weirusher_wire::http1::Request;
 
-pub const ANYWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Longer than a connection to a worker rests once it has answered.
-pub const RESTED: Duration = Duration::from_millis(40);
-/// A generous limit for whatever must come about.
+pub const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+/// Longer than a connection to a backend pauses after a response before it is used again.
+pub const REUSE_PAUSE: Duration = Duration::from_millis(40);
+/// Limit for what must happen.
 pub const LIMIT: Duration = Duration::from_secs(30);
 
-/// What the front asks until it takes a gateway in.
+/// The readiness check.
 pub const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// An address of the loopback net that no other site has, in this process or beside it; any port.
-pub fn own_address() -> SocketAddr {
+/// An address of the loopback network that no other site has, in this process or another, and any port.
+pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let site = NEXT.fetch_add(1, Ordering::Relaxed) as u8;
@@ -35,7 +35,7 @@
 pub struct Site {
     pub child: Child,
     pub listen: SocketAddr,
-    pub workers: Vec<ScriptedServer>,
+    pub backends: Vec<ScriptedServer>,
     pub counter: ScriptedServer,
     pub discovery: DiscoveryAgent,
     pub file: PathBuf,
@@ -49,29 +49,29 @@
     }
 }
 
-/// A worker's usual answer: the id it was asked under, so that a mix-up shows.
+/// A backend's usual response: the id of the request, so that a mix-up shows.
 pub fn echo(request: &Request) -> Reply {
     Reply::ok(&format!("done {}", request.headers.get("x-trace-id").unwrap_or("")))
 }
 
-/// The usual answer after so many milliseconds.
-pub fn slow(millis: u64) -> impl Fn(&Request) -> Reply + Send + Sync + 'static {
+/// The usual response after a delay.
+pub fn delayed_echo(millis: u64) -> impl Fn(&Request) -> Reply + Send + Sync + 'static {
     move |request| match echo(request) {
         Reply::Bytes(bytes) => Reply::Delayed(Duration::from_millis(millis), bytes),
         other => other,
     }
 }
 
-pub fn list(index: u64, workers: &[(&str, SocketAddr, &str)]) -> String {
+pub fn list(index: u64, backends: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |(name, address, status): &(&str, SocketAddr, &str)| {
         json!({"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "status": status,
             "weight": 1.0, "since_ms": 0})
     };
-    json!({"index": index, "snapshot": true, "endpoints": workers.iter().map(entry).collect::<Vec<_>>()})
+    json!({"index": index, "snapshot": true, "endpoints": backends.iter().map(entry).collect::<Vec<_>>()})
         .to_string()
 }
 
-/// A list with the last starts of its servers, in order, in Unix milliseconds.
+/// The list with the start times of its backends, in order, in Unix milliseconds.
 pub fn with_starts(list: &str, starts: &[i64]) -> String {
     let mut list: serde_json::Value = serde_json::from_str(list).unwrap();
     for (entry, start) in list["endpoints"].as_array_mut().unwrap().iter_mut().zip(starts) {
@@ -81,56 +81,56 @@
 }
 
 impl Site {
-    pub async fn start(workers: usize) -> Self {
-        Self::with(workers, 256, &[]).await
+    pub async fn start(backends: usize) -> Self {
+        Self::with(backends, 256, &[]).await
     }
 
-    /// Workers of the project's own, and more that listen elsewhere.
-    pub async fn with(workers: usize, sockets: usize, others: &[(&str, SocketAddr)]) -> Self {
-        Self::configured(workers, sockets, others, |text| text).await
+    /// A site of `backends` scripted backends, and others that listen elsewhere.
+    pub async fn with(backends: usize, sockets: usize, others: &[(&str, SocketAddr)]) -> Self {
+        Self::configured(backends, sockets, others, |text| text).await
     }
 
-    /// A gateway whose configuration was changed before it starts.
+    /// A site whose configuration is changed before the gateway starts.
     pub async fn configured(
-        workers: usize,
+        backends: usize,
         sockets: usize,
         others: &[(&str, SocketAddr)],
         change: impl FnOnce(String) -> String,
     ) -> Self {
-        let site = Self::unready(workers, sockets, others, change).await;
+        let site = Self::start_unready(backends, sockets, others, change).await;
         site.ready().await;
         site
     }
 
-    /// A gateway whose clock and system calls a shim holds.
-    pub async fn shimmed(workers: usize, shim: &FaultShim, change: impl FnOnce(String) -> String) -> Self {
-        Self::shimmed_with_starts(workers, shim, &[], change).await
+    /// A site whose gateway has its clock and system calls under a shim.
+    pub async fn with_shim(backends: usize, shim: &FaultShim, change: impl FnOnce(String) -> String) -> Self {
+        Self::with_shim_and_starts(backends, shim, &[], change).await
     }
 
-    /// The same, with the last starts of its servers as its first list has them.
-    pub async fn shimmed_with_starts(
-        workers: usize,
+    /// The same, with the start times of the backends in the first list.
+    pub async fn with_shim_and_starts(
+        backends: usize,
         shim: &FaultShim,
         starts: &[i64],
         change: impl FnOnce(String) -> String,
     ) -> Self {
-        let site = Self::launched(workers, 256, &[], change, &shim.environment(), starts).await;
+        let site = Self::spawn(backends, 256, &[], change, &shim.environment(), starts).await;
         site.ready().await;
         site
     }
 
-    /// The same, not waited for.
-    pub async fn unready(
-        workers: usize,
+    /// The same without waiting until the gateway is ready.
+    pub async fn start_unready(
+        backends: usize,
         sockets: usize,
         others: &[(&str, SocketAddr)],
         change: impl FnOnce(String) -> String,
     ) -> Self {
-        Self::launched(workers, sockets, others, change, &[], &[]).await
+        Self::spawn(backends, sockets, others, change, &[], &[]).await
     }
 
-    async fn launched(
-        workers: usize,
+    async fn spawn(
+        backends: usize,
         sockets: usize,
         others: &[(&str, SocketAddr)],
         change: impl FnOnce(String) -> String,
@@ -138,18 +138,18 @@
         starts: &[i64],
     ) -> Self {
         let mut started = Vec::new();
-        for _ in 0..workers {
-            started.push(ScriptedServer::start(ANYWHERE, echo).await.unwrap());
+        for _ in 0..backends {
+            started.push(ScriptedServer::start(ANY_PORT, echo).await.unwrap());
         }
-        let names: Vec<String> = (0..workers).map(|n| format!("s-{n}")).collect();
+        let names: Vec<String> = (0..backends).map(|n| format!("s-{n}")).collect();
         let own = names.iter().map(String::as_str).zip(started.iter().map(|w| w.address));
         let entries: Vec<_> =
             own.chain(others.iter().copied()).map(|(name, address)| (name, address, "SERVING")).collect();
         let discovery =
-            DiscoveryAgent::start(ANYWHERE, 2, with_starts(&list(2, &entries), starts)).await.unwrap();
-        let counter = ScriptedServer::start(ANYWHERE, counting()).await.unwrap();
-        // Taken from the kernel and given back, at an address of this site alone: nobody else binds there.
-        let listen = tokio::net::TcpListener::bind(own_address()).await.unwrap().local_addr().unwrap();
+            DiscoveryAgent::start(ANY_PORT, 2, with_starts(&list(2, &entries), starts)).await.unwrap();
+        let counter = ScriptedServer::start(ANY_PORT, counting()).await.unwrap();
+        // A free port of an address that only this site has: nobody else binds there.
+        let listen = tokio::net::TcpListener::bind(unique_address()).await.unwrap().local_addr().unwrap();
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("config.json");
         let text = change(configuration(listen, discovery.address(), counter.address, sockets));
@@ -163,22 +163,22 @@
             .stdout(Stdio::null())
             .spawn()
             .unwrap();
-        Self { child, listen, workers: started, counter, discovery, file, _dir: dir }
+        Self { child, listen, backends: started, counter, discovery, file, _dir: dir }
     }
 
-    /// A gateway without a known list, whose discovery is there and says nothing so far; not waited for.
+    /// A gateway without a known list whose discovery does not answer; it is not ready.
     pub async fn without_a_list() -> (Self, ScriptedServer) {
-        let silent = ScriptedServer::start(ANYWHERE, |_| Reply::NoReply).await.unwrap();
+        let silent = ScriptedServer::start(ANY_PORT, |_| Reply::NoReply).await.unwrap();
         let change = |text: String| {
             let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
             config["discovery"] = silent.address.to_string().into();
             config.as_object_mut().unwrap().remove("known");
             config.to_string()
         };
-        (Self::unready(1, 256, &[], change).await, silent)
+        (Self::start_unready(1, 256, &[], change).await, silent)
     }
 
-    /// Asked as the front does, until it is ready.
+    /// Waits until the gateway is ready and has its first list.
     pub async fn ready(&self) {
         let ready = async {
             loop {
@@ -191,8 +191,8 @@
                     Err(error) => panic!("{error}"),
                 };
                 client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await;
-                // Its first list may still be on the way.
-                if client.answer().await.unwrap().0 == 200 && !self.discovery.received().is_empty() {
+                // Its first list may not have arrived yet.
+                if client.response().await.unwrap().0 == 200 && !self.discovery.received().is_empty() {
                     return;
                 }
             }
@@ -210,17 +210,17 @@
         nix::sys::signal::kill(id, signal).unwrap();
     }
 
-    /// Waits until the process is stopped.
-    pub async fn stopped(&self) {
+    /// Waits until the process is suspended.
+    pub async fn suspended(&self) {
         let process = procfs::process::Process::new(self.child.id() as i32).unwrap();
         while process.stat().unwrap().state != 'T' {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Has a new configuration read. Once this returns it has been; what comes of it, comes.
+    /// Reloads the configuration. When this returns it was read; it may not be applied yet.
     pub async fn reload(&self, text: String) {
-        // A pipe: writing it through takes a reader.
+        // A named pipe: the write ends once the gateway has read it.
         std::fs::remove_file(&self.file).unwrap();
         nix::unistd::mkfifo(&self.file, nix::sys::stat::Mode::S_IRWXU).unwrap();
         self.signal(nix::sys::signal::Signal::SIGHUP);
@@ -229,29 +229,29 @@
         tokio::time::timeout(LIMIT, written).await.expect("it is read").unwrap();
     }
 
-    /// What of the workers' requests carried this id.
-    pub fn tries(&self, id: &str) -> usize {
-        let came = self.workers.iter().flat_map(ScriptedServer::received);
-        came.filter(|came| came.request.headers.get("x-trace-id") == Some(id)).count()
+    /// Attempts of the request with this id that backends received.
+    pub fn attempts(&self, id: &str) -> usize {
+        let received = self.backends.iter().flat_map(ScriptedServer::received);
+        received.filter(|received| received.request.headers.get("x-trace-id") == Some(id)).count()
     }
 }
 
 pub struct Client(pub TcpStream);
 
-/// A status, the answer's headers in lower case, and its body.
-pub type Answer = (u16, String, String);
+/// Status, head in lower case, and body of a response.
+pub type ClientResponse = (u16, String, String);
 
 impl Client {
     pub async fn send(&mut self, bytes: &str) {
         self.0.write_all(bytes.as_bytes()).await.unwrap();
     }
 
-    /// The next whole answer; `None`: the connection ended without one.
-    pub async fn answer(&mut self) -> Option<Answer> {
+    /// The next complete response; `None`: the connection ended without one.
+    pub async fn response(&mut self) -> Option<ClientResponse> {
         let mut bytes = Vec::new();
         let read = async {
             loop {
-                if let Some(answer) = whole(&bytes) {
+                if let Some(answer) = parse_response(&bytes) {
                     return Some(answer);
                 }
                 let mut part = [0; 4096];
@@ -261,22 +261,22 @@
                 }
             }
         };
-        tokio::time::timeout(LIMIT, read).await.expect("an answer or an end")
+        tokio::time::timeout(LIMIT, read).await.expect("a response or an end")
     }
 
-    pub async fn ask(&mut self, request: &str) -> Option<Answer> {
+    pub async fn exchange(&mut self, request: &str) -> Option<ClientResponse> {
         self.send(request).await;
-        self.answer().await
+        self.response().await
     }
 
-    /// The other end closes, whatever it says before.
+    /// Waits until the gateway closes the connection, whatever it sends before.
     pub async fn closed(&mut self) {
         let end = async { while matches!(self.0.read(&mut [0; 4096]).await, Ok(1..)) {} };
         tokio::time::timeout(LIMIT, end).await.expect("a close");
     }
 }
 
-pub fn whole(bytes: &[u8]) -> Option<Answer> {
+pub fn parse_response(bytes: &[u8]) -> Option<ClientResponse> {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n")?;
     let head = head.to_lowercase();
@@ -290,10 +290,10 @@
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-pub fn request(id: &str, plan: &str, patience_ms: u64) -> String {
+pub fn request(id: &str, plan: &str, deadline_ms: u64) -> String {
     format!(
         "GET /api/00000000b4d65521?a=b HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {id}\r\nX-Qos: check\r\n\
-         Plan: {plan}\r\nX-Expires-In: {patience_ms}m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
+         Plan: {plan}\r\nX-Expires-In: {deadline_ms}m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
     )
 }
 
@@ -305,10 +305,10 @@
     )
 }
 
-/// A worker whose connections come up late: nobody accepts them, and no room is left for more.
-pub fn late_worker() -> (tokio::net::TcpListener, Vec<std::net::TcpStream>) {
+/// A backend whose connections come up late: its backlog is full. Dropping the streams makes room.
+pub fn slow_to_connect_backend() -> (tokio::net::TcpListener, Vec<std::net::TcpStream>) {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
-    socket.bind(own_address()).unwrap();
+    socket.bind(unique_address()).unwrap();
     let listener = socket.listen(1).unwrap();
     let address = listener.local_addr().unwrap();
     let brief = Duration::from_millis(200);
@@ -318,20 +318,19 @@
     (listener, waiting)
 }
 
-/// Asks again and again while the agent tells that `s-0` leaves, which counts from `told` on, and gives the seconds
-/// after that in which the last request came to it.
-pub async fn last_at_a_leaving_worker(site: &Site, agent: &DiscoveryAgent) -> f64 {
-    let serving: Vec<_> = site.workers.iter().map(|worker| worker.address).collect();
+/// Sends requests while the agent notifies that `s-0` drains; seconds from the notification until the last attempt at it.
+pub async fn last_attempt_at_draining_backend(site: &Site, agent: &DiscoveryAgent) -> f64 {
+    let serving: Vec<_> = site.backends.iter().map(|backend| backend.address).collect();
     agent.set_list(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
     agent.resume_answering();
-    let told = std::time::Instant::now();
+    let notified = std::time::Instant::now();
     let mut client = site.client().await;
-    while told.elapsed().as_secs_f64() < 3.5 * STOP_WITHIN {
-        assert_eq!(client.ask(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    while notified.elapsed().as_secs_f64() < 3.5 * STOP_WITHIN {
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    site.workers[0]
+    site.backends[0]
         .received()
         .last()
-        .map_or(0.0, |last| last.received_at.saturating_duration_since(told).as_secs_f64())
+        .map_or(0.0, |last| last.received_at.saturating_duration_since(notified).as_secs_f64())
 }
--- a/crates/cli/tests/run_process.rs
+++ b/crates/cli/tests/run_process.rs
@@ -1,5 +1,5 @@
-//! `weirusher run` as a process. Told to stop under load: each Check that was sent has its answer, or its edge is told in order that it
-//! was not processed (GOAWAY or REFUSED_STREAM, RFC 9113, 6.8 and 8.7), and may ask elsewhere.
+//! `weirusher run` as a process. On SIGTERM under load each check that was sent is answered, or the proxy is notified that it
+//! was not processed (GOAWAY or REFUSED_STREAM, RFC 9113, 6.8 and 8.7) and may send it elsewhere.
 
 #[path = "support/process.rs"]
 mod process;
@@ -23,22 +23,22 @@
 use weirusher_fakes::{Counter, Recorder};
 use weirusher_fault_shim::{Action, Call, Errno, Fault, FaultShim};
 
-/// A generous limit for whatever must come about.
+/// Limit for what must happen.
 const LIMIT: Duration = Duration::from_secs(30);
-/// Connections, and Checks out at once on each.
+/// Connections, and checks in flight on each.
 const CONNECTIONS: usize = 24;
 const CHECKS: usize = 8;
-/// Answered Checks on each connection after which the process is told to stop.
-const BEFORE_THE_SIGNAL: usize = 200;
+/// Answered checks on each connection before SIGTERM.
+const CHECKS_BEFORE_SIGNAL: usize = 200;
 
-/// What became of a Check.
+/// The outcome of a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum End {
-    /// A whole response.
+    /// A complete response.
     Answered,
-    /// It was surely not processed.
+    /// It was certainly not processed.
     NotProcessed,
-    /// The connection broke under it.
+    /// The connection broke.
     Broken,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Gateway {
-    /// A gateway without a list of servers: it refuses each Check, which is an answer.
+    /// A gateway without an endpoint list: it rejects each check, which is an answer.
     fn start(shim: &FaultShim) -> Self {
         Self::start_with("", shim)
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// One Check by gRPC, to its end; an error: the connection takes no further one.
+/// Sends one check by gRPC; an error means that the connection accepts no further one.
 async fn check(client: SendRequest<Bytes>, message: &CheckRequest) -> Result<End, End> {
     let request = http::Request::post("http://x/envoy.service.auth.v3.Authorization/Check")
         .header("content-type", "application/grpc")
@@ -107,7 +107,7 @@
     let message = message.encode_to_vec();
     frame.extend_from_slice(&(message.len() as u32).to_be_bytes());
     frame.extend_from_slice(&message);
-    // Not sent at all: nothing is owed.
+    // It was not sent, and needs no answer.
     let mut client = client.ready().await.map_err(|_| End::NotProcessed)?;
     let (response, mut body) = client.send_request(request, false).map_err(|_| End::NotProcessed)?;
     if let Err(error) = body.send_data(frame.into(), true) {
@@ -122,8 +122,8 @@
     Ok(End::Answered)
 }
 
-/// Asks on one connection until it takes no further Check; how each one ended that did not have its answer.
-async fn edge(address: SocketAddr, answered: tokio::sync::watch::Sender<usize>) -> Vec<End> {
+/// Sends checks on one connection until it accepts no further one; the outcomes of those without an answer.
+async fn send_checks(address: SocketAddr, answered: tokio::sync::watch::Sender<usize>) -> Vec<End> {
     let stream = TcpStream::connect(address).await.unwrap();
     stream.set_nodelay(true).unwrap();
     let (client, connection) = h2::client::handshake(stream).await.unwrap();
@@ -145,13 +145,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_check_is_answered_or_told_to_be_not_processed() {
+async fn each_check_is_answered_or_signalled_as_not_processed() {
     let mut gateway = Gateway::start(&FaultShim::new().unwrap());
     let answered = tokio::sync::watch::Sender::new(0);
     let edges: Vec<_> =
-        (0..CONNECTIONS).map(|_| tokio::spawn(edge(gateway.address, answered.clone()))).collect();
+        (0..CONNECTIONS).map(|_| tokio::spawn(send_checks(gateway.address, answered.clone()))).collect();
     let mut many = answered.subscribe();
-    let under_load = many.wait_for(|many| *many >= CONNECTIONS * BEFORE_THE_SIGNAL);
+    let under_load = many.wait_for(|many| *many >= CONNECTIONS * CHECKS_BEFORE_SIGNAL);
     tokio::time::timeout(LIMIT, under_load).await.expect("Checks are answered").unwrap();
     let id = nix::unistd::Pid::from_raw(gateway.child.id() as i32);
     nix::sys::signal::kill(id, nix::sys::signal::Signal::SIGTERM).unwrap();
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn the_admin_page_outlives_a_connection_that_could_not_be_accepted() {
+async fn the_admin_page_survives_a_failed_accept() {
     let shim = FaultShim::new().unwrap();
     let gateway = Gateway::start(&shim);
     for errno in [Errno::ECONNABORTED, Errno::EMFILE] {
@@ -180,15 +180,15 @@
     }
 }
 
-/// A Check of a request that names its customer: it is decided.
-fn of_a_customer() -> CheckRequest {
+/// A check of a request that names its customer, so that it is decided.
+fn check_of_customer() -> CheckRequest {
     let headers = [("x-customer".to_string(), "acme".to_string())].into();
     let http = HttpRequest { method: "GET".into(), path: "/".into(), headers, ..HttpRequest::default() };
     let request = Some(AttributeRequest { http: Some(http), ..AttributeRequest::default() });
     CheckRequest { attributes: Some(AttributeContext { request, ..AttributeContext::default() }) }
 }
 
-/// A figure of the admin page on the process.
+/// One of the process's figures on the admin page.
 async fn figure(gateway: &Gateway, name: &str) -> u64 {
     let asked = weirusher_peers::page::get(gateway.admin, "/stats");
     let page = tokio::time::timeout(LIMIT, asked).await.expect("an answer").unwrap();
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn counter_calls_are_answered_in_short_transfers() {
+async fn short_transfers_do_not_break_counter_calls() {
     let shim = FaultShim::new().unwrap();
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let counter = Counter::start(anywhere, Recorder::new(None)).await.unwrap();
@@ -208,7 +208,7 @@
     tokio::spawn(connection);
     let answered = async {
         while figure(&gateway, "counter_answered").await == 0 {
-            assert_eq!(check(client.clone(), &of_a_customer()).await, Ok(End::Answered));
+            assert_eq!(check(client.clone(), &check_of_customer()).await, Ok(End::Answered));
         }
     };
     tokio::time::timeout(LIMIT, answered).await.expect("the counter's answer is read");
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,8 +1,8 @@
-//! The fault soak on a few seeds; `cargo run --release -p weirusher-soak` plays as many as are wanted.
+//! The fault soak on a few seeds; `cargo run --release -p weirusher-soak` runs any number.
 
 use weirusher_soak::{Options, Plan, run};
 
-/// Gateway processes, and seconds for which clients begin requests: what two busy cores bear.
+/// Gateway processes, and seconds of load: what two busy cores bear.
 const NODES: usize = 10;
 const SECONDS: f64 = 6.0;
 
@@ -11,7 +11,7 @@
     let options = Options { exe: env!("CARGO_BIN_EXE_weirusher").into(), dir: dir.path().to_path_buf() };
     let report = run(Plan::new(seed, NODES, SECONDS), &options).await.unwrap();
     assert!(report.findings.is_empty(), "{report}");
-    // A soak in which nothing happened shows nothing.
+    // A soak without load or faults shows nothing.
     assert!(report.attempts > 200 && report.faults.len() > 5 && report.injected > 0, "{report}");
 }
 
--- a/crates/scenarios/src/scenario/tests.rs
+++ b/crates/scenarios/src/scenario/tests.rs
@@ -1,6 +1,6 @@
-//! Scenarios that cannot be read, or name what is impossible.
+//! Scenarios that cannot be read, or that name what cannot be run.
 
-use super::*;
+use super::Scenario;
 
 #[test]
 fn errors_have_a_line_or_name_what_is_impossible() {
