--- /dev/null
+++ b/src/bin/weirusher-benchlink/encode.rs
@@ -0,0 +1,22 @@
+//! The decisions' actions as messages of the wire.
+
+use serde_json::{Value, json};
+use weirusher::Action;
+
+/// The message of an action.
+pub fn message(action: Action) -> Value {
+    match action {
+        Action::Forward { request, backend, timeout, .. } => {
+            json!(["PLACE", &*request, timeout, &*backend])
+        }
+        Action::Reject { request, retry_after, .. } => json!(["PUSH_BACK", &*request, retry_after]),
+        Action::Fail { request, .. } => json!(["SURRENDER", &*request]),
+        Action::CancelAttempt { request, attempt } => json!(["REVOKE", &*request, attempt]),
+        Action::SetTimer { token, at } => json!(["DEFER", token, at]),
+        Action::HealthCheck { backend } => json!(["POLL", &*backend]),
+        Action::AddToCounter { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
+        Action::WatchEndpoints => json!(["SUBSCRIBE", true]),
+        Action::Log(text) => json!(["DEBUG", text]),
+        other => json!(["PANIC", format!("no wire form for {other:?}")]),
+    }
+}
