--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter's bad input: a one-line message, a failing exit, no half reply.
+//! The simulator adapter on bad input: an error of one line, a failing exit status, no partial reply.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,17 +14,18 @@
     child.wait_with_output().expect("it ends")
 }
 
-fn fails(messages: &str, wanted: &str) {
+/// Asserts that messages end the adapter with an error that names the batch and holds `expected`.
+fn assert_error(messages: &str, expected: &str) {
     let input =
         format!("{{\"Moment\":1.0,\"n\":7,\"groups\":[{{\"GatekeeperId\":0,\"msgs\":[{messages}]}}]}}\n");
     let output = run(&input);
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && output.stdout.is_empty(), "{said}");
-    assert!(said.lines().count() == 1 && said.contains("batch 7") && said.contains(wanted), "{said}");
+    let error = String::from_utf8(output.stderr).expect("text");
+    assert!(!output.status.success() && output.stdout.is_empty(), "{error}");
+    assert!(error.lines().count() == 1 && error.contains("batch 7") && error.contains(expected), "{error}");
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_clean() {
+fn an_empty_batch_gets_a_reply_and_the_end_of_input_is_a_success() {
     let output = run("{\"Moment\":8.4,\"n\":1,\"groups\":[]}\n");
     assert!(output.status.success());
     let reply: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one reply");
@@ -32,20 +33,20 @@
 }
 
 #[test]
-fn what_is_not_json_ends_the_run() {
+fn a_line_that_is_not_json_ends_the_adapter() {
     let output = run("nonsense\n");
     assert!(!output.status.success() && output.stdout.is_empty());
     assert_eq!(String::from_utf8(output.stderr).expect("text").lines().count(), 1);
 }
 
 #[test]
-fn bad_events_name_the_batch_and_the_field() {
+fn an_error_names_the_batch_and_the_field() {
     let start = r#"["NEW_INSTANCE",5,{"Unknown":1}]"#;
-    fails(r#"["ELAPSED",1]"#, "unknown instance");
-    fails(r#"["NEW_INSTANCE",5]"#, "Options");
-    fails(r#"["NEW_INSTANCE",5,{"PeersTotal":0}]"#, "no gateways");
-    fails(&format!("{start},[\"NONESUCH\"]"), "NONESUCH");
-    fails(&format!("{start},[\"ELAPSED\"]"), "ELAPSED.Name");
-    fails(&format!("{start},[\"LEFT\",5]"), "LEFT.Job");
-    fails(&format!("{start},[\"PEERS_KNOWN\",1,3,\"F\"]"), "PEERS_KNOWN.Page");
+    assert_error(r#"["ELAPSED",1]"#, "unknown instance");
+    assert_error(r#"["NEW_INSTANCE",5]"#, "Options");
+    assert_error(r#"["NEW_INSTANCE",5,{"PeersTotal":0}]"#, "no gateways");
+    assert_error(&format!("{start},[\"NONESUCH\"]"), "NONESUCH");
+    assert_error(&format!("{start},[\"ELAPSED\"]"), "ELAPSED.Name");
+    assert_error(&format!("{start},[\"LEFT\",5]"), "LEFT.Job");
+    assert_error(&format!("{start},[\"PEERS_KNOWN\",1,3,\"F\"]"), "PEERS_KNOWN.Page");
 }
--- /dev/null
+++ b/tests/decisions/fleet.rs
@@ -0,0 +1,108 @@
+//! Many gateways of little load: what they do in sum.
+
+use crate::harness::{Harness, endpoint, forwarded, new_request, rejected, settings, settings_without_quota};
+use weirusher::{BackendId, Endpoint, EndpointListKind, Event, Gateway, Lifecycle, Settings, Status};
+
+/// A fleet of `n` gateways that know the same backends.
+pub fn fleet(n: u32, settings: &Settings, endpoints: &[Endpoint]) -> Vec<Harness> {
+    seeded_fleet(n, settings, endpoints, 0)
+}
+
+pub fn seeded_fleet(n: u32, settings: &Settings, endpoints: &[Endpoint], seed: u64) -> Vec<Harness> {
+    let harness = |instance: u32| {
+        let mut settings = settings.clone();
+        (settings.instance, settings.instances) = (instance, n);
+        let seed = seed << 32 | (u64::from(instance) * 7919 + 1);
+        let gateway = Gateway::new(settings, seed).expect("usable settings");
+        let mut harness = Harness { gateway, now: 100.0, actions: Vec::new() };
+        harness.update_endpoints(EndpointListKind::StaleSnapshot, endpoints.to_vec());
+        harness
+    };
+    (0..n).map(harness).collect()
+}
+
+/// `n` warmed-up backends, `s000` and on.
+pub fn endpoints(n: u32) -> Vec<Endpoint> {
+    (0..n).map(|i| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0)).collect()
+}
+
+/// Passes one request of a customer that `customer_instances` gateways serve, and serves it if it is
+/// forwarded; the backend that it went to.
+pub fn serve_one(harness: &mut Harness, id: &str, customer_instances: u32) -> Option<BackendId> {
+    let mut request = new_request(id, harness.now);
+    request.customer_instances = customer_instances;
+    let actions = harness.handle(Event::Request(request));
+    let (id, backend) = forwarded(&actions).pop()?;
+    harness.end_attempt(&id, 0, &backend, Status::Ok);
+    Some(backend)
+}
+
+#[test]
+fn fractional_shares_keep_the_ceiling_even_when_most_gateways_restart() {
+    const GATEWAYS: u32 = 60;
+    let mut settings = settings();
+    settings.has_counter = false;
+    (settings.plans[0].ceiling_rate, settings.plans[0].ceiling_burst) = (18.0, 36.0);
+    let new_fleet = || fleet(GATEWAYS, &settings, &endpoints(9));
+    let mut gateways = new_fleet();
+    let mut sent = 0.0;
+    for step in 0..100 {
+        if step == 50 {
+            for (old, new) in gateways.iter_mut().zip(new_fleet()).take(50) {
+                *old = new;
+            }
+        }
+        for (i, harness) in gateways.iter_mut().enumerate() {
+            harness.now = 100.0 + f64::from(step) * 0.1;
+            let backend = serve_one(harness, &format!("{i}-{step}"), GATEWAYS);
+            sent += f64::from(u8::from(backend.is_some()));
+        }
+    }
+    let headroom = 16.0 + 8.0 * 10.0; // Burst, and rate over ten seconds.
+    assert!(sent <= headroom, "{sent} sent without the counter, the headroom is {headroom}");
+    assert!(sent >= 0.5 * headroom, "{sent} sent: fractional shares still serve");
+}
+
+/// Of 300 requests at one gateway, how many are rejected at once when `lost` in ten attempts get no response.
+fn rejected_when_lost(lost: usize) -> usize {
+    let mut settings = settings_without_quota();
+    settings.instances = 20;
+    let mut harness = Harness::new(settings);
+    let mut total = 0;
+    for i in 0..300 {
+        harness.now += 0.1;
+        let actions = harness.request(&format!("j{i}"));
+        total += rejected(&actions);
+        for (id, backend) in forwarded(&actions) {
+            let (status, elapsed) =
+                if i * 3 % 10 < lost { (Status::Timeout, 1.0) } else { (Status::Ok, 0.03) };
+            harness.end_first_attempt(&id, &backend, status, elapsed, status == Status::Ok);
+        }
+    }
+    total
+}
+
+#[test]
+fn lost_responses_are_no_overload_but_a_fleet_that_times_out_is() {
+    let some_lost = rejected_when_lost(4);
+    assert!(some_lost <= 3, "{some_lost} rejected when four in ten responses are lost");
+    let most_lost = rejected_when_lost(8);
+    assert!(most_lost >= 30, "{most_lost} rejected at once when eight in ten time out");
+}
+
+/// Guards against a burst of one request at each gateway, and at each restart.
+#[test]
+fn a_new_customer_of_fractional_shares_is_admitted_at_some_gateways_only_and_no_more_after_a_restart() {
+    const GATEWAYS: u32 = 200;
+    let mut settings = settings();
+    settings.has_counter = false;
+    let first = || {
+        let mut gateways = fleet(GATEWAYS, &settings, &endpoints(9));
+        let served = |harness: &mut Harness| serve_one(harness, "first", GATEWAYS).is_some();
+        gateways.iter_mut().map(served).collect::<Vec<bool>>()
+    };
+    let served = first();
+    let count = served.iter().filter(|served| **served).count();
+    assert!((150..190).contains(&count), "{count} of {GATEWAYS}: the burst is 20");
+    assert_eq!(first(), served, "restarted gateways admit what they admitted at first, no more");
+}
--- /dev/null
+++ b/tests/decisions/main.rs
@@ -0,0 +1,10 @@
+//! The decisions, driven by events alone.
+
+mod fleet;
+mod harness;
+mod leases;
+mod property;
+mod rules;
+mod settings;
+mod slow_start;
+mod subsets;
--- /dev/null
+++ b/tests/decisions/slow_start.rs
@@ -0,0 +1,204 @@
+//! Slow start over a fleet: what all gateways together send to backends that have just started.
+
+use crate::fleet::{endpoints, fleet, seeded_fleet, serve_one};
+use crate::harness::{endpoint, settings_without_quota};
+use weirusher::{EndpointListKind, Lifecycle, Settings};
+
+/// What the backends of a fleet were sent around the restart of some.
+struct Restart {
+    /// Requests a second that a backend was sent before.
+    rate_before: f64,
+    /// What each restarted backend was sent in each second after.
+    sent_after: Vec<[f64; 5]>,
+}
+
+/// Restarts the first `restarted` of `count` backends before a fleet of gateways, all of which learn it at
+/// once.
+fn restart_backends(settings: &Settings, gateways: u32, count: u32, restarted: u32, seed: u64) -> Restart {
+    const STEPS: u32 = 120;
+    const RESTART_STEP: u32 = 70;
+    const STEPS_PER_SECOND: u32 = 10;
+    let mut fleet = seeded_fleet(gateways, settings, &endpoints(count), seed);
+    let (mut sent_before, mut sent_after) = (0.0, vec![[0.0; 5]; restarted as usize]);
+    for step in 0..STEPS {
+        let now = 100.0 + f64::from(step) * 0.1;
+        for (i, harness) in fleet.iter_mut().enumerate() {
+            harness.now = now;
+            if step == RESTART_STEP {
+                let fresh = |i| endpoint(&format!("s{i:03}"), Lifecycle::Running, now);
+                harness.update_endpoints(EndpointListKind::Delta, (0..restarted).map(fresh).collect());
+            }
+            if (i as u32 + step) % 5 != 0 {
+                continue;
+            }
+            let backend = serve_one(harness, &format!("{i}-{step}"), gateways);
+            if step < RESTART_STEP {
+                sent_before += f64::from(u8::from(backend.is_some()));
+                continue;
+            }
+            let index = backend.and_then(|backend| backend[1..].parse::<usize>().ok());
+            if let Some(seconds) = index.and_then(|index| sent_after.get_mut(index)) {
+                seconds[((step - RESTART_STEP) / STEPS_PER_SECOND) as usize] += 1.0;
+            }
+        }
+    }
+    let seconds_before = f64::from(RESTART_STEP) / f64::from(STEPS_PER_SECOND);
+    Restart { rate_before: sent_before / seconds_before / f64::from(count), sent_after }
+}
+
+/// In no run a backend is overloaded, and over all runs what it is sent stays as far below that as is
+/// planned.
+#[test]
+fn hundreds_of_gateways_that_learn_of_a_restart_at_once_do_not_overload_the_backend() {
+    const RUNS: u64 = 10;
+    let settings = settings_without_quota();
+    for (gateways, count) in [(200, 9), (200, 60)] {
+        let runs: Vec<_> =
+            (0..RUNS).map(|seed| restart_backends(&settings, gateways, count, 1, seed)).collect();
+        let rate = runs.iter().map(|run| run.rate_before).sum::<f64>() / RUNS as f64;
+        for age in 0..5 {
+            let warm_up = settings.slow_start_min_capacity
+                + (1.0 - settings.slow_start_min_capacity) * age as f64 / settings.slow_start_seconds;
+            let planned = settings.overload_multiple * warm_up * rate * settings.overload_seconds;
+            let allowed = planned + 3.0 * planned.sqrt() + 3.0;
+            let most = runs.iter().map(|run| run.sent_after[0][age]).fold(0.0, f64::max);
+            let mean = runs.iter().map(|run| run.sent_after[0][age]).sum::<f64>() / RUNS as f64;
+            assert!(most <= allowed, "{most} sent at the age of {age} s, {allowed} would overload it");
+            assert!(mean <= 0.7 * planned, "{mean} sent at the age of {age} s, {planned} it may be");
+        }
+        // What it surely can do is used: a fleet half of which has restarted needs that half.
+        let min_capacity = settings.slow_start_min_capacity;
+        let can = (min_capacity + (1.0 - min_capacity) * 0.25) * rate * 5.0;
+        let sent = runs.iter().map(|run| run.sent_after[0].iter().sum::<f64>()).sum::<f64>() / RUNS as f64;
+        assert!(sent >= 0.4 * can, "{sent} sent in its first 5 s, {can} it can surely do");
+    }
+}
+
+/// Guards against a budget of an even part of the load, which would leave half of the capacity unused where
+/// half of a fleet has restarted.
+#[test]
+fn a_fleet_half_of_which_has_restarted_uses_the_overload_multiple() {
+    let sent = |overload_multiple: f64| {
+        let mut settings = settings_without_quota();
+        settings.overload_multiple = overload_multiple;
+        let restart = restart_backends(&settings, 200, 60, 30, 0);
+        restart.sent_after.iter().flatten().sum::<f64>()
+    };
+    let (two, four) = (sent(2.0), sent(4.0));
+    assert!(four >= 1.7 * two && two > 0.0, "{two} sent at a multiple of 2, {four} at 4");
+}
+
+/// Requests that may be sent to a backend in slow start in any time of `overload_seconds`, where the settings
+/// allow `n`.
+fn allowed(n: f64) -> f64 {
+    if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 }
+}
+
+/// The same with no more room for chance where `n` is small.
+fn strictly_allowed(n: f64) -> f64 {
+    n + 2.0 * n.sqrt() + 2.0
+}
+
+/// A change of the endpoint list, of twelve backends before.
+#[derive(Debug, Clone, Copy)]
+struct ListChange {
+    /// Requests a second that a backend is sent on average, seven tenths of what it can bear.
+    rate: f64,
+    /// Fraction by which the traffic swings up and down.
+    swing: f64,
+    /// Backends that remain in the list.
+    remaining: u32,
+    /// How many of those have restarted.
+    restarted: u32,
+}
+
+/// The most requests sent to a restarted backend in a time of `overload_seconds`, less what is `allowed`
+/// there. Gateways of unequal load learn of the change at one instant.
+fn excess_in_slow_start(gateways: u32, change: ListChange, allowed: fn(f64) -> f64, seed: u64) -> f64 {
+    const BACKENDS: u32 = 12;
+    const TICK_SECONDS: f64 = 0.02;
+    const BUSIEST: f64 = 8.0;
+    const CHANGE_AT: f64 = 106.0;
+    let mut settings = settings_without_quota();
+    (settings.overload_multiple, settings.overload_seconds) = (4.0, 1.0);
+    (settings.slow_start_min_capacity, settings.slow_start_seconds) = (0.25, 10.0);
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let weights: Vec<f64> = (0..gateways).map(|_| 1.0 + (BUSIEST - 1.0) * rng.f64().powi(4)).collect();
+    let sum: f64 = weights.iter().sum();
+    let mut fleet = fleet(gateways, &settings, &endpoints(BACKENDS));
+    let mut arrivals: Vec<f64> = Vec::new();
+    let mut changed = false;
+    for tick in 0..800 {
+        let now = 100.0 + f64::from(tick) * TICK_SECONDS;
+        if !changed && now >= CHANGE_AT {
+            changed = true;
+            for harness in &mut fleet {
+                harness.now = now;
+                let mut list = endpoints(change.remaining);
+                for endpoint in list.iter_mut().take(change.restarted as usize) {
+                    endpoint.started = CHANGE_AT;
+                }
+                harness.update_endpoints(EndpointListKind::Snapshot, list);
+            }
+        }
+        let high = ((now - CHANGE_AT) / 2.5).floor() as i64 % 2 != 0;
+        let traffic = if high { 1.0 + change.swing } else { 1.0 - change.swing };
+        for (i, harness) in fleet.iter_mut().enumerate() {
+            let rate = change.rate * f64::from(BACKENDS) * traffic * weights[i] / sum;
+            harness.now = now;
+            if rng.f64() < rate * TICK_SECONDS {
+                let backend = serve_one(harness, &format!("{i}-{tick}"), gateways);
+                if backend.as_deref() == Some("s000") && now >= CHANGE_AT {
+                    arrivals.push(now);
+                }
+            }
+        }
+    }
+    let allowed_at = |at: f64| {
+        let age = ((at - CHANGE_AT) / settings.slow_start_seconds).clamp(0.0, 1.0);
+        let warm_up = settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * age;
+        allowed(settings.overload_multiple * warm_up * (change.rate / 0.7) * settings.overload_seconds)
+    };
+    let sent_until = |at: f64| {
+        arrivals.iter().filter(|a| **a > at - settings.overload_seconds && **a <= at).count() as f64
+    };
+    arrivals.iter().map(|at| sent_until(*at) - allowed_at(*at)).fold(f64::NEG_INFINITY, f64::max)
+}
+
+fn assert_no_excess(gateways: &[u32], changes: &[ListChange], allowed: fn(f64) -> f64) {
+    for &gateways in gateways {
+        for &change in changes {
+            for seed in 0..10 {
+                let excess = excess_in_slow_start(gateways, change, allowed, seed);
+                assert!(excess <= 0.0, "{excess} too many: {gateways} gateways, {change:?}, seed {seed}");
+            }
+        }
+    }
+}
+
+/// Each gateway plans its part by itself, and the sum holds at any number of them, with one restarted backend
+/// or half of them, and as half of the list goes at that moment.
+#[test]
+fn the_slow_start_of_a_backend_holds_over_any_number_of_gateways() {
+    let changes = [
+        ListChange { rate: 1.0, swing: 0.5, remaining: 12, restarted: 1 },
+        ListChange { rate: 2.0, swing: 0.9, remaining: 12, restarted: 6 },
+        ListChange { rate: 5.0, swing: 0.9, remaining: 6, restarted: 1 },
+        ListChange { rate: 10.0, swing: 0.5, remaining: 6, restarted: 3 },
+    ];
+    assert_no_excess(&[1, 2, 4, 20, 30, 300, 900], &changes, strictly_allowed);
+}
+
+/// Guards against a budget that rises with the load of the backends that remain: one in slow start can do no
+/// more.
+#[test]
+fn the_slow_start_of_a_backend_holds_as_two_thirds_of_the_list_go() {
+    let changes = [
+        ListChange { rate: 1.0, swing: 0.5, remaining: 4, restarted: 1 },
+        ListChange { rate: 5.0, swing: 0.9, remaining: 4, restarted: 1 },
+        ListChange { rate: 10.0, swing: 0.5, remaining: 4, restarted: 2 },
+        ListChange { rate: 40.0, swing: 0.5, remaining: 4, restarted: 1 },
+        ListChange { rate: 40.0, swing: 0.5, remaining: 3, restarted: 1 },
+    ];
+    assert_no_excess(&[1, 4, 20, 30, 300], &changes, allowed);
+}
