--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::time::Duration;
-use weirusher_fleet::{Counters, MemberView, State, View};
+use weirusher_fleet::{Counters, MemberState, MemberView, View};
 use weirusher_peers::page;
 
 /// How long a page may take.
@@ -34,38 +34,39 @@
 
 /// A table for people: this one's standing, the others by what is believed of them, and what was refused.
 fn table(view: &View) -> String {
-    let hearing = view.hearing;
+    let reachability = view.reachability;
     let mut text = format!("gateway {}, incarnation {}\n", view.number, view.incarnation);
-    let age = hearing.age_ms.map_or_else(|| "nobody yet".to_string(), |ms| format!("{ms} ms ago"));
+    let age =
+        reachability.last_received_ms.map_or_else(|| "nobody yet".to_string(), |ms| format!("{ms} ms ago"));
     let _ = writeln!(
         text,
         "  counts on  {:.0} % of the fleet; heard last: {age}{}",
-        100.0 * hearing.share(),
-        if hearing.superseded { "; replaced by another process under its number" } else { "" }
+        100.0 * reachability.fraction(),
+        if reachability.superseded { "; replaced by another process under its number" } else { "" }
     );
     let _ = writeln!(
         text,
         "  hears      {} of {} directly; {} of {} others live",
-        hearing.heard, hearing.expected, hearing.alive, hearing.others
+        reachability.subjects_heard, reachability.subjects, reachability.alive, reachability.others
     );
     let _ = writeln!(
         text,
         "  heard by   {} of {} that it sends to; {} say that they do not",
-        hearing.confirmed, hearing.watchers, hearing.denied
+        reachability.observers_confirming, reachability.observers, reachability.observers_denying
     );
     for (what, members) in [("deaf to it", denying(view)), ("not heard", unheard(view))] {
         if !members.is_empty() {
             let _ = writeln!(text, "  {what:<10} {}", members.join(", "));
         }
     }
-    for state in [State::Alive, State::Suspected, State::Gone, State::Unknown] {
+    for state in [MemberState::Alive, MemberState::Suspected, MemberState::Dead, MemberState::Unknown] {
         let members: Vec<_> = view.members.iter().filter(|member| member.state == state).collect();
-        let _ = writeln!(text, "  {:<10} {}", format!("{state:?}").to_lowercase(), members.len());
-        if state == State::Alive {
+        let _ = writeln!(text, "  {:<10} {}", state.as_str(), members.len());
+        if state == MemberState::Alive {
             continue;
         }
         for line in members.chunks(LINE) {
-            let name = |m: &&MemberView| format!("{} for {:.1} s", m.number, m.for_ms as f64 / 1000.0);
+            let name = |m: &&MemberView| format!("{} for {:.1} s", m.number, m.state_age_ms as f64 / 1000.0);
             let _ = writeln!(text, "    {}", line.iter().map(name).collect::<Vec<_>>().join(", "));
         }
     }
@@ -74,9 +75,9 @@
         "  sent       {} datagrams, {} bytes; put off {}; rumours waiting {}, dropped {}",
         view.counters.sent,
         view.counters.sent_bytes,
-        view.counters.put_off,
-        view.rumors,
-        view.counters.rumors_dropped
+        view.counters.deferred,
+        view.gossip_queued,
+        view.counters.gossip_dropped
     );
     let _ = writeln!(
         text,
@@ -89,14 +90,19 @@
 
 /// Members that say that they do not hear this one.
 fn denying(view: &View) -> Vec<String> {
-    view.members.iter().filter(|member| member.denies).map(|member| member.number.to_string()).collect()
+    view.members
+        .iter()
+        .filter(|member| member.reports_unheard)
+        .map(|member| member.number.to_string())
+        .collect()
 }
 
 /// Members that live, and were heard directly once, but not any more: the way from them is broken, or they have another
 /// watcher now.
 fn unheard(view: &View) -> Vec<String> {
     let lost = |member: &&MemberView| {
-        member.state == State::Alive && member.direct_ms.is_some_and(|ms| (LOST..LONG).contains(&ms))
+        member.state == MemberState::Alive
+            && member.last_received_ms.is_some_and(|ms| (LOST..LONG).contains(&ms))
     };
     view.members.iter().filter(lost).map(|member| member.number.to_string()).collect()
 }
@@ -105,16 +111,16 @@
 fn refused(counters: &Counters) -> String {
     let all = [
         ("oversized", counters.oversized),
-        ("from elsewhere", counters.misplaced),
-        ("flood", counters.flooded),
-        ("other key or forged", counters.forged),
+        ("from elsewhere", counters.wrong_sender),
+        ("flood", counters.rate_limited),
+        ("other key or forged", counters.unauthenticated),
         ("malformed", counters.malformed),
-        ("other fleet size", counters.other_size),
-        ("for another", counters.misdelivered),
+        ("other fleet size", counters.wrong_fleet_size),
+        ("for another", counters.wrong_recipient),
         ("replayed", counters.replayed),
-        ("of a life that is over", counters.stale),
-        ("to a life that is over", counters.unproven),
-        ("unreadable state", counters.unreadable),
+        ("of a life that is over", counters.stale_sender),
+        ("to a life that is over", counters.stale_recipient),
+        ("unreadable state", counters.malformed_state),
     ];
     let some: Vec<String> = all.iter().filter(|(_, n)| *n > 0).map(|(why, n)| format!("{why} {n}")).collect();
     if some.is_empty() { "nothing".to_string() } else { some.join(", ") }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::schema::{address, loopback};
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use weirusher_fleet::{LEAST_KEY, MOST_MEMBERS, Settings};
+use weirusher_fleet::{MAX_MEMBERS, MIN_KEY_BYTES, Settings};
 
 /// A year, in seconds: no clock is taken for further off.
 const MOST_SHIFT: f64 = 366.0 * 86_400.0;
@@ -19,7 +19,7 @@
     /// Its number, the members and the key.
     pub settings: Settings,
     /// Seconds by which it is made to take the wall clock for ahead, or behind: rehearsals ask for it.
-    pub clock_shift: f64,
+    pub clock_shift_seconds: f64,
 }
 
 /// Whose `[fleet]` it is.
@@ -60,13 +60,13 @@
     let own = members.get(me as usize).copied();
     let listen = own.and_then(|own| address(&mut table, "listen", Some(&own.to_string())));
     let key = key(&mut table);
-    let clock_shift = table.number("clock_shift_seconds", 0.0, -MOST_SHIFT, MOST_SHIFT);
+    let clock_shift_seconds = table.number("clock_shift_seconds", 0.0, -MOST_SHIFT, MOST_SHIFT);
     table.finish();
     let me = u16::try_from(me).unwrap_or(u16::MAX);
     // What lacks was told; the table itself is there.
     let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = Settings { instance: me, members, key };
-    Some(FleetConfig { listen: listen.unwrap_or(anywhere), admin, settings, clock_shift })
+    Some(FleetConfig { listen: listen.unwrap_or(anywhere), admin, settings, clock_shift_seconds })
 }
 
 fn members(table: &mut Table<'_, '_>, whose: Member) -> Vec<SocketAddr> {
@@ -74,7 +74,7 @@
         table.missing("members", "the address of each gateway, in the order of their numbers");
         return Vec::new();
     };
-    let mut members: Vec<SocketAddr> = Vec::with_capacity(texts.len().min(MOST_MEMBERS));
+    let mut members: Vec<SocketAddr> = Vec::with_capacity(texts.len().min(MAX_MEMBERS));
     let mut seen = HashMap::new();
     for (number, (text, at)) in texts.iter().enumerate() {
         let Some(address) = loopback(table, "members", text, *at) else { continue };
@@ -95,15 +95,15 @@
         let hint = "one for each gateway of the fleet, those that do not run yet included".to_string();
         table.problems.add(table.at(), message, hint);
     }
-    if !(2..=MOST_MEMBERS).contains(&count) {
+    if !(2..=MAX_MEMBERS).contains(&count) {
         let message = format!("a fleet of {count} members");
-        table.problems.add(table.at(), message, format!("2 to {MOST_MEMBERS}; without [fleet] it is off"));
+        table.problems.add(table.at(), message, format!("2 to {MAX_MEMBERS}; without [fleet] it is off"));
     }
     members
 }
 
 fn number(table: &mut Table<'_, '_>, members: usize) -> u32 {
-    let Some((number, at)) = table.number_at("number", 0.0, (MOST_MEMBERS - 1) as f64) else {
+    let Some((number, at)) = table.number_at("number", 0.0, (MAX_MEMBERS - 1) as f64) else {
         table.missing("number", "which of `members` this gateway is, from 0");
         return 0;
     };
@@ -118,9 +118,9 @@
 fn key(table: &mut Table<'_, '_>) -> Vec<u8> {
     match table.text("key") {
         None => table.missing("key", "a text that only this fleet's gateways know"),
-        Some((key, at)) if key.len() < LEAST_KEY => {
+        Some((key, at)) if key.len() < MIN_KEY_BYTES => {
             let message = format!("a key of {} bytes can be guessed", key.len());
-            table.problems.add(at, message, format!("{LEAST_KEY} bytes or more, at random"));
+            table.problems.add(at, message, format!("{MIN_KEY_BYTES} bytes or more, at random"));
         }
         Some((key, _)) => return key.into_bytes(),
     }
--- a/crates/ext-authz/src/admin.rs
+++ b/crates/ext-authz/src/admin.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::FrontEvent;
 use tokio::sync::{mpsc, oneshot};
-use weirusher_peers::{Peers, page::Answer};
+use weirusher_peers::{Peers, page::Handler};
 use weirusher_wire::http1::{Request, Response};
 
 /// What the page shows.
@@ -13,8 +13,8 @@
     pub peers: Option<Peers>,
 }
 
-impl Answer for Admin {
-    async fn answer(&self, request: &Request) -> Response {
+impl Handler for Admin {
+    async fn handle(&self, request: &Request) -> Response {
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/healthz") => Response::text(200, "ok\n"),
             ("GET", "/stats") => {
@@ -28,7 +28,7 @@
                 }
             }
             ("GET", "/fleet" | "/fleet/brief") => match &self.peers {
-                Some(peers) => peers.answer(request).await,
+                Some(peers) => peers.handle(request).await,
                 None => Response::text(404, "there is no [fleet] in the configuration\n"),
             },
             _ => Response::text(404, "GET /stats, /fleet or /healthz\n"),
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -1,184 +1,140 @@
-//! What one knows of the direct way to each other member, in both directions.
-
-use crate::budget::Bucket;
-use crate::replay::Window;
-use crate::table::{Evidence, Table};
-use crate::{ASK, BEAT, Millis, Rings, SILENCE, WATCHERS};
-
-/// Datagrams a second that are read of one member, and at once: several times what one sends in need.
-const READ: (u32, u32) = (64, 128);
-/// Members that asked for beats without being watchers, at most. The longest served is dropped first: it asks again.
-const GUESTS: usize = 16;
-/// A guest is served for so long after it asked.
-const GUEST: Millis = 4 * BEAT;
-/// A watcher that was contradicted waits twice as long the next time, up to this power of two: its link is bad.
-const MOST_DOUBT: u32 = 3;
-/// A member whose beats are missed for so long, while it lives, is one that this one is deaf to.
-const DEAF: Millis = 2 * SILENCE;
-
-/// The direct way to one member.
-#[derive(Debug, Clone)]
-pub(crate) struct Link {
-    /// Its last datagram that told anything new.
-    pub heard: Option<Millis>,
-    /// Its last datagram that said it hears this one.
-    pub confirmed: Option<Millis>,
-    /// The last datagram to it.
-    pub sent: Option<Millis>,
-    /// The last answer to something that was not believed.
-    pub greeted: Option<Millis>,
-    /// The evidence by which accusations of it were contradicted from here last.
-    pub rebutted: Evidence,
-    /// Its incarnation that `window` is of.
-    pub proven: u64,
-    pub window: Window,
-    pub read: Bucket,
-    /// Since when its beats are expected.
-    pub watched: Option<Millis>,
-    /// Other watchers were asked about it, and it was not heard of since.
-    pub asked: bool,
-    /// When this one last accused it, until it is heard of again.
-    pub accused: Option<Millis>,
-    doubt: u32,
-}
-
-impl Link {
-    fn new(now: Millis) -> Self {
-        Self {
-            heard: None,
-            confirmed: None,
-            sent: None,
-            greeted: None,
-            rebutted: Evidence::default(),
-            proven: 0,
-            window: Window::default(),
-            read: Bucket::new(READ.0, READ.1, now),
-            watched: None,
-            asked: false,
-            accused: None,
-            doubt: 0,
-        }
-    }
-
-    /// There is newer evidence of the member's life, directly or told by another.
-    pub fn lives(&mut self, direct: bool) {
-        if direct {
-            self.doubt = 0;
-        } else if self.asked {
-            self.doubt = (self.doubt + 1).min(MOST_DOUBT);
-        }
-        (self.asked, self.accused) = (false, None);
-    }
-
-    /// Silence after which the other watchers are asked, and after which the member is accused.
-    pub fn patience(&self) -> (Millis, Millis) {
-        (ASK << self.doubt, SILENCE << self.doubt)
-    }
+//! The links of one member to all others, and which of them are in use: its observers, its subjects, and members that
+//! asked for its heartbeats.
+
+use crate::link::Link;
+use crate::member_table::MemberTable;
+use crate::{HEARTBEAT_INTERVAL, Millis, OBSERVERS, Rings, SUSPECT_TIMEOUT};
+
+/// Members that asked for heartbeats without being observers, at most. The one that asked longest ago is dropped first;
+/// it will ask again.
+const MAX_SUBSCRIBERS: usize = 16;
+/// How long a subscriber gets heartbeats after it asked.
+const SUBSCRIPTION: Millis = 4 * HEARTBEAT_INTERVAL;
+/// A link on which nothing arrives for this long, while the member is alive, is broken.
+const BROKEN_LINK_TIMEOUT: Millis = 2 * SUSPECT_TIMEOUT;
+/// When nothing arrives from anybody for this long, the cause is this member's own link.
+const HEARS_NOBODY_TIMEOUT: Millis = SUSPECT_TIMEOUT + 2 * HEARTBEAT_INTERVAL;
+
+/// Whether something happened less than `span` ago.
+pub(crate) fn is_within(at: Option<Millis>, span: Millis, now: Millis) -> bool {
+    at.is_some_and(|at| now.saturating_sub(at) < span)
 }
 
-/// Whether something was at most so long ago.
-pub(crate) fn within(at: Option<Millis>, time: Millis, now: Millis) -> bool {
-    at.is_some_and(|at| now.saturating_sub(at) < time)
+/// A member that asked for heartbeats.
+#[derive(Debug, Clone, Copy)]
+struct Subscriber {
+    member: u16,
+    since: Millis,
 }
 
-/// The links of one member, and who watches whom.
+/// The links of one member.
 #[derive(Debug, Clone)]
 pub(crate) struct Links {
     me: u16,
     rings: Rings,
     links: Vec<Link>,
-    pub watchers: Vec<u16>,
+    /// The members that this one sends heartbeats to.
+    pub observers: Vec<u16>,
+    /// The members whose heartbeats this one expects.
     pub subjects: Vec<u16>,
-    guests: Vec<(u16, Millis)>,
-    /// The last datagram from anybody.
-    pub last: Option<Millis>,
+    subscribers: Vec<Subscriber>,
+    /// When the last accepted datagram from anybody arrived.
+    pub last_received: Option<Millis>,
 }
 
 impl Links {
     pub fn new(size: u16, me: u16, now: Millis) -> Self {
-        let links = vec![Link::new(now); usize::from(size)];
-        let rings = Rings::new(size);
-        Self { me, rings, links, watchers: Vec::new(), subjects: Vec::new(), guests: Vec::new(), last: None }
-    }
-
-    pub fn of(&mut self, member: u16) -> &mut Link {
-        &mut self.links[usize::from(member)]
+        Self {
+            me,
+            rings: Rings::new(size),
+            links: vec![Link::new(now); usize::from(size)],
+            observers: Vec::new(),
+            subjects: Vec::new(),
+            subscribers: Vec::new(),
+            last_received: None,
+        }
     }
 
     pub fn get(&self, member: u16) -> &Link {
         &self.links[usize::from(member)]
     }
 
-    /// Finds out anew who watches whom, as some are out or back.
-    pub fn relate(&mut self, table: &Table, now: Millis) {
-        self.watchers = self.rings.watchers(self.me, |member| table.out(member));
-        self.subjects = self.rings.subjects(self.me, |member| table.out(member));
+    pub fn get_mut(&mut self, member: u16) -> &mut Link {
+        &mut self.links[usize::from(member)]
+    }
+
+    /// Determines observers and subjects anew, after members died or came back.
+    pub fn update_neighbours(&mut self, table: &MemberTable, now: Millis) {
+        self.observers = self.rings.observers(self.me, |member| table.is_dead(member));
+        self.subjects = self.rings.subjects(self.me, |member| table.is_dead(member));
         for (member, link) in (0u16..).zip(&mut self.links) {
-            match (self.subjects.contains(&member), link.watched) {
-                (true, None) => link.watched = Some(now),
-                (false, Some(_)) => (link.watched, link.asked, link.accused) = (None, false, None),
+            match (self.subjects.contains(&member), link.observed_since) {
+                (true, None) => link.observed_since = Some(now),
+                (false, Some(_)) => {
+                    (link.observed_since, link.queried, link.suspected_at) = (None, false, None);
+                }
                 _ => {}
             }
         }
     }
 
-    /// Who else watches a member, as far as is known here.
-    pub fn fellows(&self, of: u16, table: &Table) -> Vec<u16> {
-        let mut fellows = self.rings.watchers(of, |member| table.out(member));
-        fellows.retain(|fellow| *fellow != self.me);
-        fellows
+    /// The other observers of a member, as far as is known here.
+    pub fn other_observers(&self, of: u16, table: &MemberTable) -> Vec<u16> {
+        let mut observers = self.rings.observers(of, |member| table.is_dead(member));
+        observers.retain(|observer| *observer != self.me);
+        observers
     }
 
-    /// A member asks for beats.
-    pub fn invite(&mut self, member: u16, now: Millis) {
-        self.guests.retain(|(guest, _)| *guest != member);
-        if self.guests.len() >= GUESTS {
-            self.guests.remove(0);
+    /// A member asks for heartbeats.
+    pub fn subscribe(&mut self, member: u16, now: Millis) {
+        self.subscribers.retain(|subscriber| subscriber.member != member);
+        if self.subscribers.len() >= MAX_SUBSCRIBERS {
+            self.subscribers.remove(0);
         }
-        self.guests.push((member, now));
+        self.subscribers.push(Subscriber { member, since: now });
     }
 
-    /// Guests that are served in one of the turns that make a beat.
-    pub fn guests(&mut self, turn: usize, now: Millis) -> Vec<u16> {
-        self.guests.retain(|(_, since)| now.saturating_sub(*since) < GUEST);
-        let mine = |(at, guest): (usize, u16)| {
-            (at % WATCHERS == turn && !self.watchers.contains(&guest)).then_some(guest)
+    /// The subscribers that get a heartbeat in one of the slots of a heartbeat interval. Observers get theirs anyway.
+    pub fn subscribers_in_slot(&mut self, slot: usize, now: Millis) -> Vec<u16> {
+        self.subscribers.retain(|subscriber| now.saturating_sub(subscriber.since) < SUBSCRIPTION);
+        let in_slot = |(at, member): (usize, u16)| {
+            (at % OBSERVERS == slot && !self.observers.contains(&member)).then_some(member)
         };
-        self.guests.iter().map(|(guest, _)| *guest).enumerate().filter_map(mine).collect()
+        let members = self.subscribers.iter().map(|subscriber| subscriber.member);
+        members.enumerate().filter_map(in_slot).collect()
     }
 
-    /// Whether a member's beats come.
+    /// Whether a member's heartbeats arrive.
     pub fn hears(&self, member: u16, now: Millis) -> bool {
-        within(self.get(member).heard, SILENCE, now)
+        is_within(self.get(member).last_received, SUSPECT_TIMEOUT, now)
     }
 
     /// Whether a member said lately that it hears this one.
-    pub fn confirmed(&self, member: u16, now: Millis) -> bool {
-        within(self.get(member).confirmed, DEAF, now)
+    pub fn is_heard_by(&self, member: u16, now: Millis) -> bool {
+        is_within(self.get(member).last_confirmed, BROKEN_LINK_TIMEOUT, now)
     }
 
-    /// Whether nobody was heard for longer than chance explains.
-    pub fn deaf(&self, now: Millis) -> bool {
-        !within(self.last, SILENCE + 2 * BEAT, now)
+    /// Whether nothing arrived from anybody for longer than chance explains.
+    pub fn hears_nobody(&self, now: Millis) -> bool {
+        !is_within(self.last_received, HEARS_NOBODY_TIMEOUT, now)
     }
 
-    /// Members whose beats should come here and did not for long, though they live.
-    pub fn deaf_to(&self, table: &Table, now: Millis) -> Vec<u16> {
-        let missed = |member: &u16| {
+    /// The subjects whose heartbeats do not arrive, though they are alive.
+    pub fn unheard_subjects(&self, table: &MemberTable, now: Millis) -> Vec<u16> {
+        let unheard = |member: &u16| {
             let link = self.get(*member);
-            let since = link.heard.max(link.watched);
-            !table.out(*member) && table.newest(*member).incarnation > 0 && !within(since, DEAF, now)
+            let since = link.last_received.max(link.observed_since);
+            !table.is_dead(*member)
+                && table.latest(*member).incarnation > 0
+                && !is_within(since, BROKEN_LINK_TIMEOUT, now)
         };
-        self.subjects.iter().copied().filter(missed).collect()
+        self.subjects.iter().copied().filter(unheard).collect()
     }
 
-    /// This process was away: nothing that it heard tells of now.
-    pub fn woke(&mut self) {
-        self.last = None;
-        self.guests.clear();
-        for link in &mut self.links {
-            (link.heard, link.confirmed, link.watched) = (None, None, None);
-            (link.asked, link.accused) = (false, None);
-        }
+    /// This process was paused: what arrived before says nothing of the links now.
+    pub fn reset_after_pause(&mut self) {
+        self.last_received = None;
+        self.subscribers.clear();
+        self.links.iter_mut().for_each(Link::reset_after_pause);
     }
 }
--- /dev/null
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -0,0 +1,156 @@
+//! Suspicion and refutation, as in SWIM (Das et al. 2002). An observer that hears nothing of a subject asks the other
+//! observers, then suspects it; whoever knows a later heartbeat refutes. Only evidence of life decides, so that a broken
+//! link costs no member its place. [`MemberTable`](crate::MemberTable) confirms the deaths.
+
+use super::Membership;
+use crate::Millis;
+use crate::datagram::Message;
+use crate::links::is_within;
+use crate::member_table::{Evidence, MemberState, SuspicionOutcome};
+
+/// Suspecting observers from which on a suspicion is disseminated to all. A single one asks the other observers first.
+const SUSPECTORS_TO_GOSSIP: usize = 2;
+/// A suspicion that nobody shares and nobody refutes is disseminated after this long, and repeated each time.
+const REPEAT_SUSPICION_AFTER: Millis = 2_000;
+
+impl Membership {
+    /// Asks about the subjects that are silent, and suspects them when nobody knows better.
+    pub(super) fn check_subjects(&mut self, now: Millis) {
+        for member in self.links.subjects.clone() {
+            let (link, record) = (self.links.get(member), self.table.record(member));
+            if record.state == MemberState::Dead {
+                continue;
+            }
+            let silent_since = record
+                .last_alive
+                .max(self.schedule.silence_counts_from)
+                .max(link.observed_since.unwrap_or(now));
+            let silence = now.saturating_sub(silent_since);
+            let timeouts = link.silence_timeouts();
+            let suspected_lately = is_within(link.suspected_at, REPEAT_SUSPICION_AFTER, now);
+            if silence >= timeouts.suspect && !suspected_lately {
+                self.suspect(member, now);
+            } else if silence >= timeouts.query && !link.queried {
+                self.links.get_mut(member).queried = true;
+                let Evidence { incarnation, heartbeat } = self.table.latest(member);
+                let question = Message::Suspect {
+                    member,
+                    incarnation,
+                    heartbeat,
+                    suspectors: Vec::new(),
+                    gossip: false,
+                };
+                self.ask_other_observers(member, &question, now);
+            }
+        }
+    }
+
+    fn suspect(&mut self, member: u16, now: Millis) {
+        let first_time = self.links.get_mut(member).suspected_at.replace(now).is_none();
+        let last = self.table.latest(member);
+        self.table.handle_suspicion(member, &[self.me], last, now);
+        if first_time && self.table.record(member).suspectors.len() < SUSPECTORS_TO_GOSSIP {
+            self.ask_other_observers(member, &self.suspect_message(member, false), now);
+        } else {
+            self.gossip_suspicion(member);
+        }
+    }
+
+    /// Asks the other observers of a member. Where the link loses heartbeats they mostly know a later one, and the
+    /// suspicion goes no further.
+    fn ask_other_observers(&mut self, member: u16, question: &Message, now: Millis) {
+        for observer in self.links.other_observers(member, &self.table) {
+            self.send(observer, vec![question.clone()], now);
+        }
+    }
+
+    fn suspect_message(&self, member: u16, gossip: bool) -> Message {
+        let Evidence { incarnation, heartbeat } = self.table.latest(member);
+        let suspectors = self.table.record(member).suspectors.iter().map(|one| one.number).collect();
+        Message::Suspect { member, incarnation, heartbeat, suspectors, gossip }
+    }
+
+    fn gossip_suspicion(&mut self, member: u16) {
+        let suspicion = self.suspect_message(member, true);
+        self.gossip.push(suspicion);
+    }
+
+    /// Observers suspect a member. `asked_by` is the observer that asks whether this member knows a later heartbeat;
+    /// it alone gets the answer.
+    pub(super) fn handle_suspicion(
+        &mut self,
+        member: u16,
+        suspectors: &[u16],
+        last: Evidence,
+        asked_by: Option<u16>,
+        now: Millis,
+    ) {
+        if member == self.me {
+            return self.refute_own_suspicion();
+        }
+        match self.table.handle_suspicion(member, suspectors, last, now) {
+            SuspicionOutcome::Stale => {}
+            SuspicionOutcome::Accepted => {
+                let suspectors = self.table.record(member).suspectors.len();
+                if asked_by.is_none() || suspectors >= SUSPECTORS_TO_GOSSIP {
+                    self.gossip_suspicion(member);
+                }
+            }
+            SuspicionOutcome::Refuted => match asked_by {
+                Some(observer) => {
+                    let answer = self.alive_message(member, false, now);
+                    self.send(observer, vec![answer], now);
+                }
+                None => self.refute(member, now),
+            },
+        }
+    }
+
+    /// Tells all that this member is alive, once a heartbeat.
+    fn refute_own_suspicion(&mut self) {
+        let evidence = self.own.evidence();
+        if std::mem::replace(&mut self.refuted_with, evidence) != evidence {
+            let Evidence { incarnation, heartbeat } = evidence;
+            self.gossip.push(Message::Alive {
+                member: self.me,
+                incarnation,
+                heartbeat,
+                age: 0,
+                gossip: true,
+            });
+        }
+    }
+
+    /// Tells all that a member was alive later than its suspectors know, once for each heartbeat of it.
+    fn refute(&mut self, member: u16, now: Millis) {
+        let latest = self.table.latest(member);
+        if std::mem::replace(&mut self.links.get_mut(member).refuted_with, latest) != latest {
+            let refutation = self.alive_message(member, true, now);
+            self.gossip.push(refutation);
+        }
+    }
+
+    /// A member sent a heartbeat `age` milliseconds ago; 0 for a datagram of its own. What that ends or begins is
+    /// passed on if `gossip`.
+    pub(super) fn handle_evidence(
+        &mut self,
+        member: u16,
+        evidence: Evidence,
+        age: Millis,
+        gossip: bool,
+        now: Millis,
+    ) {
+        if evidence > self.table.latest(member) {
+            self.links.get_mut(member).handle_evidence(age == 0);
+        }
+        let unknown = self.table.state(member) == MemberState::Unknown;
+        if self.table.handle_alive(member, evidence, age, now) {
+            self.gossip.remove_suspicions(member);
+            // At a start all members are new to all: relayed heartbeats spread that sooner than as many gossip messages.
+            if gossip && !unknown {
+                let alive = self.alive_message(member, true, now);
+                self.gossip.push(alive);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/membership/relay.rs
@@ -0,0 +1,97 @@
+//! Heartbeats of all members, relayed a few on each datagram, so that evidence of life reaches also those who receive
+//! no heartbeat of a member directly (counters as in van Renesse et al. 1998).
+
+use super::Membership;
+use super::inbound::age_millis;
+use crate::datagram::{AGE_DEAD, AGE_UNIT, CompactHeartbeat, Message};
+use crate::member_table::Evidence;
+use crate::{Millis, forget_timeout};
+
+/// Members whose heartbeats are relayed on each datagram: at fifty datagrams a second those of a thousand members go
+/// around in three seconds.
+const HEARTBEATS_PER_DATAGRAM: u16 = 8;
+
+impl Membership {
+    /// The latest heartbeats of the members whose turn it is.
+    pub(super) fn next_relayed_heartbeats(&mut self, now: Millis) -> Message {
+        let first = self.next_relayed;
+        let end = (first + HEARTBEATS_PER_DATAGRAM).min(self.table.size());
+        self.next_relayed = end % self.table.size();
+        let compact = |member: u16| {
+            let Evidence { incarnation, heartbeat } = self.table.latest(member);
+            let alive = self.table.is_alive(member);
+            let age = if alive { self.table.age(member, now).min(AGE_DEAD - 1) } else { AGE_DEAD };
+            CompactHeartbeat { incarnation: incarnation as u16, heartbeat, age }
+        };
+        Message::Heartbeats { first, heartbeats: (first..end).map(compact).collect() }
+    }
+
+    /// Takes in relayed heartbeats, and tells their sender of the members that it does not know.
+    pub(super) fn handle_relayed_heartbeats(
+        &mut self,
+        from: u16,
+        first: u16,
+        heartbeats: Vec<CompactHeartbeat>,
+        now: Millis,
+    ) {
+        let lacking: Vec<u16> = (first..)
+            .zip(heartbeats)
+            .filter_map(|(member, relayed)| {
+                self.handle_relayed_heartbeat(from, member, &relayed, now).then_some(member)
+            })
+            .collect();
+        self.introduce(from, &lacking, now);
+    }
+
+    /// Takes in one relayed heartbeat. Tells whether its sender lacks what is known here of the member.
+    fn handle_relayed_heartbeat(
+        &mut self,
+        from: u16,
+        member: u16,
+        relayed: &CompactHeartbeat,
+        now: Millis,
+    ) -> bool {
+        let known = self.table.latest(member).incarnation;
+        if member == self.me || known == 0 {
+            return false;
+        }
+        if relayed.incarnation != known as u16 {
+            return self.table.is_alive(member);
+        }
+        let evidence = Evidence { incarnation: known, heartbeat: relayed.heartbeat };
+        if relayed.age == AGE_DEAD {
+            return self.handle_reported_dead(from, member, evidence, now);
+        }
+        // The low bits may be those of another incarnation.
+        if self.table.is_plausible(member, relayed.heartbeat, now) {
+            self.handle_evidence(member, evidence, age_millis(relayed.age), false, now);
+        }
+        false
+    }
+
+    /// A member takes another for dead that is alive here: gossip did not reach one of the two. Tells whether the sender
+    /// lacks later evidence.
+    ///
+    /// Without later evidence this member takes it as a suspicion, but only when heartbeats would have been relayed
+    /// since: while a partition heals, those that know less still say that members are dead.
+    fn handle_reported_dead(&mut self, from: u16, member: u16, last: Evidence, now: Millis) -> bool {
+        if !self.table.is_alive(member) {
+            return false;
+        }
+        let refuted = self.table.latest(member).refutes(last);
+        let age = Millis::from(self.table.age(member, now)) * AGE_UNIT;
+        if !refuted && age >= forget_timeout(self.table.size()) / 4 {
+            self.table.handle_suspicion(member, &[from], last, now);
+        }
+        refuted
+    }
+
+    /// Tells a member of others that it does not know, as far as the budget allows: it will be relayed to again.
+    fn introduce(&mut self, to: u16, members: &[u16], now: Millis) {
+        if members.is_empty() || !self.send_budget.allows_introduction(now) {
+            return;
+        }
+        let introductions = members.iter().map(|member| self.alive_message(*member, false, now)).collect();
+        self.send(to, introductions, now);
+    }
+}
--- a/crates/fleet/src/registers.rs
+++ b/crates/fleet/src/registers.rs
@@ -1,192 +1,218 @@
-//! One register for each member, written by that member alone: the newest writing wins.
+//! A shared state of one register for each member, written by that member alone: the last write wins.
 
-use crate::carrier::{Malformed, Shared};
+use crate::shared_state::{Malformed, SharedState};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use sha2::{Digest, Sha256};
 use std::collections::VecDeque;
-
-/// Registers whose sums one digest holds at most.
-const SPAN: usize = 64;
-/// Times that a change is passed on by each who learns of it.
-const TOLD: u8 = 24;
-
-/// What a member says of itself.
+use std::marker::PhantomData;
+
+/// Registers that one digest covers at most.
+const MAX_CHECKSUMS: usize = 64;
+/// Most bytes of one checksum in a digest, and of the digest's two counts together.
+const CHECKSUM_BYTES: usize = 5;
+/// Bytes that hold the count of entries in a delta.
+const COUNT_BYTES: usize = 2;
+/// Times that each member which learns of a write passes it on.
+const TRANSMISSIONS: u8 = 24;
+
+/// What a member reports of itself to all others.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fact {
-    /// Members whose beats should reach it and do not, eight at most.
-    pub deaf: Vec<u16>,
+pub struct SelfReport {
+    /// Subjects whose heartbeats should reach it and do not, eight at most.
+    pub unheard_subjects: Vec<u16>,
+}
+
+/// The order of a member's writes.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+struct Stamp {
+    incarnation: u64,
+    /// Writes in that incarnation.
+    count: u32,
 }
 
-/// A register's content. The order of writings is that of `stamp`, and of the bytes where two processes under one
-/// number wrote the same: any rule will do, so long as all use it.
+/// A register's content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Writing {
-    /// The writer's incarnation, and the count of its writings.
-    stamp: (u64, u32),
-    bytes: Vec<u8>,
+struct Write {
+    stamp: Stamp,
+    value: Vec<u8>,
 }
 
-impl Writing {
-    fn rank(&self) -> ((u64, u32), &[u8]) {
-        (self.stamp, &self.bytes)
+impl Write {
+    /// Two processes under one number may write under the same stamp; then all members choose by the bytes.
+    fn is_newer_than(&self, other: &Write) -> bool {
+        (self.stamp, &self.value) > (other.stamp, &other.value)
     }
 }
 
-/// Registers of all members, for values of `most` bytes at most.
+/// A write that is to be disseminated.
+#[derive(Debug, Clone)]
+struct Pending {
+    member: u16,
+    times_sent: u8,
+}
+
+/// The registers of all members, for values of type `V`.
 #[derive(Debug, Clone)]
 pub struct Registers<V> {
-    held: Vec<Option<Writing>>,
-    most: usize,
-    /// Where the next digest begins.
-    cursor: usize,
-    /// Registers that changed, and how often that was told.
-    told: VecDeque<(u16, u8)>,
-    value: std::marker::PhantomData<fn() -> V>,
+    writes: Vec<Option<Write>>,
+    max_value_bytes: usize,
+    /// The register at which the next digest begins.
+    next_digest: usize,
+    pending: VecDeque<Pending>,
+    value: PhantomData<fn() -> V>,
 }
 
-/// A digest: sums of the registers from a number on.
+/// A digest: checksums of the registers from a number on, 0 for an empty register.
 #[derive(Serialize, Deserialize)]
-struct Sums {
-    from: u16,
-    sums: Vec<u32>,
+struct Checksums {
+    first: u16,
+    checksums: Vec<u32>,
 }
 
-fn sum(writing: Option<&Writing>) -> u32 {
-    let Some(writing) = writing else { return 0 };
+fn checksum(write: Option<&Write>) -> u32 {
+    let Some(write) = write else { return 0 };
     let mut hash = Sha256::new();
-    hash.update(writing.stamp.0.to_be_bytes());
-    hash.update(writing.stamp.1.to_be_bytes());
-    hash.update(&writing.bytes);
+    hash.update(write.stamp.incarnation.to_be_bytes());
+    hash.update(write.stamp.count.to_be_bytes());
+    hash.update(&write.value);
     let full = hash.finalize();
     u32::from_be_bytes([full[0], full[1], full[2], full[3]]).max(1)
 }
 
 impl<V: Serialize + DeserializeOwned> Registers<V> {
-    /// Empty registers of `size` members, for values of `most` bytes at most.
-    pub fn new(size: u16, most: usize) -> Self {
-        let held = vec![None; usize::from(size)];
-        Self { held, most, cursor: 0, told: VecDeque::new(), value: std::marker::PhantomData }
+    /// Empty registers of `size` members, for values of `max_value_bytes` at most.
+    pub fn new(size: u16, max_value_bytes: usize) -> Self {
+        let writes = vec![None; usize::from(size)];
+        Self { writes, max_value_bytes, next_digest: 0, pending: VecDeque::new(), value: PhantomData }
     }
 
-    /// Writes a member's own register; what is larger than a register is refused.
+    /// Writes a member's own register.
     ///
     /// # Errors
-    /// The value is too large.
+    /// The value takes more bytes than a register has.
     pub fn write(&mut self, member: u16, incarnation: u64, value: &V) -> Result<(), Malformed> {
-        let bytes = postcard::to_allocvec(value).map_err(|_| Malformed)?;
-        if bytes.len() > self.most {
+        let value = postcard::to_allocvec(value).map_err(|_| Malformed)?;
+        if value.len() > self.max_value_bytes {
             return Err(Malformed);
         }
-        let before = self.held[usize::from(member)].as_ref().map_or((0, 0), |writing| writing.stamp);
-        // Also above what an earlier life wrote under a clock that stood ahead.
-        let stamp = (incarnation.max(before.0), if before.0 >= incarnation { before.1 + 1 } else { 0 });
-        self.take(member, Writing { stamp, bytes }, true);
+        let last = self.writes[usize::from(member)].as_ref().map(|write| write.stamp).unwrap_or_default();
+        // An earlier process under this number may have had a wall clock that stood ahead.
+        let stamp = if last.incarnation >= incarnation {
+            Stamp { incarnation: last.incarnation, count: last.count + 1 }
+        } else {
+            Stamp { incarnation, count: 0 }
+        };
+        self.accept(member, Write { stamp, value }, true);
         Ok(())
     }
 
-    /// What a member's register holds.
+    /// The value in a member's register.
     pub fn read(&self, member: u16) -> Option<V> {
-        let writing = self.held.get(usize::from(member))?.as_ref()?;
-        postcard::from_bytes(&writing.bytes).ok()
+        let write = self.writes.get(usize::from(member))?.as_ref()?;
+        postcard::from_bytes(&write.value).ok()
     }
 
-    fn take(&mut self, member: u16, writing: Writing, news: bool) -> bool {
-        let held = &mut self.held[usize::from(member)];
-        let newer = held.as_ref().is_none_or(|held| writing.rank() > held.rank());
+    /// Keeps a write if it is newer than what is there.
+    fn accept(&mut self, member: u16, write: Write, gossip: bool) -> bool {
+        let current = &mut self.writes[usize::from(member)];
+        let newer = current.as_ref().is_none_or(|current| write.is_newer_than(current));
         if newer {
-            *held = Some(writing);
-            self.told.retain(|(told, _)| *told != member);
-            if news {
-                self.told.push_front((member, 0));
+            *current = Some(write);
+            self.pending.retain(|pending| pending.member != member);
+            if gossip {
+                self.pending.push_front(Pending { member, times_sent: 0 });
             }
         }
         newer
     }
 
-    /// One piece of `room` bytes at most, of the first of `members` that fit; and how many those are.
-    fn piece(&self, members: &[u16], room: usize) -> (Vec<u8>, usize) {
-        let entry = |member: &u16| Some((*member, self.held[usize::from(*member)].as_ref()?));
-        let mut entries: Vec<(u16, &Writing)> = Vec::new();
-        let (mut taken, mut bytes) = (0, 2); // Two bytes hold any count of entries.
+    /// One delta of `max_bytes` at most, of the first of `members` that fit; and how many those are.
+    fn encode_delta(&self, members: &[u16], max_bytes: usize) -> (Vec<u8>, usize) {
+        let entry = |member: &u16| Some((*member, self.writes[usize::from(*member)].as_ref()?));
+        let mut entries: Vec<(u16, &Write)> = Vec::new();
+        let (mut included, mut bytes) = (0, COUNT_BYTES);
         for member in members {
             if let Some(entry) = entry(member) {
-                bytes += postcard::experimental::serialized_size(&entry).unwrap_or(room);
-                if bytes > room {
+                bytes += postcard::experimental::serialized_size(&entry).unwrap_or(max_bytes);
+                if bytes > max_bytes {
                     break;
                 }
                 entries.push(entry);
             }
-            taken += 1;
+            included += 1;
         }
-        (postcard::to_allocvec(&entries).unwrap_or_default(), taken)
+        (postcard::to_allocvec(&entries).unwrap_or_default(), included)
     }
 }
 
-impl<V: Serialize + DeserializeOwned> Shared for Registers<V> {
-    fn digest(&mut self, room: usize) -> Vec<u8> {
-        // Five bytes hold any sum, five more where they begin and how many they are.
-        let span = (room.saturating_sub(5) / 5).min(SPAN).min(self.held.len());
-        if span == 0 {
+impl<V: Serialize + DeserializeOwned> SharedState for Registers<V> {
+    fn digest(&mut self, max_bytes: usize) -> Vec<u8> {
+        let fitting = max_bytes.saturating_sub(CHECKSUM_BYTES) / CHECKSUM_BYTES;
+        let count = fitting.min(MAX_CHECKSUMS).min(self.writes.len());
+        if count == 0 {
             return Vec::new();
         }
-        let from = self.cursor;
-        let upto = (from + span).min(self.held.len());
-        self.cursor = upto % self.held.len();
-        let sums = self.held[from..upto].iter().map(|writing| sum(writing.as_ref())).collect();
-        postcard::to_allocvec(&Sums { from: u16::try_from(from).unwrap_or(0), sums }).unwrap_or_default()
+        let first = self.next_digest;
+        let end = (first + count).min(self.writes.len());
+        self.next_digest = end % self.writes.len();
+        let checksums = self.writes[first..end].iter().map(|write| checksum(write.as_ref())).collect();
+        postcard::to_allocvec(&Checksums { first: u16::try_from(first).unwrap_or(0), checksums })
+            .unwrap_or_default()
     }
 
-    fn delta(&self, digest: &[u8], room: usize, pieces: usize) -> Result<Vec<Vec<u8>>, Malformed> {
-        let Sums { from, sums } = match digest {
-            [] => Sums { from: 0, sums: vec![0; self.held.len()] },
+    fn deltas(&self, digest: &[u8], max_bytes: usize, max_deltas: usize) -> Result<Vec<Vec<u8>>, Malformed> {
+        let Checksums { first, checksums } = match digest {
+            [] => Checksums { first: 0, checksums: vec![0; self.writes.len()] },
             _ => postcard::from_bytes(digest).map_err(|_| Malformed)?,
         };
-        if usize::from(from) + sums.len() > self.held.len() {
+        if usize::from(first) + checksums.len() > self.writes.len() {
             return Err(Malformed);
         }
-        let other = |(member, theirs): (u16, &u32)| {
-            let held = self.held[usize::from(member)].as_ref();
-            (held.is_some() && sum(held) != *theirs).then_some(member)
+        let differs = |(member, theirs): (u16, &u32)| {
+            let write = self.writes[usize::from(member)].as_ref();
+            (write.is_some() && checksum(write) != *theirs).then_some(member)
         };
-        let members: Vec<u16> = (from..).zip(&sums).filter_map(other).collect();
-        let (mut left, mut given) = (&members[..], Vec::new());
-        while !left.is_empty() && given.len() < pieces {
-            let (piece, taken) = self.piece(left, room);
-            if taken == 0 {
+        let members: Vec<u16> = (first..).zip(&checksums).filter_map(differs).collect();
+        let (mut left, mut deltas) = (&members[..], Vec::new());
+        while !left.is_empty() && deltas.len() < max_deltas {
+            let (delta, included) = self.encode_delta(left, max_bytes);
+            if included == 0 {
                 break;
             }
-            given.push(piece);
-            left = &left[taken..];
+            deltas.push(delta);
+            left = &left[included..];
         }
-        Ok(given)
+        Ok(deltas)
     }
 
-    fn news(&mut self, room: usize) -> Option<Vec<u8>> {
-        let members: Vec<u16> = self.told.iter().map(|(member, _)| *member).collect();
-        let (piece, taken) = self.piece(&members, room);
-        if taken == 0 {
+    fn next_gossip(&mut self, max_bytes: usize) -> Option<Vec<u8>> {
+        let members: Vec<u16> = self.pending.iter().map(|pending| pending.member).collect();
+        let (delta, included) = self.encode_delta(&members, max_bytes);
+        if included == 0 {
             return None;
         }
-        let again: Vec<(u16, u8)> =
-            self.told.drain(..taken).map(|(member, times)| (member, times + 1)).collect();
-        self.told.extend(again.into_iter().filter(|(_, times)| *times < TOLD));
-        Some(piece)
+        let sent: Vec<Pending> = self.pending.drain(..included).collect();
+        let repeated = sent
+            .into_iter()
+            .map(|Pending { member, times_sent }| Pending { member, times_sent: times_sent + 1 });
+        self.pending.extend(repeated.filter(|pending| pending.times_sent < TRANSMISSIONS));
+        Some(delta)
     }
 
-    fn merge(&mut self, piece: &[u8], news: bool) -> Result<bool, Malformed> {
-        let entries: Vec<(u16, Writing)> = postcard::from_bytes(piece).map_err(|_| Malformed)?;
-        let fits = |(member, writing): &(u16, Writing)| {
-            usize::from(*member) < self.held.len()
-                && writing.bytes.len() <= self.most
-                && postcard::from_bytes::<V>(&writing.bytes).is_ok()
+    fn merge(&mut self, delta: &[u8], gossip: bool) -> Result<bool, Malformed> {
+        let entries: Vec<(u16, Write)> = postcard::from_bytes(delta).map_err(|_| Malformed)?;
+        let valid = |(member, write): &(u16, Write)| {
+            usize::from(*member) < self.writes.len()
+                && write.value.len() <= self.max_value_bytes
+                && postcard::from_bytes::<V>(&write.value).is_ok()
         };
-        if !entries.iter().all(fits) {
+        if !entries.iter().all(valid) {
             return Err(Malformed);
         }
-        let mut new = false;
-        for (member, writing) in entries {
-            new |= self.take(member, writing, news);
+        let mut any_newer = false;
+        for (member, write) in entries {
+            any_newer |= self.accept(member, write, gossip);
         }
-        Ok(new)
+        Ok(any_newer)
     }
 }
--- a/crates/fleet/src/rings.rs
+++ b/crates/fleet/src/rings.rs
@@ -1,15 +1,18 @@
-//! Who watches whom: the next live member on each of eight fixed rings.
+//! Who monitors whom, as in Rapid (Suresh et al. 2018): a member's observers are the next live members on eight fixed
+//! rings, its subjects the previous ones.
 //!
-//! All members derive the same rings from the fleet's size. A ring's order is a hash's, so that neighbours on one
-//! ring are strangers on the others, and the graph of watchers stays connected when many are gone.
+//! All members derive the same rings from the fleet's size. A ring's order is that of a hash, so that neighbours on one
+//! ring are far apart on the others, and the monitoring graph stays connected when many members are dead.
 
-use crate::WATCHERS;
+use crate::OBSERVERS;
 use sha2::{Digest, Sha256};
 
 /// The rings of a fleet.
 #[derive(Debug, Clone)]
 pub struct Rings {
+    /// For each ring, the members in its order.
     order: Vec<Vec<u16>>,
+    /// For each ring, each member's place in that order.
     place: Vec<Vec<u16>>,
 }
 
@@ -22,11 +25,11 @@
 }
 
 impl Rings {
-    /// The rings of a fleet of `size`.
+    /// The rings of a fleet of `size` members.
     pub fn new(size: u16) -> Self {
         let mut order = Vec::new();
         let mut place = Vec::new();
-        for ring in 0..WATCHERS {
+        for ring in 0..OBSERVERS {
             let mut members: Vec<u16> = (0..size).collect();
             members.sort_by_cached_key(|member| rank(ring, *member));
             let mut places = vec![0; usize::from(size)];
@@ -39,36 +42,36 @@
         Self { order, place }
     }
 
-    /// Whom `of` sends beats to, where `out` tells who is gone.
-    pub fn watchers(&self, of: u16, out: impl Fn(u16) -> bool) -> Vec<u16> {
-        self.neighbours(of, out, 1)
+    /// The members that a member sends heartbeats to.
+    pub fn observers(&self, member: u16, is_dead: impl Fn(u16) -> bool) -> Vec<u16> {
+        self.neighbours(member, is_dead, 1)
     }
 
-    /// Whose beats `of` expects.
-    pub fn subjects(&self, of: u16, out: impl Fn(u16) -> bool) -> Vec<u16> {
-        self.neighbours(of, out, usize::from(self.size()) - 1)
+    /// The members whose heartbeats a member expects.
+    pub fn subjects(&self, member: u16, is_dead: impl Fn(u16) -> bool) -> Vec<u16> {
+        self.neighbours(member, is_dead, usize::from(self.size()) - 1)
     }
 
     fn size(&self) -> u16 {
         u16::try_from(self.order[0].len()).unwrap_or(u16::MAX)
     }
 
-    /// The nearest on each ring, `step` places at a time. While no more are live than there are rings, all are:
-    /// rings name some twice, and a small fleet needs each one.
-    fn neighbours(&self, of: u16, out: impl Fn(u16) -> bool, step: usize) -> Vec<u16> {
-        let mut live = (0..self.size()).filter(|member| *member != of && !out(*member));
-        let few: Vec<u16> = live.by_ref().take(WATCHERS).collect();
+    /// The nearest live member on each ring, `step` places at a time. While no more are live than there are rings, all
+    /// are neighbours: the rings name some twice, and a small fleet needs each one.
+    fn neighbours(&self, of: u16, is_dead: impl Fn(u16) -> bool, step: usize) -> Vec<u16> {
+        let mut live = (0..self.size()).filter(|member| *member != of && !is_dead(*member));
+        let few: Vec<u16> = live.by_ref().take(OBSERVERS).collect();
         if live.next().is_none() {
             return few;
         }
-        let mut chosen: Vec<u16> = Vec::with_capacity(WATCHERS);
+        let mut chosen: Vec<u16> = Vec::with_capacity(OBSERVERS);
         for (order, place) in self.order.iter().zip(&self.place) {
             let mut at = usize::from(place[usize::from(of)]);
             let next = std::iter::repeat_with(|| {
                 at = (at + step) % order.len();
                 order[at]
             });
-            let next = next.take(order.len()).find(|member| *member != of && !out(*member));
+            let next = next.take(order.len()).find(|member| *member != of && !is_dead(*member));
             chosen.extend(next.filter(|member| !chosen.contains(member)));
         }
         chosen
--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/fleet/tests/exhaustive.rs
@@ -2,7 +2,10 @@
 //! package's own code.
 
 use stateright::{Checker, Model, Property};
-use weirusher_fleet::{BEAT, Evidence, Heard, Millis, SILENCE, State, Table, cut_known, life_known};
+use weirusher_fleet::{
+    Evidence, HEARTBEAT_INTERVAL, MemberState, MemberTable, Millis, SUSPECT_TIMEOUT, SuspicionOutcome,
+    partition_known_within, recovery_known_within,
+};
 use weirusher_simulation::membership::{Member, Network};
 
 // ---- One member's table: messages about one other, lost, doubled, in any order. ----
@@ -10,129 +13,139 @@
 /// The member whose table it is, the one that it is about, and three that watch that one as well.
 const OBSERVER: u16 = 0;
 const SUBJECT: u16 = 1;
-const WATCHERS: [u16; 3] = [2, 3, 4];
+const OBSERVERS: [u16; 3] = [2, 3, 4];
 /// Time goes on by so much.
-const TICK: Millis = BEAT;
-/// The subject sends its last beat then, and the model ends a while later.
-const LAST_BEAT: Millis = 5 * TICK;
+const TICK: Millis = HEARTBEAT_INTERVAL;
+/// The subject sends its last heartbeat then, and the model ends a while later.
+const LAST_HEARTBEAT: Millis = 5 * TICK;
 const END: Millis = 14 * TICK;
 /// Messages that can come within one tick.
-const BUSY: u8 = 2;
+const MESSAGES_PER_TICK: u8 = 2;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Seen {
-    table: Table,
+struct Observed {
+    table: MemberTable,
     now: Millis,
-    came: u8,
-    /// When evidence last came that contradicted all accusations before it.
+    messages: u8,
+    /// When evidence last step that contradicted all accusations before it.
     cleared: Millis,
     /// Whether the table has said Gone, and later Alive of it.
     died: bool,
     revived: bool,
-    accused: bool,
+    suspected: bool,
 }
 
-impl Seen {
-    fn gone(&self) -> bool {
-        self.table.state(SUBJECT) == State::Gone
+impl Observed {
+    fn dead(&self) -> bool {
+        self.table.state(SUBJECT) == MemberState::Dead
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Came {
+enum Step {
     Tick,
-    /// A beat that the subject sent.
-    Beat(u32),
-    /// A watcher's accusation: nothing after this beat.
-    Accusation(u16, u32),
+    /// A heartbeat that the subject sent.
+    Heartbeat(u32),
+    /// A watcher's accusation: nothing after this heartbeat.
+    Suspicion(u16, u32),
 }
 
 struct OneTable;
 
-fn sent(beat: u32) -> Millis {
-    Millis::from(beat) * TICK
+fn sent(heartbeat: u32) -> Millis {
+    Millis::from(heartbeat) * TICK
 }
 
-fn evidence(beat: u32) -> Evidence {
-    Evidence { incarnation: 7, beat }
+fn evidence(heartbeat: u32) -> Evidence {
+    Evidence { incarnation: 7, heartbeat }
 }
 
 impl Model for OneTable {
-    type State = Seen;
-    type Action = Came;
-
-    fn init_states(&self) -> Vec<Seen> {
-        let mut table = Table::new(5, OBSERVER, 0);
-        table.alive(SUBJECT, evidence(0), 0, 0);
-        table.changes();
-        vec![Seen { table, now: 0, came: 0, cleared: 0, died: false, revived: false, accused: false }]
+    type State = Observed;
+    type Action = Step;
+
+    fn init_states(&self) -> Vec<Observed> {
+        let mut table = MemberTable::new(5, OBSERVER, 0);
+        table.handle_alive(SUBJECT, evidence(0), 0, 0);
+        table.take_changes();
+        vec![Observed {
+            table,
+            now: 0,
+            messages: 0,
+            cleared: 0,
+            died: false,
+            revived: false,
+            suspected: false,
+        }]
     }
 
-    fn actions(&self, state: &Seen, actions: &mut Vec<Came>) {
+    fn actions(&self, state: &Observed, actions: &mut Vec<Step>) {
         if state.now < END {
-            actions.push(Came::Tick);
+            actions.push(Step::Tick);
         }
-        if state.came >= BUSY {
+        if state.messages >= MESSAGES_PER_TICK {
             return;
         }
-        let newest = (state.now.min(LAST_BEAT) / TICK) as u32;
-        // The newest beat, one that was overtaken, and one long gone: any order is among these.
-        let mut beats = vec![newest, newest.saturating_sub(1), 1.min(newest)];
-        beats.dedup();
-        actions.extend(beats.into_iter().map(Came::Beat));
-        // A watcher waits for its patience, and can have lost any of the last beats itself.
-        for by in WATCHERS {
-            let patient = |beat: &u32| sent(*beat) + SILENCE <= state.now;
-            let lasts = [newest, newest.saturating_sub(4)].into_iter().filter(patient);
-            actions.extend(lasts.map(|last| Came::Accusation(by, last)));
+        let newest = (state.now.min(LAST_HEARTBEAT) / TICK) as u32;
+        // The newest heartbeat, one that was overtaken, and one long gone: any order is among these.
+        let mut heartbeats = vec![newest, newest.saturating_sub(1), 1.min(newest)];
+        heartbeats.dedup();
+        actions.extend(heartbeats.into_iter().map(Step::Heartbeat));
+        // A watcher waits for its patience, and can have lost any of the last heartbeats itself.
+        for by in OBSERVERS {
+            let silent_for_long = |heartbeat: &u32| sent(*heartbeat) + SUSPECT_TIMEOUT <= state.now;
+            let lasts = [newest, newest.saturating_sub(4)].into_iter().filter(silent_for_long);
+            actions.extend(lasts.map(|last| Step::Suspicion(by, last)));
         }
     }
 
-    fn next_state(&self, state: &Seen, came: Came) -> Option<Seen> {
+    fn next_state(&self, state: &Observed, step: Step) -> Option<Observed> {
         let mut next = state.clone();
         let now = next.now;
-        next.came += 1;
-        match came {
-            Came::Tick => {
-                (next.now, next.came) = (now + TICK, 0);
-                next.table.judge(false, next.now);
+        next.messages += 1;
+        match step {
+            Step::Tick => {
+                (next.now, next.messages) = (now + TICK, 0);
+                next.table.confirm_deaths(false, next.now);
             }
-            Came::Beat(beat) => {
-                let before = next.table.newest(SUBJECT);
-                next.table.alive(SUBJECT, evidence(beat), now - sent(beat), now);
-                if evidence(beat) > before && next.table.state(SUBJECT) == State::Alive {
+            Step::Heartbeat(heartbeat) => {
+                let before = next.table.latest(SUBJECT);
+                next.table.handle_alive(SUBJECT, evidence(heartbeat), now - sent(heartbeat), now);
+                if evidence(heartbeat) > before && next.table.state(SUBJECT) == MemberState::Alive {
                     next.cleared = now;
                 }
             }
-            Came::Accusation(by, last) => {
-                next.accused |= next.table.accused(SUBJECT, &[by], evidence(last), now) == Heard::Stands;
+            Step::Suspicion(by, last) => {
+                next.suspected |= next.table.handle_suspicion(SUBJECT, &[by], evidence(last), now)
+                    == SuspicionOutcome::Accepted;
             }
         }
-        for change in next.table.changes() {
-            next.died |= change.to == State::Gone;
-            next.revived |= change.from == State::Gone && change.to == State::Alive;
+        for change in next.table.take_changes() {
+            next.died |= change.to == MemberState::Dead;
+            next.revived |= change.from == MemberState::Dead && change.to == MemberState::Alive;
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody is gone whom nobody accused", |_, state: &Seen| {
-                !state.died || state.accused
+            Property::always("nobody is gone whom nobody suspected", |_, state: &Observed| {
+                !state.died || state.suspected
             }),
-            Property::always("half a second to contradict, from the last evidence on", |_, state: &Seen| {
-                !state.gone() || state.now - state.cleared >= 500
+            Property::always(
+                "half a second to contradict, from the last evidence on",
+                |_, state: &Observed| !state.dead() || state.now - state.cleared >= 500,
+            ),
+            Property::always("the newest evidence is never lost", |_, state: &Observed| {
+                state.table.latest(SUBJECT).heartbeat <= (state.now / TICK) as u32
             }),
-            Property::always("the newest evidence is never lost", |_, state: &Seen| {
-                state.table.newest(SUBJECT).beat <= (state.now / TICK) as u32
+            Property::always("old heartbeats do not revive the dead", |_, state: &Observed| {
+                // The last heartbeat was sent before anybody could be suspected for want of a later one.
+                !state.revived || state.now < LAST_HEARTBEAT + SUSPECT_TIMEOUT + 500 + TICK
             }),
-            Property::always("old beats do not revive the dead", |_, state: &Seen| {
-                // The last beat was sent before anybody could be accused for want of a later one.
-                !state.revived || state.now < LAST_BEAT + SILENCE + 500 + TICK
-            }),
-            Property::sometimes("a member can die", |_, state: &Seen| state.gone()),
-            Property::sometimes("a doubt can end", |_, state: &Seen| {
-                state.accused && state.table.state(SUBJECT) == State::Alive
+            Property::sometimes("a member can die", |_, state: &Observed| state.dead()),
+            Property::sometimes("a doubt can end", |_, state: &Observed| {
+                state.suspected && state.table.state(SUBJECT) == MemberState::Alive
             }),
         ]
     }
@@ -194,13 +207,13 @@
         net.run(STEP);
     }
     Fault::Heal.strike(&mut net);
-    net.run(cut_known(SIZE).max(life_known(SIZE)));
+    net.run(partition_known_within(SIZE).max(recovery_known_within(SIZE)));
     let running: Vec<u16> = (0..SIZE).filter(|member| net.runs(*member)).collect();
     running.iter().all(|by| {
         let others: Vec<u16> = (0..SIZE).filter(|of| of != by).collect();
         others.into_iter().all(|of| {
             let (member, _) = net.member(*by).expect("it runs");
-            let expected = if running.contains(&of) { State::Alive } else { State::Gone };
+            let expected = if running.contains(&of) { MemberState::Alive } else { MemberState::Dead };
             member.fleet.table().state(of) == expected
         })
     })
--- a/crates/fleet/tests/hard_cases.rs
+++ b/crates/fleet/tests/hard_cases.rs
@@ -1,7 +1,10 @@
 //! Members as they run in service, on a network in virtual time, under each fault that a fleet meets.
 
 use proptest::prelude::*;
-use weirusher_fleet::{BEAT, DEATH_KNOWN, Event, SILENCE, State, cut_known, forgotten_after, life_known};
+use weirusher_fleet::{
+    DEATH_KNOWN_WITHIN, Event, HEARTBEAT_INTERVAL, MemberState, SUSPECT_TIMEOUT, forget_timeout,
+    partition_known_within, recovery_known_within,
+};
 use weirusher_simulation::membership::{Belief, Member, Network, Way};
 
 type Net = Network<Member>;
@@ -21,21 +24,21 @@
     net
 }
 
-fn state(net: &mut Net, by: u16, of: u16) -> State {
+fn state(net: &mut Net, by: u16, of: u16) -> MemberState {
     net.member(by).expect("it runs").0.fleet.table().state(of)
 }
 
-fn hearing(net: &mut Net, of: u16) -> weirusher_fleet::Hearing {
+fn hearing(net: &mut Net, of: u16) -> weirusher_fleet::Reachability {
     let (member, now) = net.member(of).expect("it runs");
-    member.fleet.hearing(now)
+    member.fleet.reachability(now)
 }
 
 fn all_alive(net: &mut Net) -> bool {
-    (0..net.size()).all(|of| all_say(net, of, State::Alive))
+    (0..net.size()).all(|of| all_say(net, of, MemberState::Alive))
 }
 
 /// Whether all others say this of one.
-fn all_say(net: &mut Net, of: u16, said: State) -> bool {
+fn all_say(net: &mut Net, of: u16, said: MemberState) -> bool {
     (0..net.size()).filter(|by| *by != of).all(|by| state(net, by, of) == said)
 }
 
@@ -52,9 +55,12 @@
     assert_eq!(gone(&net), 0);
     for member in 0..40 {
         let hearing = hearing(&mut net, member);
-        assert_eq!((hearing.others, hearing.alive, hearing.denied), (39, 39, 0));
-        assert_eq!((hearing.heard, hearing.confirmed), (hearing.expected, hearing.watchers));
-        assert!(hearing.share() == 1.0);
+        assert_eq!((hearing.others, hearing.alive, hearing.observers_denying), (39, 39, 0));
+        assert_eq!(
+            (hearing.subjects_heard, hearing.observers_confirming),
+            (hearing.subjects, hearing.observers)
+        );
+        assert!(hearing.fraction() == 1.0);
     }
 }
 
@@ -64,10 +70,10 @@
         let mut net = settled(size, 2);
         net.kill(1);
         // Of two, the one that is left hears nobody: it cannot tell whose fault that is, and waits.
-        net.run(if size == 2 { forgotten_after(size) + BEAT } else { DEATH_KNOWN });
-        assert!(all_say(&mut net, 1, State::Gone), "{size}");
+        net.run(if size == 2 { forget_timeout(size) + HEARTBEAT_INTERVAL } else { DEATH_KNOWN_WITHIN });
+        assert!(all_say(&mut net, 1, MemberState::Dead), "{size}");
         net.start(1);
-        net.run(life_known(net.size()));
+        net.run(recovery_known_within(net.size()));
         assert!(all_alive(&mut net), "{size}");
     }
 }
@@ -78,8 +84,11 @@
     net.start(17);
     net.run(60_000);
     net.start(253);
-    net.run(life_known(300));
-    assert_eq!((state(&mut net, 17, 253), state(&mut net, 253, 17)), (State::Alive, State::Alive));
+    net.run(recovery_known_within(300));
+    assert_eq!(
+        (state(&mut net, 17, 253), state(&mut net, 253, 17)),
+        (MemberState::Alive, MemberState::Alive)
+    );
 }
 
 #[test]
@@ -95,7 +104,7 @@
     assert!(all_alive(&mut net));
     let now = net.member(4).unwrap().0.fleet.incarnation();
     for by in (0..20).filter(|by| *by != 4) {
-        assert_eq!(net.member(by).unwrap().0.fleet.table().newest(4).incarnation, now);
+        assert_eq!(net.member(by).unwrap().0.fleet.table().latest(4).incarnation, now);
     }
 }
 
@@ -110,7 +119,7 @@
     net.run(1_000);
     let (member, _) = net.member(4).unwrap();
     assert!(member.fleet.incarnation() > before);
-    assert!(matches!(member.events[..], [Event::Above(_)]), "{:?}", member.events);
+    assert!(matches!(member.events[..], [Event::IncarnationRaised(_)]), "{:?}", member.events);
     assert!(all_alive(&mut net));
 }
 
@@ -122,18 +131,18 @@
         let view = member.fleet.view(now);
         view.members
             .iter()
-            .find(|m| m.direct_ms.is_some_and(|ms| ms < BEAT + 50))
+            .find(|m| m.last_received_ms.is_some_and(|ms| ms < HEARTBEAT_INTERVAL + 50))
             .expect("it hears some")
             .number
     });
     net.block(mute, deaf);
     net.run(5_000);
-    assert_eq!(state(&mut net, deaf, mute), State::Alive);
-    assert_eq!(state(&mut net, mute, deaf), State::Alive);
+    assert_eq!(state(&mut net, deaf, mute), MemberState::Alive);
+    assert_eq!(state(&mut net, mute, deaf), MemberState::Alive);
     // The one that is not heard learns it by way of the others, and hears the deaf one as before.
     let (member, now) = net.member(mute).unwrap();
     let view = member.fleet.view(now);
-    assert!(view.members.iter().any(|m| m.number == deaf && m.denies), "{view:?}");
+    assert!(view.members.iter().any(|m| m.number == deaf && m.reports_unheard), "{view:?}");
     net.seen.clear();
     net.run(120_000);
     assert_eq!(gone(&net), 0);
@@ -141,7 +150,7 @@
     net.unblock();
     net.run(5_000);
     let (member, now) = net.member(mute).unwrap();
-    assert!(!member.fleet.view(now).members.iter().any(|m| m.denies));
+    assert!(!member.fleet.view(now).members.iter().any(|m| m.reports_unheard));
 }
 
 #[test]
@@ -155,8 +164,8 @@
     net.run(15_000);
     for member in 0..8 {
         let hearing = hearing(&mut net, member);
-        assert_eq!((hearing.heard, hearing.confirmed), (1, 0), "{hearing:?}");
-        assert!(hearing.share() == 0.0, "nobody can tell it that it is heard: {hearing:?}");
+        assert_eq!((hearing.subjects_heard, hearing.observers_confirming), (1, 0), "{hearing:?}");
+        assert!(hearing.fraction() == 0.0, "nobody can tell it that it is heard: {hearing:?}");
     }
     let changes = net.seen.len();
     net.run(120_000);
@@ -167,7 +176,7 @@
 #[test]
 fn cuts_in_two_three_and_singles_are_known_and_heal_even_along_another_line() {
     // Some members have no watcher on the other side: those are not accused, but forgotten.
-    let known = cut_known(24);
+    let known = partition_known_within(24);
     let mut net = settled(24, 7);
     net.cut(|member| u8::from(member < 12));
     net.run(known);
@@ -187,22 +196,22 @@
         assert_eq!(hearing(&mut net, member).alive, 7);
     }
     net.cut(|member| member as u8);
-    net.run(2 * SILENCE);
+    net.run(2 * SUSPECT_TIMEOUT);
     for member in 0..24 {
         let hearing = hearing(&mut net, member);
-        assert!(hearing.share() == 0.0 && hearing.heard == 0, "{hearing:?}");
+        assert!(hearing.fraction() == 0.0 && hearing.subjects_heard == 0, "{hearing:?}");
     }
     net.run(known);
     for member in 0..24 {
         assert_eq!(hearing(&mut net, member).alive, 0);
     }
     net.cut(|_| 0);
-    net.run(life_known(net.size()) + DEATH_KNOWN);
+    net.run(recovery_known_within(net.size()) + DEATH_KNOWN_WITHIN);
     assert!(all_alive(&mut net));
     // Each cut left less than half of the fleet within reach, and was told once.
     for member in 0..24 {
         let told = &net.member(member).unwrap().0.events;
-        assert!(matches!(told[..], [Event::Cut(_), Event::Whole(_)]), "{member}: {told:?}");
+        assert!(matches!(told[..], [Event::Isolated(_), Event::Reconnected(_)]), "{member}: {told:?}");
     }
 }
 
@@ -210,10 +219,10 @@
 fn one_that_hears_nobody_takes_nobody_for_dead_until_it_forgets() {
     let mut net = settled(24, 21);
     (1..24).for_each(|from| net.block(from, 0));
-    net.run(forgotten_after(24) - 1_000);
+    net.run(forget_timeout(24) - 1_000);
     assert_eq!(net.seen.iter().filter(|seen| seen.by == 0 && seen.belief == Belief::Gone).count(), 0);
-    assert!(hearing(&mut net, 0).share() == 0.0);
-    net.run(cut_known(24));
+    assert!(hearing(&mut net, 0).fraction() == 0.0);
+    net.run(partition_known_within(24));
     assert_eq!(hearing(&mut net, 0).alive, 0);
 }
 
@@ -225,8 +234,8 @@
     assert_eq!(gone(&net), 0);
     // And what is lost for good is still found.
     net.kill(3);
-    net.run(DEATH_KNOWN + 4_000);
-    assert!(all_say(&mut net, 3, State::Gone));
+    net.run(DEATH_KNOWN_WITHIN + 4_000);
+    assert!(all_say(&mut net, 3, MemberState::Dead));
 }
 
 #[test]
@@ -236,20 +245,24 @@
         let before = net.member(2).unwrap().0.fleet.incarnation();
         net.stop(2);
         net.run(sleep);
-        assert!(all_say(&mut net, 2, State::Gone));
+        assert!(all_say(&mut net, 2, MemberState::Dead));
         // Whatever it does first: it hears nobody, whatever it believed and whatever waited in its socket.
         net.resume(2);
         let hearing = hearing(&mut net, 2);
-        assert_eq!((hearing.heard, hearing.confirmed, hearing.age_ms), (0, 0, None), "{hearing:?}");
-        assert!(hearing.share() == 0.0);
+        assert_eq!(
+            (hearing.subjects_heard, hearing.observers_confirming, hearing.last_received_ms),
+            (0, 0, None),
+            "{hearing:?}"
+        );
+        assert!(hearing.fraction() == 0.0);
         let (member, _) = net.member(2).unwrap();
         assert_eq!(member.fleet.incarnation(), before + 1);
         assert!(
-            matches!(member.events[..], [Event::Away(ms), ..] if ms + SILENCE > sleep),
+            matches!(member.events[..], [Event::Paused(ms), ..] if ms + SUSPECT_TIMEOUT > sleep),
             "{:?}",
             member.events
         );
-        net.run(life_known(net.size()));
+        net.run(recovery_known_within(net.size()));
         assert!(all_alive(&mut net), "{sleep}");
     }
 }
@@ -264,18 +277,18 @@
     let older = net.member(2).unwrap().0.fleet.incarnation();
     let mut twin = Member::new(16, 2, older, 99, 0);
     for at in (0..4_000).step_by(30) {
-        twin.fleet.advance(at);
+        twin.fleet.handle_timeout(at);
     }
     net.start(2);
     net.run(3_000);
     let newer = net.member(2).unwrap().0.fleet.incarnation();
     let (_, told) = answer(&mut net, 5, 2);
-    twin.fleet.receive(told.0, &told.1, 4_010);
-    assert!(std::iter::from_fn(|| twin.fleet.event()).any(|event| event == Event::Superseded(newer)));
-    assert!(twin.fleet.hearing(4_020).superseded && twin.fleet.hearing(4_020).share() == 0.0);
-    while twin.fleet.transmit().is_some() {}
-    (4_020..9_000).step_by(30).for_each(|at| twin.fleet.advance(at));
-    assert!(twin.fleet.transmit().is_none(), "it still takes part");
+    twin.fleet.handle_datagram(told.0, &told.1, 4_010);
+    assert!(std::iter::from_fn(|| twin.fleet.poll_event()).any(|event| event == Event::Superseded(newer)));
+    assert!(twin.fleet.reachability(4_020).superseded && twin.fleet.reachability(4_020).fraction() == 0.0);
+    while twin.fleet.poll_transmit().is_some() {}
+    (4_020..9_000).step_by(30).for_each(|at| twin.fleet.handle_timeout(at));
+    assert!(twin.fleet.poll_transmit().is_none(), "it still takes part");
 }
 
 /// A datagram that `from` sends to `to`, taken off the wire.
@@ -283,8 +296,8 @@
     let (member, now) = net.member(from).expect("it runs");
     let source: std::net::SocketAddr = ([127, 0, 0, 1], 1024 + from).into();
     for step in (0..60_000).step_by(30) {
-        member.fleet.advance(now + step);
-        while let Some((address, bytes)) = member.fleet.transmit() {
+        member.fleet.handle_timeout(now + step);
+        while let Some((address, bytes)) = member.fleet.poll_transmit() {
             if address.port() == 1024 + to {
                 return (from, (source, bytes));
             }
@@ -297,12 +310,12 @@
 fn seven_in_ten_that_die_at_once_are_all_found_and_come_back() {
     let mut net = settled(100, 11);
     (0..70).for_each(|member| net.kill(member));
-    net.run(cut_known(100));
+    net.run(partition_known_within(100));
     for by in 70..100 {
         assert_eq!(hearing(&mut net, by).alive, 29, "{by}");
     }
     (0..70).for_each(|member| net.start(member));
-    net.run(life_known(100));
+    net.run(recovery_known_within(100));
     assert!(all_alive(&mut net));
 }
 
@@ -315,7 +328,7 @@
         net.run(4_000);
         assert!(net.seen.iter().all(|seen| seen.belief != Belief::Gone || rolled.contains(&seen.of)));
         rolled.iter().for_each(|member| net.start(*member));
-        net.run(life_known(net.size()));
+        net.run(recovery_known_within(net.size()));
         assert!(all_alive(&mut net));
         net.seen.clear();
     }
@@ -354,8 +367,8 @@
     net.run(5);
     let after = counters(&mut net);
     assert_eq!(after.replayed, before.replayed + 1);
-    assert_eq!(after.misplaced, before.misplaced + 1);
-    assert_eq!(after.forged, before.forged + 3);
+    assert_eq!(after.wrong_sender, before.wrong_sender + 1);
+    assert_eq!(after.unauthenticated, before.unauthenticated + 3);
     assert_eq!(after.oversized, before.oversized + 1);
     for _ in 0..100 {
         for _ in 0..100 {
@@ -363,9 +376,9 @@
         }
         net.run(100);
     }
-    let flooded = counters(&mut net).flooded;
+    let flooded = counters(&mut net).rate_limited;
     assert!(flooded > 9_000, "{flooded}");
-    assert!((0..12).filter(|of| ![2, 7].contains(of)).all(|of| state(&mut net, 2, of) == State::Alive));
+    assert!((0..12).filter(|of| ![2, 7].contains(of)).all(|of| state(&mut net, 2, of) == MemberState::Alive));
     assert_eq!(net.seen.iter().filter(|seen| seen.belief == Belief::Gone && seen.of != 7).count(), 0);
 }
 
@@ -380,8 +393,8 @@
     net.run(5_000);
     net.inject(5, 2, old);
     net.run(1_000);
-    assert_eq!(state(&mut net, 2, 5), State::Gone);
-    assert!(net.member(2).unwrap().0.fleet.counters().unproven > 0);
+    assert_eq!(state(&mut net, 2, 5), MemberState::Dead);
+    assert!(net.member(2).unwrap().0.fleet.counters().stale_recipient > 0);
 }
 
 #[test]
@@ -392,9 +405,9 @@
     (0..6).for_each(|member| net.start(member));
     net.run(5_000);
     let (member, _) = net.member(0).unwrap();
-    assert!(member.fleet.counters().other_size > 0);
-    assert!(member.events.contains(&Event::OtherSize(5, 7)));
-    assert_ne!(member.fleet.table().state(5), State::Alive);
+    assert!(member.fleet.counters().wrong_fleet_size > 0);
+    assert!(member.events.contains(&Event::FleetSizeMismatch { member: 5, size: 7 }));
+    assert_ne!(member.fleet.table().state(5), MemberState::Alive);
 }
 
 #[test]
@@ -465,18 +478,18 @@
         net.cut(|_| 0);
         net.unblock();
         net.way = Way::default();
-        net.run(cut_known(SIZE).max(life_known(SIZE)));
+        net.run(partition_known_within(SIZE).max(recovery_known_within(SIZE)));
         net.seen.clear();
         net.run(20_000);
         prop_assert!(net.seen.is_empty(), "{:?}", net.seen);
         let running: Vec<u16> = (0..SIZE).filter(|member| net.runs(*member)).collect();
         for by in &running {
             for of in (0..SIZE).filter(|of| of != by) {
-                let expected = if running.contains(&of) { State::Alive } else { State::Gone };
+                let expected = if running.contains(&of) { MemberState::Alive } else { MemberState::Dead };
                 prop_assert_eq!(state(&mut net, *by, of), expected, "{} of {}", by, of);
             }
             let hearing = hearing(&mut net, *by);
-            prop_assert_eq!((hearing.heard, hearing.denied), (hearing.expected, 0));
+            prop_assert_eq!((hearing.subjects_heard, hearing.observers_denying), (hearing.subjects, 0));
         }
     }
 }
--- a/crates/fleet/tests/shared_state.rs
+++ b/crates/fleet/tests/shared_state.rs
@@ -1,7 +1,7 @@
 //! What every shared state must keep: pieces may be lost, doubled, mixed; sizes are bounded; what differs is found.
 
 use proptest::prelude::*;
-use weirusher_fleet::{Fact, Fleet, MOST_BYTES, Registers, Settings, Shared};
+use weirusher_fleet::{MAX_DATAGRAM_BYTES, Membership, Registers, SelfReport, Settings, SharedState};
 
 const SIZE: u16 = 150;
 const MOST: usize = 48;
@@ -14,23 +14,23 @@
 }
 
 /// One state a writer, each with its own writings only.
-fn written(writings: &Writings) -> Registers<Fact> {
+fn written(writings: &Writings) -> Registers<SelfReport> {
     let mut state = Registers::new(SIZE, MOST);
-    for (member, incarnation, deaf) in writings {
-        state.write(*member, *incarnation, &Fact { deaf: deaf.clone() }).unwrap();
+    for (member, incarnation, unheard) in writings {
+        state.write(*member, *incarnation, &SelfReport { unheard_subjects: unheard.clone() }).unwrap();
     }
     state
 }
 
-fn copy(state: &Registers<Fact>) -> Vec<Vec<u8>> {
-    state.delta(&[], 1000, usize::MAX).unwrap()
+fn copy(state: &Registers<SelfReport>) -> Vec<Vec<u8>> {
+    state.deltas(&[], 1000, usize::MAX).unwrap()
 }
 
-fn contents(state: &Registers<Fact>) -> Vec<Option<Fact>> {
+fn contents(state: &Registers<SelfReport>) -> Vec<Option<SelfReport>> {
     (0..SIZE).map(|member| state.read(member)).collect()
 }
 
-fn merged(pieces: &[&Vec<u8>]) -> Registers<Fact> {
+fn merged(pieces: &[&Vec<u8>]) -> Registers<SelfReport> {
     let mut state = Registers::new(SIZE, MOST);
     for piece in pieces {
         state.merge(piece, true).unwrap();
@@ -60,17 +60,17 @@
         for _ in 0..200 {
             let (ask_a, ask_b) = (a.digest(400), b.digest(400));
             prop_assert!(ask_a.len() <= 400 && ask_b.len() <= 400);
-            for piece in b.delta(&ask_a, 200, 2).unwrap() {
+            for piece in b.deltas(&ask_a, 200, 2).unwrap() {
                 prop_assert!(piece.len() <= 200);
                 if rng.bool() { a.merge(&piece, true).unwrap(); }
             }
-            for piece in a.delta(&ask_b, 200, 2).unwrap() {
+            for piece in a.deltas(&ask_b, 200, 2).unwrap() {
                 if rng.bool() { b.merge(&piece, true).unwrap(); }
             }
         }
         prop_assert_eq!(contents(&a), contents(&b));
         let ask = a.digest(1000);
-        prop_assert!(b.delta(&ask, 1000, 9).unwrap().is_empty(), "equal states have nothing to give");
+        prop_assert!(b.deltas(&ask, 1000, 9).unwrap().is_empty(), "equal states have nothing to give");
     }
 
     #[test]
@@ -80,14 +80,14 @@
         if state.merge(&bytes, true).is_err() {
             prop_assert_eq!(contents(&state), before);
         }
-        let _ = state.delta(&bytes, 1000, 3); // It must not panic, whatever it says.
-        prop_assert!(state.delta(&[], 1000, usize::MAX).unwrap().iter().all(|piece| piece.len() <= 1000));
+        let _ = state.deltas(&bytes, 1000, 3); // It must not panic, whatever it says.
+        prop_assert!(state.deltas(&[], 1000, usize::MAX).unwrap().iter().all(|piece| piece.len() <= 1000));
     }
 }
 
 #[test]
 fn the_newest_writing_wins_also_under_a_clock_that_stands_earlier() {
-    let fact = |n: u16| Fact { deaf: vec![n] };
+    let fact = |n: u16| SelfReport { unheard_subjects: vec![n] };
     let mut state = Registers::new(4, MOST);
     state.write(1, 1000, &fact(1)).unwrap();
     state.write(1, 900, &fact(2)).unwrap();
@@ -103,17 +103,17 @@
 #[test]
 fn a_value_larger_than_a_register_is_refused() {
     let mut state = Registers::new(4, MOST);
-    assert!(state.write(1, 1, &Fact { deaf: vec![60_000; 30] }).is_err());
+    assert!(state.write(1, 1, &SelfReport { unheard_subjects: vec![60_000; 30] }).is_err());
     assert_eq!(state.read(1), None);
 }
 
 #[test]
 fn news_is_told_for_a_while_and_then_no_more() {
     let mut state = Registers::new(4, MOST);
-    state.write(1, 1, &Fact::default()).unwrap();
-    let told = std::iter::from_fn(|| state.news(100)).take(1000).count();
+    state.write(1, 1, &SelfReport::default()).unwrap();
+    let told = std::iter::from_fn(|| state.next_gossip(100)).take(1000).count();
     assert!((8..100).contains(&told), "{told}");
-    assert_eq!(state.news(3), None, "what does not fit is not told");
+    assert_eq!(state.next_gossip(3), None, "what does not fit is not told");
 }
 
 /// Two members that carry seven states, each full of one's own writings: whatever is sent fits a datagram, and what one
@@ -122,43 +122,46 @@
 fn carried_states_reach_the_others_in_datagrams_that_fit() {
     const MEMBERS: u16 = 500;
     let address = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 3000 + n));
-    let mut fleets: Vec<Fleet> = (0..2)
+    let mut fleets: Vec<Membership> = (0..2)
         .map(|me| {
             let members = (0..MEMBERS).map(address).collect();
             let settings = Settings { instance: me, members, key: vec![7; 32] };
-            Fleet::new(settings, 100 + u64::from(me), u64::from(me), 0).unwrap()
+            Membership::new(settings, 100 + u64::from(me), u64::from(me), 0).unwrap()
         })
         .collect();
     let mut kinds = Vec::new();
     for fleet in &mut fleets {
-        kinds =
-            (0..7).map(|_| fleet.carry(Box::new(Registers::<Fact>::new(MEMBERS, MOST))).unwrap()).collect();
+        kinds = (0..7)
+            .map(|_| {
+                fleet.register_shared_state(Box::new(Registers::<SelfReport>::new(MEMBERS, MOST))).unwrap()
+            })
+            .collect();
     }
     let mut full = Registers::new(MEMBERS, MOST);
     for member in 0..MEMBERS {
-        full.write(member, 1, &Fact { deaf: vec![60_000; 8] }).unwrap();
+        full.write(member, 1, &SelfReport { unheard_subjects: vec![60_000; 8] }).unwrap();
     }
     for piece in copy(&full) {
         for kind in &kinds {
-            fleets[0].shared(*kind).unwrap().merge(&piece, false).unwrap();
+            fleets[0].shared_state(*kind).unwrap().merge(&piece, false).unwrap();
         }
     }
     // Each makes known the other, and then what it holds: 7 times 500 registers of 30 bytes at 8,000 bytes a second.
     for now in (0..120_000).step_by(10) {
         for from in 0..2u16 {
-            fleets[usize::from(from)].advance(now);
-            while let Some((to, bytes)) = fleets[usize::from(from)].transmit() {
-                assert!(bytes.len() <= MOST_BYTES, "{}", bytes.len());
+            fleets[usize::from(from)].handle_timeout(now);
+            while let Some((to, bytes)) = fleets[usize::from(from)].poll_transmit() {
+                assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
                 if to == address(1 - from) {
-                    fleets[usize::from(1 - from)].receive(address(from), &bytes, now);
+                    fleets[usize::from(1 - from)].handle_datagram(address(from), &bytes, now);
                 }
             }
         }
     }
     let [first, second] = &mut fleets[..] else { unreachable!("there are two") };
     for kind in kinds {
-        let (first, second) = (first.shared(kind).unwrap(), second.shared(kind).unwrap());
-        assert_eq!(first.delta(&[], 1000, usize::MAX), second.delta(&[], 1000, usize::MAX), "{kind}");
+        let (first, second) = (first.shared_state(kind).unwrap(), second.shared_state(kind).unwrap());
+        assert_eq!(first.deltas(&[], 1000, usize::MAX), second.deltas(&[], 1000, usize::MAX), "{kind}");
     }
-    assert_eq!(second.counters().unreadable, 0);
+    assert_eq!(second.counters().malformed_state, 0);
 }
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -1,6 +1,6 @@
 //! The datagram format on the network, pinned byte by byte: members of different versions must understand each other.
 
-use weirusher_fleet::{Copy, GONE, Header, Packet, Part, Seal};
+use weirusher_fleet::{AGE_DEAD, Authenticator, CompactHeartbeat, Datagram, Header, Message};
 
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
 
@@ -12,41 +12,47 @@
 ];
 
 /// A datagram that holds each kind of message, with its authentication tag.
-fn datagram() -> (Packet, Vec<u8>) {
+fn datagram() -> (Datagram, Vec<u8>) {
     let header = Header {
-        size: 300,
-        from: 7,
-        to: 299,
+        fleet_size: 300,
+        sender: 7,
+        recipient: 299,
         incarnation: 1_800_000_000_000,
-        knows: 1_800_000_000_123,
+        recipient_incarnation: 1_800_000_000_123,
         sequence: 70_000,
-        beat: 4_242,
-        hears: true,
-        watch: false,
+        heartbeat: 4_242,
+        hears_recipient: true,
+        wants_heartbeats: false,
     };
-    let parts = vec![
-        Part::Life { member: 3, incarnation: 9, beat: 1_000, age: 12, news: true },
-        Part::Copies {
-            from: 296,
-            beats: vec![
-                Copy { incarnation: 65_535, beat: 77, age: 5 },
-                Copy { incarnation: 0, beat: 0, age: GONE },
+    let messages = vec![
+        Message::Alive { member: 3, incarnation: 9, heartbeat: 1_000, age: 12, gossip: true },
+        Message::Heartbeats {
+            first: 296,
+            heartbeats: vec![
+                CompactHeartbeat { incarnation: 65_535, heartbeat: 77, age: 5 },
+                CompactHeartbeat { incarnation: 0, heartbeat: 0, age: AGE_DEAD },
             ],
         },
-        Part::Silent { member: 4, incarnation: 11, beat: 13, by: vec![1, 2, 200], news: false },
-        Part::Digest { kind: 0, digest: vec![1, 2, 3] },
-        Part::Piece { kind: 1, piece: vec![255, 0], news: true },
+        Message::Suspect {
+            member: 4,
+            incarnation: 11,
+            heartbeat: 13,
+            suspectors: vec![1, 2, 200],
+            gossip: false,
+        },
+        Message::Digest { kind: 0, digest: vec![1, 2, 3] },
+        Message::Delta { kind: 1, delta: vec![255, 0], gossip: true },
     ];
-    let packet = Packet { header, parts };
-    let bytes = Seal::new(KEY).unwrap().close(postcard::to_allocvec(&packet).unwrap());
-    (packet, bytes)
+    let content = Datagram { header, messages };
+    let bytes = Authenticator::new(KEY).unwrap().sign(postcard::to_allocvec(&content).unwrap());
+    (content, bytes)
 }
 
 #[test]
 fn the_bytes_of_an_authenticated_datagram_stay_as_they_are() {
-    let (packet, bytes) = datagram();
+    let (content, bytes) = datagram();
     let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(text, EXPECTED.concat());
-    let content = Seal::new(KEY).unwrap().open(&bytes).unwrap().to_vec();
-    assert_eq!(postcard::from_bytes::<Packet>(&content).unwrap(), packet);
+    let verified = Authenticator::new(KEY).unwrap().verify(&bytes).unwrap().to_vec();
+    assert_eq!(postcard::from_bytes::<Datagram>(&verified).unwrap(), content);
 }
--- a/crates/peers/src/clock.rs
+++ b/crates/peers/src/clock.rs
@@ -1,18 +1,20 @@
-//! The clocks: one that also runs while the machine sleeps, for all that is decided; the wall clock once, for a first
-//! guess at the incarnation.
+//! The clocks: a monotonic one that also runs while the machine sleeps, for all decisions, and the wall clock, read once
+//! for a first guess at the incarnation.
 
 use nix::time::{ClockId, clock_gettime};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use weirusher_fleet::Millis;
 
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
 /// Milliseconds since the machine started, its sleep included: a process must find out that it slept.
-pub(crate) fn now() -> Millis {
+pub(crate) fn monotonic_now() -> Millis {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from);
     Millis::try_from(time.as_millis()).unwrap_or(Millis::MAX)
 }
 
-/// Milliseconds since the epoch, by a wall clock that is `shift` seconds off.
-pub(crate) fn wall(shift: f64) -> u64 {
+/// Milliseconds since the epoch, by a wall clock that is `shift_seconds` ahead.
+pub(crate) fn wall_clock_now(shift_seconds: f64) -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    ((unix.as_secs_f64() + shift).max(0.0) * 1000.0) as u64
+    ((unix.as_secs_f64() + shift_seconds).max(0.0) * MILLIS_PER_SECOND) as u64
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,11 +1,12 @@
-//! The shell of [`weirusher_fleet`]: one UDP socket, the clock, log lines, and the page that shows what is believed.
-//! It decides nothing. Where there is no `[fleet]`, nothing of it is started.
+//! Runs [`weirusher_fleet::Membership`]: one UDP socket, the clock, log lines, and the admin page with the views. It
+//! decides nothing. Without `[fleet]` in the configuration, nothing of it is started.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod clock;
+mod driver;
+mod event_log;
 pub mod page;
 mod peers;
-mod told;
 
 pub use peers::{Peers, StartError};
--- a/crates/peers/src/page.rs
+++ b/crates/peers/src/page.rs
@@ -1,4 +1,4 @@
-//! The connections of an admin page: few at once, none quiet for long.
+//! A small HTTP server and client for admin pages: few connections at once, none idle for long.
 
 use futures::{SinkExt, StreamExt};
 use std::io;
@@ -11,48 +11,50 @@
 use weirusher_wire::http1::{ClientCodec, Request, Response, ServerCodec};
 
 /// Connections at once; a further one is closed.
-const CONNECTIONS: usize = 16;
-/// How long a connection may be quiet.
-const IDLE: Duration = Duration::from_secs(10);
+const MAX_CONNECTIONS: usize = 16;
+/// How long a connection may be idle, and how long a response may take to be sent.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Status of a response to a request that could not be read. The connection is closed after it.
+const BAD_REQUEST: u16 = 400;
 
-/// What a page answers.
-pub trait Answer: Clone + Send + Sync + 'static {
-    /// The answer to a request.
-    fn answer(&self, request: &Request) -> impl Future<Output = Response> + Send;
+/// What serves the requests of a page.
+pub trait Handler: Clone + Send + Sync + 'static {
+    /// The response to a request.
+    fn handle(&self, request: &Request) -> impl Future<Output = Response> + Send;
 }
 
 /// Serves a page until it is aborted.
-pub async fn serve(mut listener: Listener, page: impl Answer) {
-    let slots = Arc::new(Semaphore::new(CONNECTIONS));
+pub async fn serve(mut listener: Listener, handler: impl Handler) {
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let stream = listener.accept().await;
         let Ok(slot) = slots.clone().try_acquire_owned() else { continue };
-        let page = page.clone();
+        let handler = handler.clone();
         tokio::spawn(async move {
-            connection(stream.into(), &page).await;
+            serve_connection(stream.into(), &handler).await;
             drop(slot);
         });
     }
 }
 
-async fn connection(stream: Stream, page: &impl Answer) {
+async fn serve_connection(stream: Stream, handler: &impl Handler) {
     let mut framed = Framed::new(stream, ServerCodec::default());
-    while let Ok(Some(request)) = tokio::time::timeout(IDLE, framed.next()).await {
+    while let Ok(Some(request)) = tokio::time::timeout(IDLE_TIMEOUT, framed.next()).await {
         let response = match request {
-            Ok(request) => page.answer(&request).await,
-            Err(error) => Response::text(400, error.to_string()),
+            Ok(request) => handler.handle(&request).await,
+            Err(error) => Response::text(BAD_REQUEST, error.to_string()),
         };
-        let bad = response.status == 400;
-        if !matches!(tokio::time::timeout(IDLE, framed.send(response)).await, Ok(Ok(()))) || bad {
+        let bad = response.status == BAD_REQUEST;
+        if !matches!(tokio::time::timeout(IDLE_TIMEOUT, framed.send(response)).await, Ok(Ok(()))) || bad {
             return;
         }
     }
 }
 
-/// Asks a page.
+/// Gets a page.
 ///
 /// # Errors
-/// There is no page, or its answer is not of the form.
+/// Nothing listens there, or the response cannot be read.
 pub async fn get(address: SocketAddr, path: &str) -> io::Result<Response> {
     let mut framed = Framed::new(Stream::connect(address).await?, ClientCodec::default());
     let request = Request { method: "GET".into(), path: path.into(), ..Request::default() };
--- a/crates/peers/tests/page_keys.rs
+++ b/crates/peers/tests/page_keys.rs
@@ -1,12 +1,12 @@
 //! The JSON keys of `/fleet` and `/fleet/brief`, pinned: operators' tools and kept captures read them.
 
 use std::net::SocketAddr;
-use weirusher_fleet::{Fleet, Settings};
+use weirusher_fleet::{Membership, Settings};
 
-fn fleet() -> Fleet {
+fn fleet() -> Membership {
     let members = [2000, 2001].map(|port| SocketAddr::from(([127, 0, 0, 1], port))).to_vec();
     let settings = Settings { instance: 0, members, key: vec![7; 32] };
-    Fleet::new(settings, 9, 1, 0).unwrap()
+    Membership::new(settings, 9, 1, 0).unwrap()
 }
 
 const REACHABILITY: &str = concat!(
@@ -32,14 +32,14 @@
 
 #[test]
 fn the_brief_view_keeps_its_keys() {
-    let brief = serde_json::to_string(&fleet().brief(5)).unwrap();
+    let brief = serde_json::to_string(&fleet().view_summary(5)).unwrap();
     let expected = [r#"{"number":0,"incarnation":9,"#, REACHABILITY, r#","alive":[],"gone":[]}"#];
     assert_eq!(brief, expected.concat());
 }
 
 #[test]
 fn the_states_keep_their_words() {
-    use weirusher_fleet::State::{Alive, Gone, Suspected, Unknown};
-    let words = [Unknown, Alive, Suspected, Gone].map(|state| serde_json::to_string(&state).unwrap());
+    use weirusher_fleet::MemberState::{Alive, Dead, Suspected, Unknown};
+    let words = [Unknown, Alive, Suspected, Dead].map(|state| serde_json::to_string(&state).unwrap());
     assert_eq!(words, [r#""unknown""#, r#""alive""#, r#""suspected""#, r#""gone""#]);
 }
--- a/crates/scenarios/src/peers.rs
+++ b/crates/scenarios/src/peers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 use weirusher_fakes::{Belief, Fact, Recorder, Reply, Scripted, Switch, frame};
-use weirusher_fleet::Brief;
+use weirusher_fleet::ViewSummary;
 
 /// The fleet's key, and that of strangers: known to a rehearsal's own processes, and of no use elsewhere.
 const KEYS: [&str; 2] = ["rehearsal-only-rehearsal-only-32", "strangers-only-strangers-only-32"];
@@ -104,20 +104,20 @@
     }
 }
 
-async fn brief(page: SocketAddr) -> Option<Brief> {
+async fn brief(page: SocketAddr) -> Option<ViewSummary> {
     let answer = weirusher_peers::page::get(page, "/fleet/brief").await.ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
-fn belief(brief: &Brief) -> Belief {
+fn belief(brief: &ViewSummary) -> Belief {
     let numbers = |members: &[u16]| members.iter().map(|number| usize::from(*number)).collect();
     Belief {
         incarnation: brief.incarnation,
         alive: numbers(&brief.alive),
-        gone: numbers(&brief.gone),
-        share: brief.hearing.share(),
-        heard: brief.hearing.heard,
-        superseded: brief.hearing.superseded,
+        gone: numbers(&brief.dead),
+        share: brief.reachability.fraction(),
+        heard: brief.reachability.subjects_heard,
+        superseded: brief.reachability.superseded,
     }
 }
 
--- a/crates/scenarios/src/views.rs
+++ b/crates/scenarios/src/views.rs
@@ -3,11 +3,13 @@
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 use weirusher_fakes::{Belief, Fate};
-use weirusher_fleet::{AWAY, BEAT, SILENCE, cut_known, life_known};
+use weirusher_fleet::{
+    HEARTBEAT_INTERVAL, PAUSE_THRESHOLD, SUSPECT_TIMEOUT, partition_known_within, recovery_known_within,
+};
 
 /// Seconds that a busy machine may add to any bound, timers and this rig's own questions together. A process that is
 /// later than that itself has been away, and says so.
-const BUSY: f64 = AWAY as f64 / 1000.0;
+const BUSY: f64 = PAUSE_THRESHOLD as f64 / 1000.0;
 /// Seconds for which nobody may state nothing: what is not stated cannot be judged.
 const MUTE: f64 = 3.0;
 /// A new process takes a later life of its number for an earlier process's for so long, in seconds.
@@ -281,7 +283,8 @@
     }
 
     fn judge_twin(&self, gk: usize, twin: bool, since: f64, asked: f64, belief: &Belief) -> Option<Wrong> {
-        let settled = asked > since + STARTING + life_known(self.size as u16) as f64 / 1000.0 + BUSY;
+        let settled =
+            asked > since + STARTING + recovery_known_within(self.size as u16) as f64 / 1000.0 + BUSY;
         // The later one holds the number.
         let right = belief.superseded != twin;
         let which = if twin { "the later" } else { "the earlier" };
@@ -308,7 +311,7 @@
 
     fn judge_hearing(&self, gk: usize, asked: f64, belief: &Belief) -> Option<Wrong> {
         let up = self.processes[gk].since;
-        let silence = (SILENCE + BEAT) as f64 / 1000.0;
+        let silence = (SUSPECT_TIMEOUT + HEARTBEAT_INTERVAL) as f64 / 1000.0;
         let long =
             |since: Option<f64>, bound: f64| since.filter(|since| asked > since.max(up) + bound + BUSY);
         let deaf = long(self.deaf[gk], silence).filter(|_| belief.heard > 0 || belief.share > 0.0);
@@ -326,8 +329,8 @@
 
     fn judge_members(&mut self, gk: usize, asked: f64, belief: &Belief) -> Vec<Wrong> {
         let size = self.size as u16;
-        let gone_after = cut_known(size) as f64 / 1000.0 + BUSY;
-        let life_after = life_known(size) as f64 / 1000.0 + BUSY;
+        let gone_after = partition_known_within(size) as f64 / 1000.0 + BUSY;
+        let life_after = recovery_known_within(size) as f64 / 1000.0 + BUSY;
         let (alive, gone): (HashSet<usize>, HashSet<usize>) =
             (belief.alive.iter().copied().collect(), belief.gone.iter().copied().collect());
         let up = self.processes[gk].since;
--- a/crates/simulation/src/membership/member.rs
+++ b/crates/simulation/src/membership/member.rs
@@ -1,7 +1,7 @@
 //! What a process is to the network, whatever algorithm it runs.
 
 use std::net::{Ipv4Addr, SocketAddr};
-use weirusher_fleet::{Event, Fleet, Millis, Settings, State};
+use weirusher_fleet::{Event, MemberState, Membership, Millis, Settings};
 
 /// The key of fleets in virtual time.
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
@@ -49,7 +49,7 @@
 /// A member as it runs in service.
 pub struct Member {
     /// The part under test.
-    pub fleet: Fleet,
+    pub fleet: Membership,
     /// Events besides changes of belief.
     pub events: Vec<Event>,
 }
@@ -63,38 +63,38 @@
     pub fn new(size: u16, me: u16, incarnation: u64, seed: u64, now: Millis) -> Self {
         let settings =
             Settings { instance: me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
-        let fleet = Fleet::new(settings, incarnation, seed, now).expect("these settings can work");
+        let fleet = Membership::new(settings, incarnation, seed, now).expect("these settings can work");
         Self { fleet, events: Vec::new() }
     }
 }
 
 impl Process for Member {
     fn receive(&mut self, from: u16, bytes: &[u8], now: Millis) {
-        self.fleet.receive(address(from), bytes, now);
+        self.fleet.handle_datagram(address(from), bytes, now);
     }
 
     fn advance(&mut self, now: Millis) {
-        self.fleet.advance(now);
+        self.fleet.handle_timeout(now);
     }
 
     fn next_deadline(&self) -> Millis {
-        self.fleet.next_deadline()
+        self.fleet.poll_timeout()
     }
 
     fn transmit(&mut self) -> Option<(u16, Vec<u8>)> {
-        self.fleet.transmit().map(|(to, bytes)| (to.port() - FIRST_PORT, bytes))
+        self.fleet.poll_transmit().map(|(to, bytes)| (to.port() - FIRST_PORT, bytes))
     }
 
     fn changes(&mut self) -> Vec<(u16, Belief)> {
         let mut changes = Vec::new();
-        while let Some(event) = self.fleet.event() {
+        while let Some(event) = self.fleet.poll_event() {
             match event {
-                Event::Changed(change) => changes.push((
+                Event::StateChanged(change) => changes.push((
                     change.member,
                     match change.to {
-                        State::Unknown | State::Alive => Belief::Alive,
-                        State::Suspected => Belief::Suspected,
-                        State::Gone => Belief::Gone,
+                        MemberState::Unknown | MemberState::Alive => Belief::Alive,
+                        MemberState::Suspected => Belief::Suspected,
+                        MemberState::Dead => Belief::Gone,
                     },
                 )),
                 other => self.events.push(other),
--- a/fuzz/fuzz_targets/fleet.rs
+++ b/fuzz/fuzz_targets/fleet.rs
@@ -1,27 +1,36 @@
-//! Whatever comes with the right code from a member: no panic, and the bounds on what is sent hold.
+//! Any content with a valid tag from a member: no panic, and no datagram that is too long.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use weirusher_fleet::{Fleet, Header, MOST_BYTES, Seal, Settings};
+use weirusher_fleet::{Authenticator, Header, MAX_DATAGRAM_BYTES, Membership, Settings};
 
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
 
 fuzz_target!(|datagrams: Vec<(bool, Vec<u8>)>| {
     let members = (0..4).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
-    let settings = Settings { me: 0, members, key: KEY.to_vec() };
-    let mut fleet = Fleet::new(settings, 9, 1, 0).expect("these settings can work");
-    let seal = Seal::new(KEY).expect("the key is long enough");
-    for (at, (proven, content)) in (1u64..).zip(datagrams) {
-        // With a header that is believed, the rest is read; without it, all is as the fuzzer likes it.
+    let settings = Settings { instance: 0, members, key: KEY.to_vec() };
+    let mut membership = Membership::new(settings, 9, 1, 0).expect("these settings can work");
+    let authenticator = Authenticator::new(KEY).expect("the key is long enough");
+    for (sequence, (valid_header, content)) in (1u64..).zip(datagrams) {
+        // With a header that is accepted the messages are read as well; without one the fuzzer writes the header too.
         let header = Header {
-            size: 4, from: 1, to: 0, incarnation: 7, knows: 9, sequence: at, beat: 3, hears: true, watch: false,
+            fleet_size: 4,
+            sender: 1,
+            recipient: 0,
+            incarnation: 7,
+            recipient_incarnation: 9,
+            sequence,
+            heartbeat: 3,
+            hears_recipient: true,
+            wants_heartbeats: false,
         };
-        let mut bytes = if proven { postcard::to_allocvec(&header).expect("a header is plain") } else { Vec::new() };
+        let mut bytes = if valid_header { postcard::to_allocvec(&header).expect("a header is plain") } else { Vec::new() };
         bytes.extend(content);
-        fleet.receive(([127, 0, 0, 1], 2001).into(), &seal.close(bytes), at * 10);
-        fleet.advance(at * 10);
-        while let Some((_, bytes)) = fleet.transmit() {
-            assert!(bytes.len() <= MOST_BYTES);
+        let now = sequence * 10;
+        membership.handle_datagram(([127, 0, 0, 1], 2001).into(), &authenticator.sign(bytes), now);
+        membership.handle_timeout(now);
+        while let Some((_, bytes)) = membership.poll_transmit() {
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         }
     }
 });
