--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,6 +17,7 @@
 mod proxy;
 mod shutdown;
 mod slots;
+mod stall;
 mod starts;
 mod ticket;
 mod watch;
@@ -29,12 +30,16 @@
     Allowed, Answer, Caller, Check, Delivery, Ending, Engine, EngineError, Failure, Output, Report, Tally,
     Verdict,
 };
-pub use guard::{Blocked, Earlier, Guard, Progress, SendCheck, SendLimits, Violation, Violations};
+pub use guard::{
+    Execution, Guard, PriorAttempt, SendConditions, SendError, SendLimits, Violation, Violations,
+};
 pub use overshoot::Overshoot;
-pub use pool::{Pool, Room};
-pub use proxy::{Arrived, IncomingRequest, Outcome, ProxyCore, ProxyOutput, ProxyTally, ReasonCounts};
+pub use pool::{ConnectionPool, Reservation};
+pub use proxy::{
+    IncomingRequest, Outcome, ProxyCore, ProxyMetrics, ProxyOutput, ReasonCounts, RequestStatus,
+};
 pub use shutdown::{Shutdown, longest_deadline};
-pub use slots::{FIRST_REQUEST, SlotCounts, SlotId, Slots};
+pub use slots::{ConnectionSlots, REQUEST_READ_TIMEOUT, SlotCounts, SlotId};
 pub use ticket::{Gate, Key, Keyring, Ticket, TicketError, TurnedAway};
-pub use watch::{LineId, ListWatch, WatchStep, WatchTerms};
+pub use watch::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
 pub use wheel::{TimerKey, Wheel};
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -1,41 +1,51 @@
-//! Idle connections to servers, whatever a connection is: which is used next, which gives way, which is too old.
+//! A pool of connections to backends, bounded in number: which idle connection is used next, and which are closed.
+//!
+//! The pool does not know what a connection is: it stores values of any type by endpoint. All times are in seconds.
 
 use std::collections::HashMap;
 use weirusher::Time;
 
-/// Connections kept idle for one server: a pause after a rush must not cost a new one each.
-const MOST_IDLE: usize = 32;
+/// Most idle connections for one endpoint: enough that a pause after a burst of requests does not cost new connections.
+const MAX_IDLE_PER_ENDPOINT: usize = 32;
+/// Seconds for which a connection is not reused after a response. A faulty backend may send a second response some
+/// milliseconds behind the first; it would be taken for the response to the next request.
+const REUSE_DELAY: f64 = 0.01;
 
-/// Seconds for which a connection rests once it has answered. A backend may send a second answer some milliseconds behind
-/// one: to a request that was written meanwhile it would pass for its own. What has come is seen as it is taken out.
-const REST: f64 = 0.01;
+/// An idle connection.
+#[derive(Debug)]
+struct Idle<T> {
+    since: Time,
+    connection: T,
+}
 
-/// Idle connections by place, the most recently used of those that have rested first, and how many connections are open in all.
+/// Idle connections by endpoint, and the number of open connections, idle or in use.
 ///
-/// A connection counts from [`Pool::opening`] until [`Pool::closed`], or until it is handed out to be dropped.
+/// A connection counts as open from [`ConnectionPool::reserve`] until [`ConnectionPool::release`], or until the pool hands
+/// it out to be closed.
 #[derive(Debug)]
-pub struct Pool<K, T> {
-    idle: HashMap<K, Vec<(Time, T)>>,
+pub struct ConnectionPool<K, T> {
+    /// By endpoint, the connection that has been idle for longest first. No list is empty.
+    idle: HashMap<K, Vec<Idle<T>>>,
     open: usize,
-    most: usize,
-    limit: f64,
+    max_open: usize,
+    idle_timeout: f64,
 }
 
 /// Whether one more connection may be opened.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Room<T> {
-    /// There is room.
-    Free,
-    /// There is room once this idle one is dropped: it was of no use for longest.
-    Instead(T),
-    /// All are in use.
-    Full,
+pub enum Reservation<T> {
+    /// It may be opened.
+    Granted,
+    /// It may be opened once this connection, which was idle for longest, is closed.
+    Evicted(T),
+    /// It may not: all connections are in use.
+    Exhausted,
 }
 
-impl<K: std::hash::Hash + Eq + Clone, T> Pool<K, T> {
-    /// At most `most` connections, each kept idle for `limit` seconds.
-    pub fn new(most: usize, limit: f64) -> Self {
-        Self { idle: HashMap::new(), open: 0, most, limit }
+impl<K: std::hash::Hash + Eq + Clone, T> ConnectionPool<K, T> {
+    /// A pool of at most `max_open` connections, each kept idle for `idle_timeout` seconds.
+    pub fn new(max_open: usize, idle_timeout: f64) -> Self {
+        Self { idle: HashMap::new(), open: 0, max_open, idle_timeout }
     }
 
     /// Connections open, idle or in use.
@@ -43,74 +53,78 @@
         self.open
     }
 
-    /// The most recently used idle connection to a place that has rested, unless it is too old by now.
-    pub fn take(&mut self, now: Time, place: &K) -> Option<T> {
-        let idle = self.idle.get_mut(place)?;
-        let rested = idle.partition_point(|(since, _)| now - since >= REST);
-        let (since, connection) = idle.remove(rested.checked_sub(1)?);
+    /// Takes the most recently used idle connection to an endpoint that may be reused; `None` if there is none, or if it
+    /// has timed out.
+    pub fn take(&mut self, now: Time, endpoint: &K) -> Option<T> {
+        let idle = self.idle.get_mut(endpoint)?;
+        let reusable = idle.partition_point(|entry| now - entry.since >= REUSE_DELAY);
+        let Idle { since, connection } = idle.remove(reusable.checked_sub(1)?);
         if idle.is_empty() {
-            self.idle.remove(place);
+            self.idle.remove(endpoint);
         }
-        if now - since < self.limit {
+        if now - since < self.idle_timeout {
             return Some(connection);
         }
         self.open -= 1;
         None
     }
 
-    /// One more connection is to be opened; it counts from now on, but where all are in use.
-    pub fn opening(&mut self) -> Room<T> {
-        if self.open < self.most {
+    /// Reserves one more connection. It counts as open from now on, unless the pool is exhausted.
+    pub fn reserve(&mut self) -> Reservation<T> {
+        if self.open < self.max_open {
             self.open += 1;
-            return Room::Free;
+            return Reservation::Granted;
         }
-        let oldest =
-            |(_, idle): &(&K, &Vec<(Time, T)>)| idle.first().map_or(f64::INFINITY, |(since, _)| *since);
-        let longest = self.idle.iter().min_by(|a, b| oldest(a).total_cmp(&oldest(b)));
-        let Some(place) = longest.map(|(place, _)| place.clone()) else { return Room::Full };
-        let idle = self.idle.get_mut(&place).expect("found above");
-        let (_, connection) = idle.remove(0);
+        let idle_since =
+            |(_, idle): &(&K, &Vec<Idle<T>>)| idle.first().map_or(f64::INFINITY, |entry| entry.since);
+        let longest = self.idle.iter().min_by(|a, b| idle_since(a).total_cmp(&idle_since(b)));
+        let Some(endpoint) = longest.map(|(endpoint, _)| endpoint.clone()) else {
+            return Reservation::Exhausted;
+        };
+        let idle = self.idle.get_mut(&endpoint).expect("found above");
+        let evicted = idle.remove(0);
         if idle.is_empty() {
-            self.idle.remove(&place);
+            self.idle.remove(&endpoint);
         }
-        Room::Instead(connection)
+        Reservation::Evicted(evicted.connection)
     }
 
-    /// A connection that was in use is closed.
-    pub fn closed(&mut self) {
+    /// A connection that was in use was closed.
+    pub fn release(&mut self) {
         self.open -= 1;
     }
 
-    /// A connection is idle again; where a place has enough of them, its oldest comes back to be dropped.
-    pub fn put(&mut self, now: Time, place: K, connection: T) -> Option<T> {
-        let idle = self.idle.entry(place).or_default();
-        idle.push((now, connection));
-        if idle.len() <= MOST_IDLE {
+    /// Returns a connection that is idle again. If its endpoint has too many, the one idle for longest is handed out to be
+    /// closed.
+    pub fn put(&mut self, now: Time, endpoint: K, connection: T) -> Option<T> {
+        let idle = self.idle.entry(endpoint).or_default();
+        idle.push(Idle { since: now, connection });
+        if idle.len() <= MAX_IDLE_PER_ENDPOINT {
             return None;
         }
         self.open -= 1;
-        Some(idle.remove(0).1)
+        Some(idle.remove(0).connection)
     }
 
-    /// Takes out what is idle for too long, and all of the places that are not to be kept.
-    pub fn prune(&mut self, now: Time, keep: impl Fn(&K) -> bool) -> Vec<T> {
-        let mut out = Vec::new();
-        let limit = self.limit;
-        self.idle.retain(|place, idle| {
-            let young = if keep(place) {
-                idle.partition_point(|(since, _)| now - since >= limit)
+    /// Takes out, to be closed, the connections that have timed out and all of the endpoints that are not to be kept.
+    pub fn evict(&mut self, now: Time, keep: impl Fn(&K) -> bool) -> Vec<T> {
+        let mut evicted = Vec::new();
+        let timeout = self.idle_timeout;
+        self.idle.retain(|endpoint, idle| {
+            let expired = if keep(endpoint) {
+                idle.partition_point(|entry| now - entry.since >= timeout)
             } else {
                 idle.len()
             };
-            out.extend(idle.drain(..young).map(|(_, connection)| connection));
+            evicted.extend(idle.drain(..expired).map(|entry| entry.connection));
             !idle.is_empty()
         });
-        self.open -= out.len();
-        out
+        self.open -= evicted.len();
+        evicted
     }
 
-    /// When [`Pool::prune`] next finds something that is too old.
-    pub fn next_prune(&self) -> Option<Time> {
-        self.idle.values().filter_map(|idle| Some(idle.first()?.0 + self.limit)).reduce(f64::min)
+    /// When the next idle connection times out.
+    pub fn next_eviction(&self) -> Option<Time> {
+        self.idle.values().filter_map(|idle| Some(idle.first()?.since + self.idle_timeout)).reduce(f64::min)
     }
 }
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -1,597 +1,374 @@
-//! The proxy without its sockets: the table of open requests, the attempts of each with their limits, and the one
-//! response that each is owed.
+//! The state machine of the platform proxy, without I/O: each request that it accepts gets exactly one response.
 //!
-//! A front tells what arrived and how attempts ended, and carries out the outputs in order. An attempt ends
-//! once, whichever comes first: what its connection brought, or its limit. What comes after that is ignored.
+//! The runtime reports what happened by the `handle_*` methods, carries out the outputs of
+//! [`ProxyCore::take_outputs`] in order, and calls [`ProxyCore::handle_timeout`] at [`ProxyCore::next_timeout`]. An
+//! attempt ends once, by the report of its connection or by its timeout, whichever comes first; later reports are ignored.
+//! All times are in seconds.
+
+mod metrics;
+mod output;
+mod request;
+mod table;
+
+pub use metrics::{ProxyMetrics, ReasonCounts};
+pub use output::{Outcome, ProxyOutput};
+pub use request::{IncomingRequest, RequestStatus};
 
 use crate::driver::{Command, DecisionDriver, Token};
 use crate::engine::EngineError;
-use crate::guard::{Blocked, Earlier, Guard, Progress, SendCheck, SendLimits, Violation, Violations};
+use crate::guard::{Execution, Guard, SendError, SendLimits, Violations};
 use crate::shutdown::Shutdown;
-use crate::wheel::TimerKey;
-use std::collections::HashMap;
-use std::fmt;
+use table::{Attempt, OpenRequest, RequestTable};
 use weirusher::{
-    Action, BackendId, CustomerId, Endpoint, EndpointListKind, Event, LoadReport, Reason, Request, RequestId,
-    Settings, Status, Time,
+    Action, BackendId, Endpoint, EndpointListKind, Event, LoadReport, Reason, Request, RequestId, Settings,
+    Status, Time,
 };
 
-/// A request that arrived.
-#[derive(Debug, Clone, PartialEq)]
-pub struct IncomingRequest {
-    /// Its id, none of an open request's.
-    pub id: RequestId,
-    /// Its customer.
-    pub customer: CustomerId,
-    /// Index of its plan.
-    pub plan: usize,
-    /// Index of its class.
-    pub class: usize,
-    /// Units it takes from the quota.
-    pub units: f64,
-    /// Seconds until the client abandons it.
-    pub time_budget: f64,
-    /// How many gateways carry the customer, and the number of the first.
-    pub customer_instances: (u32, u32),
-    /// It is a client's marked repeat.
-    pub is_retry: bool,
-}
-
-/// A response that no server gave.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Outcome {
-    /// Refused: a retry does no harm.
-    Rejected {
-        /// Seconds the client should stay away; 0: no advice.
-        retry_after: f64,
-        /// Why.
-        reason: Reason,
-    },
-    /// Failed, with no promise.
-    Failed {
-        /// Why.
-        reason: Reason,
-    },
-}
-
-/// How often each reason was given for a request that was refused or failed.
-#[derive(Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
-pub struct ReasonCounts([u64; Reason::ALL.len()]);
-
-impl ReasonCounts {
-    fn add(&mut self, reason: Reason) {
-        let index = Reason::ALL.iter().position(|known| *known == reason);
-        if let Some(index) = index {
-            self.0[index] += 1;
-        }
-    }
-
-    /// Each reason that was given, and how often.
-    pub fn iter(&self) -> impl Iterator<Item = (Reason, u64)> {
-        Reason::ALL.into_iter().zip(self.0).filter(|(_, count)| *count > 0)
-    }
-}
-
-impl fmt::Debug for ReasonCounts {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_map().entries(self.iter().map(|(reason, count)| (reason.name(), count))).finish()
-    }
-}
-
-/// What the proxy wants done.
-#[derive(Debug, Clone, PartialEq)]
-pub enum ProxyOutput {
-    /// Begin an attempt; [`ProxyCore::attempt_ended`] tells its end.
-    Forward {
-        /// The request.
-        request: RequestId,
-        /// Its attempt, from 0.
-        attempt: u32,
-        /// The server.
-        backend: BackendId,
-        /// Seconds until it is given up.
-        timeout: f64,
-        /// Seconds within which its last byte must be on its way; else it must not begin, or break off.
-        start_within: f64,
-    },
-    /// Give an attempt up: its connection must close. Its end has been told already.
-    Abort {
-        /// The request.
-        request: RequestId,
-        /// Its attempt.
-        attempt: u32,
-    },
-    /// An attempt was not begun, as it would have broken a rule: to be logged as an error of the decisions.
-    Prevented {
-        /// The request.
-        request: RequestId,
-        /// Its attempt.
-        attempt: u32,
-        /// The rule.
-        violation: Violation,
-    },
-    /// Give the client its response.
-    Respond {
-        /// The request.
-        request: RequestId,
-        /// What it is.
-        outcome: Outcome,
-    },
-    /// What the module wants of the world around.
-    Command(Command),
-}
-
-impl From<Command> for ProxyOutput {
-    fn from(command: Command) -> Self {
-        Self::Command(command)
-    }
-}
-
-/// What was counted; each grows only.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
-pub struct ProxyTally {
-    /// Requests taken.
-    pub requests: u64,
-    /// Attempts begun.
-    pub attempts: u64,
-    /// Requests served.
-    pub served: u64,
-    /// Requests refused.
-    pub refused: u64,
-    /// Requests failed.
-    pub failed: u64,
-    /// Requests whose client left first.
-    pub left: u64,
-    /// Requests that were still undecided when their time was up.
-    pub overdue: u64,
-    /// Attempts given up at their limit.
-    pub timed_out: u64,
-    /// Attempts that never got to their server.
-    pub unreached: u64,
-    /// Attempts that their server turned away.
-    pub turned_away: u64,
-    /// Attempts that broke or brought an error.
-    pub broken: u64,
-    /// Why requests were refused or failed.
-    pub reasons: ReasonCounts,
-}
-
-#[derive(Debug)]
-struct Attempt {
-    server: BackendId,
-    sent: Time,
-    /// Its last byte must be on its way by then.
-    send_by: Time,
-    /// When it is given up.
-    give_up: Time,
-    progress: Progress,
-    /// Its limit, while it is out.
-    limit: Option<TimerKey>,
-}
-
-#[derive(Debug)]
-struct OpenRequest {
-    class: usize,
-    attempts: Vec<Attempt>,
-    out: usize,
-    /// By when its response has to be on its way.
-    deadline: Time,
-    /// The timer of its deadline, while its response is owed.
-    pending: Option<TimerKey>,
-}
-
-/// What became of a request that arrived.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrived {
-    /// It is owed a response, which an output brings.
-    Accepted,
-    /// Its id is that of an open request; nothing was done.
-    Duplicate,
-}
-
-impl Attempt {
-    fn as_earlier(&self) -> Earlier {
-        Earlier { sent: self.sent, progress: self.progress }
-    }
-}
-
+/// What a timer of the wheel stands for.
 #[derive(Debug, Clone)]
-enum Due {
-    Module(u64),
+enum Timer {
+    /// A timer of the decisions, by its token.
+    Decision(u64),
+    /// The timeout of an attempt.
     Attempt(RequestId, u32),
-    Expiry(RequestId),
+    /// The deadline of a request.
+    Deadline(RequestId),
 }
 
-impl From<Token> for Due {
+impl From<Token> for Timer {
     fn from(Token(token): Token) -> Self {
-        Self::Module(token)
+        Self::Decision(token)
     }
 }
 
-/// A gateway through which the requests pass, without its sockets.
+/// The proxy of one gateway instance, without its sockets.
 #[derive(Debug)]
 pub struct ProxyCore {
-    driver: DecisionDriver<Due>,
+    driver: DecisionDriver<Timer>,
     guard: Guard,
-    requests: HashMap<RequestId, OpenRequest>,
-    pending: usize,
+    requests: RequestTable,
     outputs: Vec<ProxyOutput>,
-    tally: ProxyTally,
+    metrics: ProxyMetrics,
 }
 
 impl ProxyCore {
-    /// A gateway that starts at `now`, in Unix seconds; `seed` feeds all randomness.
+    /// A proxy that starts at `now`, in Unix seconds. `seed` feeds all randomness.
     ///
     /// # Errors
-    /// Settings that no module can work with.
+    /// The decisions cannot use the settings.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, EngineError> {
         let guard = Guard::new(&settings);
         let driver = DecisionDriver::new(settings, seed, now).map_err(EngineError::Settings)?;
         Ok(Self {
             driver,
             guard,
-            requests: HashMap::new(),
-            pending: 0,
+            requests: RequestTable::default(),
             outputs: Vec::new(),
-            tally: ProxyTally::default(),
+            metrics: ProxyMetrics::default(),
         })
     }
 
-    /// What was counted so far.
-    pub fn tally(&self) -> ProxyTally {
-        self.tally
+    // ---- State ----
+
+    /// Counts of requests and attempts since the start.
+    pub fn metrics(&self) -> ProxyMetrics {
+        self.metrics
+    }
+
+    /// Decisions that would have broken a rule.
+    pub fn violations(&self) -> Violations {
+        self.guard.violations()
     }
 
-    /// Requests that are owed a response.
+    /// How many requests are pending: accepted, without a response.
     pub fn pending(&self) -> usize {
-        self.pending
+        self.requests.pending()
     }
 
-    /// Ids of the requests that are owed a response.
+    /// Ids of the pending requests.
     pub fn pending_ids(&self) -> impl Iterator<Item = &RequestId> {
-        self.requests.iter().filter(|(_, entry)| entry.pending.is_some()).map(|(job, _)| job)
+        self.requests.pending_ids()
     }
 
-    /// Requests in the table: those owed a response, and those with attempts still out.
+    /// How many requests are in the table: pending, or with attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request of this id is in the table.
-    pub fn contains(&self, job: &str) -> bool {
-        self.requests.contains_key(job)
+    /// Whether a request with this id is in the table.
+    pub fn contains(&self, id: &str) -> bool {
+        self.requests.contains(id)
+    }
+
+    /// Whether further requests may be read from a connection.
+    pub fn may_read(&self, now: Time) -> bool {
+        self.guard.may_read(now)
+    }
+
+    /// Whether the first byte of an attempt may be written now. `backend_available`: the backend is in the endpoint list
+    /// and accepts new requests.
+    ///
+    /// # Errors
+    /// Why it may not be written.
+    pub fn check_send(
+        &self,
+        now: Time,
+        id: &RequestId,
+        attempt: u32,
+        backend_available: bool,
+    ) -> Result<SendLimits, SendError> {
+        self.guard.check_send(now, &self.requests.send_conditions(id, attempt, backend_available)?)
     }
 
-    /// When [`ProxyCore::advance`] should be called next.
-    pub fn next_deadline(&self) -> Option<Time> {
+    /// When [`ProxyCore::handle_timeout`] has to be called next.
+    pub fn next_timeout(&self) -> Option<Time> {
         self.driver.wheel.next()
     }
 
-    /// Moves what is to be done, in order, to the end of `into`.
+    /// Moves the pending outputs to the end of `into`, in order.
     pub fn take_outputs(&mut self, into: &mut Vec<ProxyOutput>) {
         into.append(&mut self.outputs);
     }
 
     // ---- Events ----
 
-    /// A request arrived; one that cannot be answered before the process ends is refused at once.
-    pub fn request(&mut self, now: Time, request: IncomingRequest) -> Arrived {
+    /// A request was read. One that cannot be answered before the process ends is rejected at once.
+    pub fn handle_request(&mut self, now: Time, request: IncomingRequest) -> RequestStatus {
         if self.contains(&request.id) {
-            return Arrived::Duplicate;
+            return RequestStatus::Duplicate;
         }
-        self.tally.requests += 1;
-        let deadline = match self.guard.accept(now, request.time_budget) {
+        self.metrics.requests += 1;
+        let deadline = match self.guard.check_accept(now, request.time_budget) {
             Ok(deadline) => deadline,
             Err(reason) => {
-                self.refuse_unseen(request.id, reason);
-                return Arrived::Accepted;
+                self.respond(request.id, Outcome::Rejected { retry_after: 0.0, reason });
+                return RequestStatus::Accepted;
             }
         };
-        let IncomingRequest {
-            id: job,
-            customer,
-            plan,
-            class,
-            units,
-            customer_instances: (spread, first),
-            is_retry: repeat,
-            ..
-        } = request;
-        let pending = Some(self.driver.wheel.set(deadline, Due::Expiry(job.clone())));
-        self.requests
-            .insert(job.clone(), OpenRequest { class, attempts: Vec::new(), out: 0, deadline, pending });
-        self.pending += 1;
+        let timer = self.driver.wheel.set(deadline, Timer::Deadline(request.id.clone()));
+        self.requests.insert(request.id.clone(), OpenRequest::new(request.class, deadline, timer));
         let request = Request {
-            id: job,
-            units,
+            id: request.id,
+            units: request.units,
             deadline,
-            plan,
-            customer_instances: spread,
-            first_instance: first,
-            class,
-            customer,
-            is_retry: repeat,
+            plan: request.plan,
+            customer_instances: request.customer_instances,
+            first_instance: request.first_instance,
+            class: request.class,
+            customer: request.customer,
+            is_retry: request.is_retry,
         };
-        self.handle(now, Event::Request(request));
-        Arrived::Accepted
+        self.decide(now, Event::Request(request));
+        RequestStatus::Accepted
     }
 
-    /// Refuses a request that the module never sees.
-    fn refuse_unseen(&mut self, job: RequestId, reason: Reason) {
-        self.tally.refused += 1;
-        self.tally.reasons.add(reason);
-        let outcome = Outcome::Rejected { retry_after: 0.0, reason };
-        self.outputs.push(ProxyOutput::Respond { request: job, outcome });
-    }
-
-    /// The process was told to stop: from now on each request, those that are open too, has its response before the
-    /// earliest moment at which the process may be killed.
-    pub fn stop(&mut self, now: Time) -> Shutdown {
-        let shutdown = self.guard.stop(now);
-        let latest = shutdown.respond_by();
-        for (job, entry) in &mut self.requests {
-            let Some(timer) = entry.pending.filter(|_| entry.deadline > latest) else { continue };
-            self.driver.wheel.cancel(timer);
-            entry.deadline = latest;
-            entry.pending = Some(self.driver.wheel.set(latest, Due::Expiry(job.clone())));
+    /// The client closed its connection before its response.
+    pub fn handle_client_gone(&mut self, now: Time, id: &RequestId) {
+        if self.complete(id) {
+            self.metrics.client_gone += 1;
+            self.withdraw(now, id);
         }
-        shutdown
-    }
-
-    /// Whether a connection may bring further requests.
-    pub fn may_read(&self, now: Time) -> bool {
-        self.guard.may_read(now)
-    }
-
-    /// Whether the first byte of an attempt may be written now; `listed`: its server takes new requests.
-    ///
-    /// # Errors
-    /// Why not.
-    pub fn may_send(
-        &self,
-        now: Time,
-        job: &RequestId,
-        attempt: u32,
-        listed: bool,
-    ) -> Result<SendLimits, Blocked> {
-        let entry = self.requests.get(job).ok_or(Blocked::NotPending)?;
-        let tried = entry.attempts.get(attempt as usize).ok_or(Blocked::Ended)?;
-        let check = SendCheck {
-            deadline: entry.pending.map(|_| entry.deadline),
-            give_up: tried.limit.map(|_| tried.give_up),
-            send_by: tried.send_by,
-            listed,
-        };
-        self.guard.may_send(now, &check)
-    }
-
-    /// A connection closed, with so many requests that were read and have no response though their client is there.
-    pub fn closed(&mut self, unanswered: usize) {
-        self.guard.closed(unanswered);
-    }
-
-    /// Decisions that would have broken a rule.
-    pub fn violations(&self) -> Violations {
-        self.guard.violations()
     }
 
-    /// The client left before its response.
-    pub fn client_gone(&mut self, now: Time, job: &RequestId) {
-        if self.complete(job) {
-            self.tally.left += 1;
-            self.withdraw(now, job);
-        }
+    /// The gateway closed a connection on which `unanswered` requests had no response though their client was connected.
+    pub fn handle_connection_closed(&mut self, unanswered: usize) {
+        self.guard.connection_closed(unanswered);
     }
 
-    /// An attempt ended. `true`: its response is the one that the client is owed.
-    pub fn attempt_ended(
+    /// An attempt ended. Returns `true` if its response is the one that the client gets.
+    pub fn handle_attempt_ended(
         &mut self,
         now: Time,
-        job: &RequestId,
+        id: &RequestId,
         attempt: u32,
         status: Status,
         load: LoadReport,
     ) -> bool {
-        let Some((server, spent)) = self.close(now, job, attempt, status) else { return false };
-        match status {
-            Status::ConnectFailed | Status::NotSent => self.tally.unreached += 1,
-            Status::Rejected => self.tally.turned_away += 1,
-            Status::Timeout => self.tally.timed_out += 1,
-            Status::Error | Status::Reset => self.tally.broken += 1,
-            Status::Ok | Status::Cancelled => {}
-        }
-        let serves = status == Status::Ok && self.complete(job);
-        self.tally.served += u64::from(serves);
-        let over = self.requests.get(job).is_some_and(|e| e.pending.is_none());
-        let (job, settled) = (job.clone(), None);
-        let told = Event::AttemptEnded {
-            request: job.clone(),
+        let Some(ended) = self.requests.end_attempt(now, id, attempt, status) else { return false };
+        self.driver.wheel.cancel(ended.timer);
+        self.metrics.count_attempt_end(status);
+        let serves = status == Status::Ok && self.complete(id);
+        self.metrics.served += u64::from(serves);
+        let event = Event::AttemptEnded {
+            request: id.clone(),
             attempt,
-            backend: server,
+            backend: ended.backend,
             status,
-            elapsed: spent,
-            request_ended: over,
-            settled_units: settled,
+            elapsed: ended.elapsed,
+            request_ended: !self.requests.is_pending(id),
+            settled_units: None,
             load,
         };
-        self.handle(now, told);
-        self.forget(&job);
+        self.decide(now, event);
+        self.requests.remove_finished(id);
         serves
     }
 
-    /// A counter call ended.
-    pub fn counter_response(&mut self, now: Time, call: u64, status: Status, total: f64, spent: f64) {
-        for event in self.driver.counted(call, status, total, spent) {
-            self.handle(now, event);
+    /// A counter call ended: `total` is the counter's new value, `elapsed` the seconds that the call took.
+    pub fn handle_counter_response(
+        &mut self,
+        now: Time,
+        call: u64,
+        status: Status,
+        total: f64,
+        elapsed: f64,
+    ) {
+        for event in self.driver.counted(call, status, total, elapsed) {
+            self.decide(now, event);
         }
     }
 
-    /// The list of servers came.
-    pub fn update_endpoints(&mut self, now: Time, kind: EndpointListKind, servers: Vec<Endpoint>) {
-        let event = self.driver.list(now, kind, servers);
-        self.handle(now, event);
+    /// A new endpoint list, or changes to it, arrived.
+    pub fn handle_endpoint_list(&mut self, now: Time, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
+        let event = self.driver.list(now, kind, endpoints);
+        self.decide(now, event);
     }
 
-    /// Discovery answered that the list is as it was.
-    pub fn confirm_endpoints(&mut self, now: Time) {
+    /// Discovery confirmed that the endpoint list is unchanged.
+    pub fn handle_endpoint_list_confirmed(&mut self, now: Time) {
         self.driver.list_confirmed(now);
     }
 
-    /// Lets the timers come due.
-    pub fn advance(&mut self, now: Time) {
-        for due in self.driver.wheel.expire(now) {
-            match due {
-                Due::Module(token) => self.handle(now, Event::Timer { token }),
-                Due::Attempt(job, attempt) => {
-                    // First, so that its connection is free before the module begins another.
-                    self.outputs.push(ProxyOutput::Abort { request: job.clone(), attempt });
-                    self.attempt_ended(now, &job, attempt, Status::Timeout, LoadReport::default());
+    /// Runs the timers that are due.
+    pub fn handle_timeout(&mut self, now: Time) {
+        for timer in self.driver.wheel.expire(now) {
+            match timer {
+                Timer::Decision(token) => self.decide(now, Event::Timer { token }),
+                Timer::Attempt(id, attempt) => {
+                    // Aborted first, so that its connection is free before another attempt starts.
+                    self.outputs.push(ProxyOutput::Abort { request: id.clone(), attempt });
+                    self.handle_attempt_ended(now, &id, attempt, Status::Timeout, LoadReport::default());
                 }
-                Due::Expiry(job) => self.expire(now, &job),
+                Timer::Deadline(id) => self.fail_undecided(now, &id),
             }
         }
     }
 
-    // ---- The table of requests ----
+    /// Begins a graceful shutdown: from now on every request, pending ones included, has its response before the earliest
+    /// moment at which the process may be killed.
+    pub fn begin_shutdown(&mut self, now: Time) -> Shutdown {
+        let shutdown = self.guard.begin_shutdown(now);
+        let latest = shutdown.respond_by();
+        let wheel = &mut self.driver.wheel;
+        self.requests.cap_deadlines(latest, |timer, id| {
+            wheel.cancel(timer);
+            wheel.set(latest, Timer::Deadline(id.clone()))
+        });
+        shutdown
+    }
+
+    // ---- Ends of requests and attempts ----
 
-    /// The client's time is nearly up and the module has not decided: rule 1 goes first.
-    fn expire(&mut self, now: Time, job: &RequestId) {
-        if !self.complete(job) {
+    /// The deadline of a request has come and the decisions have not answered it: it fails.
+    fn fail_undecided(&mut self, now: Time, id: &RequestId) {
+        if !self.complete(id) {
             return;
         }
-        self.tally.overdue += 1;
-        self.tally.failed += 1;
-        let reason = Reason::DeadlineExceeded;
-        self.tally.reasons.add(reason);
-        self.outputs.push(ProxyOutput::Respond { request: job.clone(), outcome: Outcome::Failed { reason } });
-        self.withdraw(now, job);
+        self.metrics.undecided += 1;
+        self.respond(id.clone(), Outcome::Failed { reason: Reason::DeadlineExceeded });
+        self.withdraw(now, id);
     }
 
-    /// Nobody waits any more: the module is told, and what is out is called off.
-    fn withdraw(&mut self, now: Time, job: &RequestId) {
-        self.handle(now, Event::ClientGone { request: job.clone() });
-        let attempts = self.requests.get(job).map_or(0, |e| e.attempts.len() as u32);
-        for attempt in 0..attempts {
-            self.cancel(now, job, attempt);
+    /// The decisions answered a request.
+    fn finish(&mut self, id: RequestId, outcome: Outcome) {
+        if self.complete(&id) {
+            self.requests.remove_finished(&id);
+            self.respond(id, outcome);
         }
-        self.forget(job);
     }
 
-    fn cancel(&mut self, now: Time, job: &RequestId, attempt: u32) {
-        let out = self.requests.get(job).and_then(|e| e.attempts.get(attempt as usize));
-        if out.is_some_and(|a| a.limit.is_some()) {
-            self.outputs.push(ProxyOutput::Abort { request: job.clone(), attempt });
-            self.attempt_ended(now, job, attempt, Status::Cancelled, LoadReport::default());
-        }
+    fn respond(&mut self, request: RequestId, outcome: Outcome) {
+        self.metrics.count_outcome(&outcome);
+        self.outputs.push(ProxyOutput::Respond { request, outcome });
     }
 
-    /// The response is given: `true` the first time.
-    fn complete(&mut self, job: &RequestId) -> bool {
-        let Some(pending) = self.requests.get_mut(job).and_then(|e| e.pending.take()) else { return false };
-        self.driver.wheel.cancel(pending);
-        self.pending -= 1;
-        true
+    /// No client waits for a request any more: the decisions drop it, and its attempts in flight are aborted.
+    fn withdraw(&mut self, now: Time, id: &RequestId) {
+        self.decide(now, Event::ClientGone { request: id.clone() });
+        for attempt in 0..self.requests.attempts(id) {
+            self.cancel_attempt(now, id, attempt);
+        }
+        self.requests.remove_finished(id);
     }
 
-    /// Closes an attempt once: its server, and the seconds since it was sent.
-    fn close(
-        &mut self,
-        now: Time,
-        job: &RequestId,
-        attempt: u32,
-        status: Status,
-    ) -> Option<(BackendId, f64)> {
-        let entry = self.requests.get_mut(job)?;
-        let tried = entry.attempts.get_mut(attempt as usize)?;
-        self.driver.wheel.cancel(tried.limit.take()?);
-        tried.progress = match status {
-            Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
-            Status::Ok | Status::Error | Status::Timeout | Status::Reset | Status::Cancelled => {
-                Progress::MayHaveRun
-            }
-        };
-        entry.out -= 1;
-        Some((tried.server.clone(), now - tried.sent))
+    fn cancel_attempt(&mut self, now: Time, id: &RequestId, attempt: u32) {
+        if self.requests.is_in_flight(id, attempt) {
+            self.outputs.push(ProxyOutput::Abort { request: id.clone(), attempt });
+            self.handle_attempt_ended(now, id, attempt, Status::Cancelled, LoadReport::default());
+        }
     }
 
-    /// Drops an entry that is answered and has nothing out.
-    fn forget(&mut self, job: &RequestId) {
-        if self.requests.get(job).is_some_and(|e| e.pending.is_none() && e.out == 0) {
-            self.requests.remove(job);
-        }
+    /// A request stops being pending; `true` the first time.
+    fn complete(&mut self, id: &RequestId) -> bool {
+        let Some(timer) = self.requests.complete(id) else { return false };
+        self.driver.wheel.cancel(timer);
+        true
     }
 
-    // ---- The module ----
+    // ---- Decisions ----
 
-    fn handle(&mut self, now: Time, event: Event) {
+    /// Passes an event to the decisions and carries out their actions.
+    fn decide(&mut self, now: Time, event: Event) {
         let mut actions = self.driver.handle(now, event, &mut self.outputs);
         for action in actions.drain(..) {
-            self.act(now, action);
+            self.carry_out(now, action);
         }
         self.driver.done(actions);
     }
 
-    fn act(&mut self, now: Time, action: Action) {
+    fn carry_out(&mut self, now: Time, action: Action) {
         match action {
-            Action::Forward { request: job, backend: server, timeout, start_within: within } => {
-                self.begin(now, job, server, timeout, within)
+            Action::Forward { request, backend, timeout, start_within } => {
+                self.start_attempt(now, request, backend, timeout, start_within);
             }
-            Action::Reject { request: job, retry_after, reason } => {
-                self.decided(job, Outcome::Rejected { retry_after, reason });
+            Action::Reject { request, retry_after, reason } => {
+                self.finish(request, Outcome::Rejected { retry_after, reason });
             }
-            Action::Fail { request: job, reason } => self.decided(job, Outcome::Failed { reason }),
-            Action::CancelAttempt { request: job, attempt } => self.cancel(now, &job, attempt),
-            // None are asked for: attempts tell enough.
+            Action::Fail { request, reason } => self.finish(request, Outcome::Failed { reason }),
+            Action::CancelAttempt { request, attempt } => self.cancel_attempt(now, &request, attempt),
+            // The settings of this proxy ask for none: attempts report enough.
             Action::HealthCheck { .. } => {}
             _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
         }
     }
 
-    fn begin(&mut self, now: Time, job: RequestId, server: BackendId, timeout: f64, within: f64) {
-        let Some(entry) = self.requests.get_mut(&job) else { return };
-        let earlier: Vec<Earlier> = entry.attempts.iter().map(Attempt::as_earlier).collect();
-        let permit = self.guard.may_repeat(now, entry.class, &earlier);
-        let attempt = entry.attempts.len() as u32;
-        // No longer than the request has: a shutdown may have moved its deadline since the module heard of it.
-        let timeout = timeout.min(entry.deadline - now);
-        let (send_by, give_up) = (now + within, now + timeout);
-        let limit = Some(self.driver.wheel.set(give_up, Due::Attempt(job.clone(), attempt)));
-        let (server_id, progress) = (server.clone(), Progress::Out);
-        entry.attempts.push(Attempt { server: server_id, sent: now, send_by, give_up, progress, limit });
-        entry.out += 1;
-        self.tally.attempts += 1;
-        match permit {
+    /// Enters an attempt in the table and starts it, unless that would break a rule. A prevented attempt ends at once as
+    /// not sent, because the decisions count on its end.
+    fn start_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        backend: BackendId,
+        timeout: f64,
+        write_timeout: f64,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let checked = self.guard.check_attempt(now, request.class, &request.prior_attempts());
+        let attempt = request.next_attempt();
+        // A shutdown may have brought the deadline forward since the decisions were told of it.
+        let timeout = timeout.min(request.deadline - now);
+        let deadline = now + timeout;
+        request.add_attempt(Attempt {
+            backend: backend.clone(),
+            started_at: now,
+            write_deadline: now + write_timeout,
+            deadline,
+            execution: Execution::InFlight,
+            timer: Some(self.driver.wheel.set(deadline, Timer::Attempt(id.clone(), attempt))),
+        });
+        self.metrics.attempts += 1;
+        match checked {
             Ok(()) => self.outputs.push(ProxyOutput::Forward {
-                request: job,
+                request: id,
                 attempt,
-                backend: server,
+                backend,
                 timeout,
-                start_within: within,
+                write_timeout,
             }),
             Err(violation) => {
-                self.outputs.push(ProxyOutput::Prevented { request: job.clone(), attempt, violation });
-                // The module counts on it: it ends as one that was never sent.
-                self.attempt_ended(now, &job, attempt, Status::NotSent, LoadReport::default());
+                self.outputs.push(ProxyOutput::Prevented { request: id.clone(), attempt, violation });
+                self.handle_attempt_ended(now, &id, attempt, Status::NotSent, LoadReport::default());
             }
         }
     }
-
-    fn decided(&mut self, job: RequestId, outcome: Outcome) {
-        if !self.complete(&job) {
-            return;
-        }
-        let reason = match outcome {
-            Outcome::Rejected { reason, .. } => {
-                self.tally.refused += 1;
-                reason
-            }
-            Outcome::Failed { reason } => {
-                self.tally.failed += 1;
-                reason
-            }
-        };
-        self.tally.reasons.add(reason);
-        self.forget(&job);
-        self.outputs.push(ProxyOutput::Respond { request: job, outcome });
-    }
 }
--- /dev/null
+++ b/crates/core/src/proxy/output.rs
@@ -0,0 +1,80 @@
+//! Effects that the proxy core asks its runtime to carry out.
+
+use crate::driver::Command;
+use crate::guard::Violation;
+use weirusher::{BackendId, Reason, RequestId};
+
+/// A response that the gateway gives by itself, without a backend.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Outcome {
+    /// Rejected before execution: a retry is safe.
+    Rejected {
+        /// Seconds that the client should wait before a retry (Retry-After); 0: no advice.
+        retry_after: f64,
+        /// Why it was rejected.
+        reason: Reason,
+    },
+    /// Failed: it may have been executed.
+    Failed {
+        /// Why it failed.
+        reason: Reason,
+    },
+}
+
+impl Outcome {
+    /// Why the request was not served.
+    pub fn reason(&self) -> Reason {
+        match *self {
+            Self::Rejected { reason, .. } | Self::Failed { reason } => reason,
+        }
+    }
+}
+
+/// One effect. Outputs are carried out in the order in which they were given.
+#[derive(Debug, Clone, PartialEq)]
+pub enum ProxyOutput {
+    /// Start an attempt; [`super::ProxyCore::handle_attempt_ended`] reports its end.
+    Forward {
+        /// The request.
+        request: RequestId,
+        /// Number of the attempt within its request, from 0.
+        attempt: u32,
+        /// The backend.
+        backend: BackendId,
+        /// Seconds until the attempt times out.
+        timeout: f64,
+        /// Seconds within which its last byte has to be written; otherwise it must not start, or has to be broken off.
+        write_timeout: f64,
+    },
+    /// Abort an attempt and close its connection. Its end was already reported to the decisions.
+    Abort {
+        /// The request.
+        request: RequestId,
+        /// Number of the attempt.
+        attempt: u32,
+    },
+    /// An attempt was not started because it would have broken a rule; to be logged as an error of the decisions.
+    Prevented {
+        /// The request.
+        request: RequestId,
+        /// Number of the attempt.
+        attempt: u32,
+        /// The rule.
+        violation: Violation,
+    },
+    /// Answer the client.
+    Respond {
+        /// The request.
+        request: RequestId,
+        /// The response.
+        outcome: Outcome,
+    },
+    /// An effect that does not concern a request.
+    Command(Command),
+}
+
+impl From<Command> for ProxyOutput {
+    fn from(command: Command) -> Self {
+        Self::Command(command)
+    }
+}
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,213 +1,235 @@
-//! Which clients' connections are kept, and which gives way when descriptors are short.
+//! The slots for client connections: which connections are kept, and which are closed when descriptors are short.
+//!
+//! Each connection takes a slot from its accept until its close. One without an open request is closed when it has stayed
+//! in its state for too long, and sooner when all slots are taken. All times are in seconds.
 
 use crate::shutdown::Shutdown;
 use std::collections::{BTreeMap, BTreeSet};
 use weirusher::Time;
 
-/// Seconds within which a new connection must have brought its first whole request, or is let go.
-pub const FIRST_REQUEST: f64 = 2.5;
-/// Seconds after which a connection with no open request may give way to a new one: its next request may be on its way.
-/// No longer, whatever else waits: whoever comes is unseen meanwhile and may give up there, and a client whose kept
-/// connection is closed between requests sends its next on a new one.
-const GRACE: f64 = 0.25;
-/// Seconds after which an idle connection is let go.
-const IDLE_MOST: f64 = 20.0;
-/// The same as [`GRACE`] for a new connection during a shutdown with all slots taken: what it brings has had time to
-/// come while it waited to be accepted, and others wait behind it.
-const STOPPING_GRACE: f64 = 0.02;
-/// The part of all slots that is cleared at once when none is free.
-const GIVE_WAY: usize = 8;
-
-/// Names a connection.
+/// Seconds within which a new connection has to send its first byte, and a connection that has sent a part of a request the
+/// rest of it.
+pub const REQUEST_READ_TIMEOUT: f64 = 2.5;
+/// Seconds for which a connection without an open request is kept while all slots are taken, as its next request may be on
+/// its way. A longer time would keep new clients waiting to be accepted.
+const EVICTION_GRACE: f64 = 0.25;
+/// Seconds after which an idle connection is closed.
+const IDLE_TIMEOUT: f64 = 20.0;
+/// Replaces [`EVICTION_GRACE`] for a new connection during a shutdown: its request has had time to arrive while the
+/// connection waited to be accepted.
+const SHUTDOWN_EVICTION_GRACE: f64 = 0.02;
+/// One in so many slots is freed at once when none is free.
+const EVICTION_DIVISOR: usize = 8;
+
+/// Identifies a client connection within the process.
 pub type SlotId = u64;
 
-/// What a connection is doing.
+/// What a connection is doing. States that may be evicted come in the order in which they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Use {
-    /// Nothing has come yet.
-    Fresh,
-    /// A part of a request has come.
+enum ConnectionState {
+    /// Nothing was received on it.
+    New,
+    /// A part of a request was received.
     Reading,
     /// No request is open.
     Idle,
-    /// A request is open: it never gives way.
-    Busy,
+    /// A request is open: the connection is never evicted.
+    Active,
 }
 
-/// Connections by what they are doing.
+/// The states of connections that may be evicted, in the order in which they are.
+const EVICTABLE: [ConnectionState; 3] =
+    [ConnectionState::New, ConnectionState::Reading, ConnectionState::Idle];
+
+/// How many connections are in each state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotCounts {
-    /// Nothing has come yet.
-    pub fresh: usize,
-    /// A part of a request has come.
+    /// Nothing was received.
+    pub new: usize,
+    /// A part of a request was received.
     pub reading: usize,
     /// No request is open.
     pub idle: usize,
     /// A request is open.
-    pub busy: usize,
+    pub active: usize,
+}
+
+/// A connection and its state, ordered by state and then by the time spent in it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SlotEntry {
+    state: ConnectionState,
+    /// Since when it is in the state, in microseconds.
+    since_micros: u64,
+    id: SlotId,
 }
 
-/// The kinds that may give way, in the order in which they do.
-const SPARE: [Use; 3] = [Use::Fresh, Use::Reading, Use::Idle];
+impl SlotEntry {
+    fn since(&self) -> Time {
+        self.since_micros as f64 / 1e6
+    }
+}
 
-/// Clients' connections, in a bounded number.
+/// The client connections of a gateway, bounded in number.
 #[derive(Debug)]
-pub struct Slots {
-    most: usize,
-    taken: BTreeMap<SlotId, (Use, u64)>,
-    /// Those that may give way, in the order in which they do.
-    spare: BTreeSet<(Use, u64, SlotId)>,
+pub struct ConnectionSlots {
+    capacity: usize,
+    connections: BTreeMap<SlotId, SlotEntry>,
+    /// Connections without an open request that were not asked to close yet.
+    evictable: BTreeSet<SlotEntry>,
     shutdown: Option<Shutdown>,
 }
 
-/// A connection's moment, so that it can be ordered: microseconds.
+/// A time as an integer, so that it can be ordered.
 fn micros(at: Time) -> u64 {
     (at * 1e6) as u64
 }
 
-impl Slots {
-    /// At most `most` connections.
-    pub fn new(most: usize) -> Self {
-        Self { most, taken: BTreeMap::new(), spare: BTreeSet::new(), shutdown: None }
+impl ConnectionSlots {
+    /// Slots for at most `capacity` connections.
+    pub fn new(capacity: usize) -> Self {
+        Self { capacity, connections: BTreeMap::new(), evictable: BTreeSet::new(), shutdown: None }
     }
 
-    /// How many are taken.
+    /// How many slots are taken.
     pub fn len(&self) -> usize {
-        self.taken.len()
+        self.connections.len()
     }
 
-    /// Whether none is.
+    /// Whether no slot is taken.
     pub fn is_empty(&self) -> bool {
-        self.taken.is_empty()
+        self.connections.is_empty()
     }
 
-    /// How many connections have had no whole request yet, how many are idle, and how many have a request open.
+    /// How many connections are in each state.
     pub fn counts(&self) -> SlotCounts {
         let mut counts = SlotCounts::default();
-        for (kind, _) in self.taken.values() {
-            match kind {
-                Use::Fresh => counts.fresh += 1,
-                Use::Reading => counts.reading += 1,
-                Use::Idle => counts.idle += 1,
-                Use::Busy => counts.busy += 1,
+        for connection in self.connections.values() {
+            match connection.state {
+                ConnectionState::New => counts.new += 1,
+                ConnectionState::Reading => counts.reading += 1,
+                ConnectionState::Idle => counts.idle += 1,
+                ConnectionState::Active => counts.active += 1,
             }
         }
         counts
     }
 
-    /// Whether one more may be accepted.
-    pub fn free(&self) -> bool {
-        self.taken.len() < self.most
+    /// Whether one more connection may be accepted.
+    pub fn has_free(&self) -> bool {
+        self.connections.len() < self.capacity
     }
 
     /// A connection was accepted.
-    pub fn take(&mut self, now: Time, id: SlotId) {
-        self.place(now, id, Use::Fresh);
+    pub fn insert(&mut self, now: Time, id: SlotId) {
+        self.set_state(now, id, ConnectionState::New);
     }
 
-    /// A part of its request has come; the rest has as long as a new connection's first byte.
-    pub fn reading(&mut self, now: Time, id: SlotId) {
-        self.place(now, id, Use::Reading);
+    /// A part of a request was received; [`REQUEST_READ_TIMEOUT`] runs for the rest.
+    pub fn set_reading(&mut self, now: Time, id: SlotId) {
+        self.set_state(now, id, ConnectionState::Reading);
     }
 
-    /// Its request is open.
-    pub fn busy(&mut self, now: Time, id: SlotId) {
-        self.place(now, id, Use::Busy);
+    /// A request was read and is open.
+    pub fn set_active(&mut self, now: Time, id: SlotId) {
+        self.set_state(now, id, ConnectionState::Active);
     }
 
-    /// Its request is answered.
-    pub fn idle(&mut self, now: Time, id: SlotId) {
-        self.place(now, id, Use::Idle);
+    /// The request was answered and nothing more was received.
+    pub fn set_idle(&mut self, now: Time, id: SlotId) {
+        self.set_state(now, id, ConnectionState::Idle);
     }
 
-    /// It is closed.
-    pub fn leave(&mut self, id: SlotId) {
-        if let Some((kind, since)) = self.taken.remove(&id) {
-            self.spare.remove(&(kind, since, id));
+    /// A connection was closed.
+    pub fn remove(&mut self, id: SlotId) {
+        if let Some(connection) = self.connections.remove(&id) {
+            self.evictable.remove(&connection);
         }
     }
 
-    /// A shutdown began: idle connections go at once, those that bring nothing after a moment, and those that bring
-    /// the rest of a request too late for an answer then.
-    pub fn stop(&mut self, shutdown: Shutdown) {
+    /// A shutdown began: idle connections are to be closed at once, new ones after a short grace, and those with a part
+    /// of a request when its response could no longer be written in time.
+    pub fn begin_shutdown(&mut self, shutdown: Shutdown) {
         self.shutdown = Some(shutdown);
     }
 
-    /// The connections to let go: those that have overstayed, and where all slots are taken those that
-    /// were of no use for longest. They stay taken until they leave, and are not named again.
-    pub fn overdue(&mut self, now: Time) -> Vec<SlotId> {
-        let mut gone = Vec::new();
-        for kind in SPARE {
-            while let Some(id) = self.longest(kind, now, self.stay(kind)) {
-                gone.push(id);
+    /// The connections that are to be closed now: those past the timeout of their state, and while all slots are taken
+    /// those that have been without an open request for longest. They keep their slots until [`Self::remove`], and are
+    /// not returned again.
+    pub fn evict(&mut self, now: Time) -> Vec<SlotId> {
+        let mut evicted = Vec::new();
+        for state in EVICTABLE {
+            while let Some(id) = self.evict_longest(state, now, self.timeout(state)) {
+                evicted.push(id);
             }
         }
-        // Several at once: where hundreds wait that say nothing, those that ask must not wait behind each.
-        while !self.free() && gone.len() < self.most.div_ceil(GIVE_WAY) {
-            let next = SPARE.into_iter().find_map(|kind| self.longest(kind, now, GRACE));
+        // Several at once, so that among hundreds of silent connections each new client does not wait for one eviction.
+        while !self.has_free() && evicted.len() < self.capacity.div_ceil(EVICTION_DIVISOR) {
+            let next = EVICTABLE.into_iter().find_map(|state| self.evict_longest(state, now, EVICTION_GRACE));
             let Some(id) = next else { break };
-            gone.push(id);
+            evicted.push(id);
         }
-        gone
+        evicted
     }
 
-    /// When [`Slots::overdue`] next has something to say.
-    pub fn next_overdue(&self) -> Option<Time> {
-        let full = !self.free();
-        let due = |kind: Use| {
-            let (_, since, _) = self.first(kind)?;
-            let stay = if full { GRACE.min(self.stay(kind)) } else { self.stay(kind) };
-            Some(self.due(kind, since, stay))
+    /// When [`ConnectionSlots::evict`] has to be called next.
+    pub fn next_eviction(&self) -> Option<Time> {
+        let full = !self.has_free();
+        let due = |state| {
+            let longest = self.longest(state)?;
+            let timeout = self.timeout(state);
+            Some(self.due(&longest, if full { EVICTION_GRACE.min(timeout) } else { timeout }))
         };
-        SPARE.into_iter().filter_map(due).reduce(f64::min)
-    }
-
-    /// Seconds that a connection may stay as it is, whether or not others wait.
-    fn stay(&self, kind: Use) -> f64 {
-        match (kind, self.shutdown) {
-            (Use::Fresh, None) | (Use::Reading, _) => FIRST_REQUEST,
-            (Use::Fresh, Some(_)) if self.free() => GRACE,
-            (Use::Fresh, Some(_)) => STOPPING_GRACE,
-            (Use::Idle, None) => IDLE_MOST,
-            (Use::Idle, Some(_)) => 0.0,
-            (Use::Busy, _) => f64::INFINITY,
+        EVICTABLE.into_iter().filter_map(due).reduce(f64::min)
+    }
+
+    /// Seconds that a connection may stay in a state, even while slots are free.
+    fn timeout(&self, state: ConnectionState) -> f64 {
+        match (state, self.shutdown) {
+            (ConnectionState::New, None) | (ConnectionState::Reading, _) => REQUEST_READ_TIMEOUT,
+            (ConnectionState::New, Some(_)) if self.has_free() => EVICTION_GRACE,
+            (ConnectionState::New, Some(_)) => SHUTDOWN_EVICTION_GRACE,
+            (ConnectionState::Idle, None) => IDLE_TIMEOUT,
+            (ConnectionState::Idle, Some(_)) => 0.0,
+            (ConnectionState::Active, _) => f64::INFINITY,
         }
     }
 
-    /// When one that is so since `since` has stayed for `stay` seconds; during a shutdown those count from its
-    /// beginning for a connection that was new then, and nobody stays past the last answers.
-    fn due(&self, kind: Use, since: u64, stay: f64) -> Time {
-        let since = since as f64 / 1e6;
+    /// When a connection has been in its state for `timeout` seconds. During a shutdown these count from its beginning for
+    /// a connection that was new then, and end with the time for the last response.
+    fn due(&self, connection: &SlotEntry, timeout: f64) -> Time {
+        let since = connection.since();
         match self.shutdown {
-            None => since + stay,
-            Some(shutdown) if kind == Use::Fresh => {
-                (since.max(shutdown.since) + stay).min(shutdown.respond_by())
+            None => since + timeout,
+            Some(shutdown) if connection.state == ConnectionState::New => {
+                (since.max(shutdown.started_at) + timeout).min(shutdown.respond_by())
             }
-            Some(shutdown) => (since + stay).min(shutdown.respond_by()),
+            Some(shutdown) => (since + timeout).min(shutdown.respond_by()),
         }
     }
 
-    fn first(&self, kind: Use) -> Option<(Use, u64, SlotId)> {
-        self.spare.range((kind, 0, 0)..).next().copied().filter(|found| found.0 == kind)
+    /// The evictable connection that has been in a state for longest.
+    fn longest(&self, state: ConnectionState) -> Option<SlotEntry> {
+        let first = SlotEntry { state, since_micros: 0, id: 0 };
+        self.evictable.range(first..).next().copied().filter(|found| found.state == state)
     }
 
-    fn place(&mut self, now: Time, id: SlotId, kind: Use) {
-        self.leave(id);
-        let since = micros(now);
-        self.taken.insert(id, (kind, since));
-        if kind != Use::Busy {
-            self.spare.insert((kind, since, id));
+    fn set_state(&mut self, now: Time, id: SlotId, state: ConnectionState) {
+        self.remove(id);
+        let connection = SlotEntry { state, since_micros: micros(now), id };
+        self.connections.insert(id, connection);
+        if state != ConnectionState::Active {
+            self.evictable.insert(connection);
         }
     }
 
-    /// Takes the longest of a kind off those that may give way, if it has been so for `stay` seconds.
-    fn longest(&mut self, kind: Use, now: Time, stay: f64) -> Option<SlotId> {
-        let found = self.first(kind)?;
-        // As exact as the moments that are kept.
-        if micros(self.due(kind, found.1, stay)) > micros(now) {
+    /// Evicts the connection that has been in a state for longest, if that is `timeout` seconds.
+    fn evict_longest(&mut self, state: ConnectionState, now: Time, timeout: f64) -> Option<SlotId> {
+        let longest = self.longest(state)?;
+        // Compared in microseconds, the precision of the times that are stored.
+        if micros(self.due(&longest, timeout)) > micros(now) {
             return None;
         }
-        self.spare.remove(&found);
-        Some(found.2)
+        self.evictable.remove(&longest);
+        Some(longest.id)
     }
 }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -1,158 +1,173 @@
-//! The watch over the list of backends: when discovery is asked, over how many connections, and which of them is
-//! given up. A drain counts as told as soon as discovery's agent has it, whether or not anybody listens; so the
-//! watch is made to hear of it within a stated time, whatever became of the calls that were out.
+//! When the endpoint list is polled, over how many connections, and which polls are abandoned.
 //!
-//! A call to an agent that is silent may never be answered, though the agent is back. Nothing is therefore
-//! waited for alone: while no answer comes, another connection is opened again and again, and the first answer
-//! on any of them counts.
+//! The list is watched by long polls. A drain counts as notified as soon as the agent beside the gateway has it, so the
+//! watch has to learn of it within a bounded time whatever became of earlier polls. A poll to an agent that was silent may
+//! never be answered even though the agent is back. The watch therefore never waits for a single poll: while no response
+//! comes it opens one further connection after another, and uses the first response on any of them.
+//!
+//! All times are in seconds.
 
 use std::collections::VecDeque;
 use weirusher::Time;
 
-/// The parts of the time to stop sending within that a call waits for news, and that its answer may be late, or
-/// come in once it has begun: half of it in all. The other half is for reading the list and acting.
-const PARTS: (f64, f64) = (0.25, 0.125);
-/// Shortest and longest that an answer may be late, in seconds: no connection every few milliseconds, and silence
-/// shows within seconds.
-const LATE: (f64, f64) = (0.01, 0.5);
-/// Seconds that a call waits for news where discovery itself is asked, and that its answer may be late: such calls
-/// cost it work. What a silent call misses counts as told 6 s after it fell silent at the earliest.
-const ASKED: (f64, f64) = (4.0, 0.75);
-/// Connections at once: the oldest, as discovery may be slow, and later ones, as it may have forgotten that.
-const MOST_LINES: usize = 4;
-/// The share of a pause that is drawn, so that a fleet does not ask in step.
-const SPREAD: f64 = 0.25;
-
-/// Names a connection to discovery.
-pub type LineId = u64;
-
-/// How long a call waits for news, and how late its answer may be.
+/// The wait of a long poll, as a fraction of the time within which the gateway has to stop sending. With twice the grace
+/// it makes half of that time; the rest is for reading the list and acting on it.
+const WAIT_FRACTION: f64 = 0.25;
+/// The grace of a response, as a fraction of the same time.
+const GRACE_FRACTION: f64 = 0.125;
+/// Shortest grace: it bounds how often connections are opened.
+const MIN_GRACE: f64 = 0.01;
+/// Longest grace: it bounds how long silence goes unnoticed.
+const MAX_GRACE: f64 = 0.5;
+/// The timing where discovery itself is polled, to which each poll costs work. A change that a silent poll misses counts
+/// as notified 6 s after the silence began at the earliest.
+const DIRECT: PollTiming = PollTiming { wait: 4.0, grace: 0.75 };
+/// Most connections at once: the oldest, as discovery may be slow, and later ones, as it may have lost the first poll.
+const MAX_CONNECTIONS: usize = 4;
+/// The random fraction of a pause, so that the gateways of a fleet do not poll in step.
+const JITTER: f64 = 0.25;
+
+/// Identifies a connection to discovery.
+pub type WatchConnection = u64;
+
+/// How long a poll waits for a change, and how late its response may be, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WatchTerms {
-    /// Seconds that discovery is asked to wait for news.
+pub struct PollTiming {
+    /// How long discovery is asked to wait for a change.
     pub wait: f64,
-    /// Seconds past that until it is asked anew on a further connection.
-    pub late: f64,
+    /// How long after the wait a response is given up and a further connection opened.
+    pub grace: f64,
 }
 
-impl WatchTerms {
-    /// Terms for gateways that must stop sending to a leaving backend `stop_within` seconds after they are told;
-    /// `must_ask`: the lists come from discovery itself, not from an agent beside the gateway.
-    pub fn new(stop_within: f64, must_ask: bool) -> Self {
-        if must_ask {
-            return Self { wait: ASKED.0, late: ASKED.1 };
+impl PollTiming {
+    /// The timing for a gateway that has to stop sending to a draining backend `stop_within` seconds after it was
+    /// notified. `direct`: discovery itself is polled, not an agent beside the gateway.
+    pub fn new(stop_within: f64, direct: bool) -> Self {
+        if direct {
+            return DIRECT;
         }
-        let late = (PARTS.1 * stop_within).clamp(LATE.0, LATE.1);
-        Self { wait: PARTS.0 / PARTS.1 * late, late }
+        let grace = (GRACE_FRACTION * stop_within).clamp(MIN_GRACE, MAX_GRACE);
+        Self { wait: WAIT_FRACTION / GRACE_FRACTION * grace, grace }
     }
 
-    /// Most seconds from the moment that discovery answers again until it was asked anew.
-    pub fn bound(&self) -> f64 {
-        self.wait + 2.0 * self.late
+    /// Most seconds from the moment that discovery answers again until a new poll is out.
+    pub fn max_staleness(&self) -> f64 {
+        self.wait + 2.0 * self.grace
     }
 }
 
-/// What is to be done.
+/// What the runtime has to do with a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WatchStep {
-    /// Open a connection and ask for the whole list on it.
-    Open(LineId),
-    /// Drop a connection and whatever was asked on it.
-    Close(LineId),
+pub enum WatchOutput {
+    /// Open it and poll for the complete list.
+    Open(WatchConnection),
+    /// Close it and abandon its poll.
+    Close(WatchConnection),
+}
+
+/// A connection with a poll in flight.
+#[derive(Debug, Clone, Copy)]
+struct Poll {
+    connection: WatchConnection,
+    /// A part of its response was received.
+    response_started: bool,
 }
 
-/// The connections to discovery.
+/// The polls of the endpoint list.
 #[derive(Debug)]
-pub struct ListWatch {
-    terms: WatchTerms,
+pub struct EndpointWatch {
+    timing: PollTiming,
     rng: fastrand::Rng,
-    /// From the oldest on; each has a call out.
-    lines: VecDeque<(LineId, bool)>,
-    /// The one that answered last.
-    heard: Option<LineId>,
-    last: LineId,
-    opened: Time,
-    /// When another is opened, unless there is an answer before.
+    /// The oldest first.
+    polls: VecDeque<Poll>,
+    /// The connection of the last response.
+    last_responsive: Option<WatchConnection>,
+    /// The connection that was opened last.
+    last_opened: WatchConnection,
+    last_opened_at: Time,
+    /// When a further connection is opened, unless a response comes before.
     open_at: Time,
 }
 
-impl ListWatch {
+impl EndpointWatch {
     /// A watch that opens its first connection at `now`.
-    pub fn new(now: Time, terms: WatchTerms, seed: u64) -> Self {
-        let rng = fastrand::Rng::with_seed(seed);
+    pub fn new(now: Time, timing: PollTiming, seed: u64) -> Self {
         Self {
-            terms,
-            rng,
-            lines: VecDeque::new(),
-            heard: None,
-            last: 0,
-            opened: f64::NEG_INFINITY,
+            timing,
+            rng: fastrand::Rng::with_seed(seed),
+            polls: VecDeque::new(),
+            last_responsive: None,
+            last_opened: 0,
+            last_opened_at: f64::NEG_INFINITY,
             open_at: now,
         }
     }
 
-    /// Seconds that a call waits for news.
+    /// Seconds that a poll asks discovery to wait for a change.
     pub fn wait(&self) -> f64 {
-        self.terms.wait
+        self.timing.wait
     }
 
-    /// Most seconds from an answer to the next one, while discovery answers.
-    pub fn bound(&self) -> f64 {
-        self.terms.bound()
+    /// Most seconds between two responses while discovery answers.
+    pub fn max_staleness(&self) -> f64 {
+        self.timing.max_staleness()
     }
 
-    /// When [`ListWatch::due`] has something to say.
-    pub fn next(&self) -> Time {
+    /// When [`EndpointWatch::handle_timeout`] has to be called next.
+    pub fn next_timeout(&self) -> Time {
         self.open_at
     }
 
-    /// What is due: no answer came in time.
-    pub fn due(&mut self, now: Time) -> Vec<WatchStep> {
-        let mut steps = Vec::new();
+    /// Opens a further connection if no response came in time.
+    pub fn handle_timeout(&mut self, now: Time) -> Vec<WatchOutput> {
+        let mut outputs = Vec::new();
         if now < self.open_at {
-            return steps;
+            return outputs;
         }
-        if self.lines.len() >= MOST_LINES {
-            steps.extend(self.lines.remove(1).map(|(line, _)| WatchStep::Close(line)));
+        if self.polls.len() >= MAX_CONNECTIONS {
+            outputs.extend(self.polls.remove(1).map(|poll| WatchOutput::Close(poll.connection)));
         }
-        self.last += 1;
-        self.lines.push_back((self.last, false));
-        (self.opened, self.open_at) = (now, now + self.pause());
-        steps.push(WatchStep::Open(self.last));
-        steps
+        self.last_opened += 1;
+        self.polls.push_back(Poll { connection: self.last_opened, response_started: false });
+        (self.last_opened_at, self.open_at) = (now, now + self.pause());
+        outputs.push(WatchOutput::Open(self.last_opened));
+        outputs
     }
 
-    /// Some of an answer has come on a connection: the rest gets as long as a late one, once.
-    pub fn begun(&mut self, now: Time, line: LineId) {
-        let begins = |(id, begun): &mut (LineId, bool)| *id == line && !std::mem::replace(begun, true);
-        if self.lines.iter_mut().any(begins) {
-            self.open_at = self.open_at.max(now + self.terms.late);
+    /// A part of a response was received: the rest gets one more grace, once.
+    pub fn handle_partial_response(&mut self, now: Time, connection: WatchConnection) {
+        let starts = |poll: &mut Poll| {
+            poll.connection == connection && !std::mem::replace(&mut poll.response_started, true)
+        };
+        if self.polls.iter_mut().any(starts) {
+            self.open_at = self.open_at.max(now + self.timing.grace);
         }
     }
 
-    /// An answer came: its connection is asked on for news, and the others are given up. `None`: it was given up.
-    pub fn answered(&mut self, now: Time, line: LineId) -> Option<Vec<WatchStep>> {
-        self.lines.iter().find(|(id, _)| *id == line)?;
-        let others = self.lines.drain(..).filter(|(id, _)| *id != line);
-        let steps = others.map(|(id, _)| WatchStep::Close(id)).collect();
-        self.lines.push_back((line, false));
-        self.heard = Some(line);
-        self.open_at = now + self.terms.wait + self.terms.late;
-        Some(steps)
+    /// A complete response was received: its connection carries the next poll, and the others are closed. `None` if the
+    /// poll was abandoned before; its response must not be used.
+    pub fn handle_response(&mut self, now: Time, connection: WatchConnection) -> Option<Vec<WatchOutput>> {
+        self.polls.iter().find(|poll| poll.connection == connection)?;
+        let others = self.polls.drain(..).filter(|poll| poll.connection != connection);
+        let outputs = others.map(|poll| WatchOutput::Close(poll.connection)).collect();
+        self.polls.push_back(Poll { connection, response_started: false });
+        self.last_responsive = Some(connection);
+        self.open_at = now + self.timing.wait + self.timing.grace;
+        Some(outputs)
     }
 
-    /// A connection ended, or brought what is no list. Where it had answered before, another is opened at once,
-    /// but no sooner than a pause after the last: discovery may end every one of them.
-    pub fn ended(&mut self, now: Time, line: LineId) {
-        self.lines.retain(|(id, _)| *id != line);
-        if self.heard == Some(line) {
-            self.heard = None;
-            self.open_at = self.open_at.min(now.max(self.opened + self.terms.late));
+    /// A connection failed or brought an unusable response. If it was the last responsive one, another is opened at once,
+    /// but at most one per grace: discovery may close every connection.
+    pub fn handle_closed(&mut self, now: Time, connection: WatchConnection) {
+        self.polls.retain(|poll| poll.connection != connection);
+        if self.last_responsive == Some(connection) {
+            self.last_responsive = None;
+            self.open_at = self.open_at.min(now.max(self.last_opened_at + self.timing.grace));
         }
     }
 
     fn pause(&mut self) -> f64 {
-        self.terms.late * (1.0 - SPREAD * self.rng.f64())
+        self.timing.grace * (1.0 - JITTER * self.rng.f64())
     }
 }
 
--- a/crates/core/src/watch/tests.rs
+++ b/crates/core/src/watch/tests.rs
@@ -1,108 +1,118 @@
 use super::*;
 
-const TERMS: WatchTerms = WatchTerms { wait: 0.1, late: 0.1 };
+const TIMING: PollTiming = PollTiming { wait: 0.1, grace: 0.1 };
 
-fn opened(steps: &[WatchStep]) -> Vec<LineId> {
-    steps.iter().filter_map(|s| if let WatchStep::Open(line) = s { Some(*line) } else { None }).collect()
+fn opened(outputs: &[WatchOutput]) -> Vec<WatchConnection> {
+    let opened = |output: &WatchOutput| match output {
+        WatchOutput::Open(connection) => Some(*connection),
+        WatchOutput::Close(_) => None,
+    };
+    outputs.iter().filter_map(opened).collect()
 }
 
 #[test]
-fn terms_leave_half_of_the_time_whatever_it_is() {
+fn polling_takes_at_most_half_of_the_time_to_stop_sending() {
     for stop_within in [0.12, 0.5, 1.0, 2.0, 6.0, 600.0] {
-        let terms = WatchTerms::new(stop_within, false);
-        assert!(terms.bound() <= stop_within / 2.0 + 1e-9, "{stop_within}");
+        let timing = PollTiming::new(stop_within, false);
+        assert!(timing.max_staleness() <= stop_within / 2.0 + 1e-9, "{stop_within}");
     }
-    // What a call that discovery itself answers misses counts as told after 6 s, or 2 s after its wait.
-    let asked = WatchTerms::new(0.5, true);
-    assert!(asked.bound() < 6.0 && asked.wait + asked.late < asked.wait + 2.0);
+    // A change that a poll of discovery itself misses counts as notified after 6 s, or 2 s after the poll's wait.
+    let direct = PollTiming::new(0.5, true);
+    assert!(direct.max_staleness() < 6.0 && direct.wait + direct.grace < direct.wait + 2.0);
 }
 
 #[test]
-fn the_first_answer_ends_all_other_calls() {
-    let mut watch = ListWatch::new(0.0, TERMS, 1);
+fn the_first_response_abandons_all_other_polls() {
+    let mut watch = EndpointWatch::new(0.0, TIMING, 1);
     let mut now = 0.0;
-    while watch.last < 9 {
-        now = watch.next();
-        watch.due(now);
+    while watch.last_opened < 9 {
+        now = watch.next_timeout();
+        watch.handle_timeout(now);
     }
-    assert_eq!(watch.lines.iter().map(|(id, _)| *id).collect::<Vec<_>>(), [1, 7, 8, 9], "the oldest stays");
-    let closed = [1, 7, 9].map(WatchStep::Close);
-    assert_eq!(watch.answered(now, 8), Some(closed.to_vec()));
-    assert_eq!(watch.answered(now, 9), None, "it was given up");
-    assert!(watch.due(now + 0.19).is_empty());
-    assert_eq!(opened(&watch.due(now + 0.2)), [10]);
+    assert_eq!(
+        watch.polls.iter().map(|poll| poll.connection).collect::<Vec<_>>(),
+        [1, 7, 8, 9],
+        "the oldest stays"
+    );
+    let closed = [1, 7, 9].map(WatchOutput::Close);
+    assert_eq!(watch.handle_response(now, 8), Some(closed.to_vec()));
+    assert_eq!(watch.handle_response(now, 9), None, "it was abandoned");
+    assert!(watch.handle_timeout(now + 0.19).is_empty());
+    assert_eq!(opened(&watch.handle_timeout(now + 0.2)), [10]);
 }
 
 #[test]
-fn an_agent_that_ends_every_connection_is_not_asked_without_a_pause() {
-    let mut watch = ListWatch::new(0.0, TERMS, 1);
-    let mut asked = 0;
+fn an_agent_that_closes_every_connection_is_polled_with_a_pause() {
+    let mut watch = EndpointWatch::new(0.0, TIMING, 1);
+    let mut polls = 0;
     let mut now = 0.0;
     while now < 10.0 {
-        for line in opened(&watch.due(now)) {
-            asked += 1;
-            watch.answered(now, line);
-            watch.ended(now, line);
+        for connection in opened(&watch.handle_timeout(now)) {
+            polls += 1;
+            watch.handle_response(now, connection);
+            watch.handle_closed(now, connection);
         }
-        now = watch.next();
+        now = watch.next_timeout();
     }
-    assert!((90..=101).contains(&asked), "{asked}");
+    assert!((90..=101).contains(&polls), "{polls}");
 }
 
-/// Plays an agent that is silent, resets, answers late or halts amid an answer until `back`, and at once from
-/// then on: the whole list must be in hand within the bound.
-fn heard_after(terms: WatchTerms, seed: u64) -> (f64, f64) {
+/// Simulates an agent that is silent, resets, answers late or stops amid a response until some time, and answers at once
+/// after it. Returns that time and when the complete list arrived.
+fn recovery(timing: PollTiming, seed: u64) -> (f64, f64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (mut watch, back) =
-        (ListWatch::new(0.0, terms, seed), rng.f64() * 3.0 * terms.bound() / TERMS.bound());
-    // When each call's answer comes, or its connection ends; a silent one never.
-    let mut ends: Vec<(f64, LineId, bool)> = Vec::new();
+    let (mut watch, back) = (
+        EndpointWatch::new(0.0, timing, seed),
+        rng.f64() * 3.0 * timing.max_staleness() / TIMING.max_staleness(),
+    );
+    // When each poll's response arrives (`true`) or its connection ends (`false`). A silent one does neither.
+    let mut ends: Vec<(f64, WatchConnection, bool)> = Vec::new();
     let mut now = 0.0;
     loop {
-        let next = ends.iter().map(|e| e.0).fold(watch.next(), f64::min);
+        let next = ends.iter().map(|e| e.0).fold(watch.next_timeout(), f64::min);
         now = next.max(now);
         if let Some(at) = ends.iter().position(|e| e.0 <= now) {
-            let (_, line, whole) = ends.swap_remove(at);
-            if !whole {
-                watch.ended(now, line);
-            } else if let Some(steps) = watch.answered(now, line) {
-                ends.retain(|e| !steps.contains(&WatchStep::Close(e.1)));
+            let (_, connection, complete) = ends.swap_remove(at);
+            if !complete {
+                watch.handle_closed(now, connection);
+            } else if let Some(outputs) = watch.handle_response(now, connection) {
+                ends.retain(|e| !outputs.contains(&WatchOutput::Close(e.1)));
                 if now >= back {
                     return (back, now);
                 }
-                // A watch that is open as silence begins may be lost too.
+                // A poll in flight as silence begins may be lost too.
                 if rng.bool() {
-                    ends.push((now + watch.wait() + rng.f64() * 0.3, line, rng.bool()));
+                    ends.push((now + watch.wait() + rng.f64() * 0.3, connection, rng.bool()));
                 }
             }
             continue;
         }
-        for step in watch.due(now) {
-            let WatchStep::Open(line) = step else {
-                if let WatchStep::Close(line) = step {
-                    ends.retain(|e| e.1 != line);
+        for output in watch.handle_timeout(now) {
+            let WatchOutput::Open(connection) = output else {
+                if let WatchOutput::Close(connection) = output {
+                    ends.retain(|e| e.1 != connection);
                 }
                 continue;
             };
             if now >= back {
-                ends.push((now, line, true));
+                ends.push((now, connection, true));
             } else if rng.bool() {
-                watch.begun(now, line);
+                watch.handle_partial_response(now, connection);
             } else if rng.bool() {
-                ends.push((now + rng.f64() * 0.5, line, rng.bool()));
+                ends.push((now + rng.f64() * 0.5, connection, rng.bool()));
             }
         }
-        assert!(watch.lines.len() <= MOST_LINES);
+        assert!(watch.polls.len() <= MAX_CONNECTIONS);
     }
 }
 
 #[test]
-fn whatever_became_of_earlier_calls_the_list_is_in_hand_within_the_bound() {
-    // Beside the gateway, and where discovery itself is asked: what it has counts as told 6 s later.
-    for terms in [TERMS, WatchTerms::new(0.5, true)] {
-        let plays = (0..20_000).map(|seed| heard_after(terms, seed));
-        let worst = plays.map(|(back, heard)| heard - back).fold(0.0, f64::max);
-        assert!(worst <= terms.bound() + 1e-9 && terms.bound() <= 5.5, "{worst}");
-        assert!(worst > terms.late, "the timelines are too mild: {worst}");
+fn whatever_became_of_earlier_polls_the_list_arrives_within_the_bound() {
+    // An agent beside the gateway, and discovery itself, whose changes count as notified 6 s later.
+    for timing in [TIMING, PollTiming::new(0.5, true)] {
+        let runs = (0..20_000).map(|seed| recovery(timing, seed));
+        let worst = runs.map(|(back, arrived)| arrived - back).fold(0.0, f64::max);
+        assert!(worst <= timing.max_staleness() + 1e-9 && timing.max_staleness() <= 5.5, "{worst}");
+        assert!(worst > timing.grace, "the schedules are too mild: {worst}");
     }
 }
--- a/crates/core/tests/guard.rs
+++ b/crates/core/tests/guard.rs
@@ -1,12 +1,14 @@
-//! What may be accepted, sent and repeated, and what is counted where it may not.
+//! Which requests are accepted, which attempts are sent and retried, and that violations are counted.
 
 use proptest::prelude::*;
 use weirusher::{Class, DedupScope, Idempotency, Reason, Settings};
-use weirusher_core::{Blocked, Earlier, Guard, Progress, SendCheck, Shutdown, Violation, longest_deadline};
+use weirusher_core::{
+    Execution, Guard, PriorAttempt, SendConditions, SendError, Shutdown, Violation, longest_deadline,
+};
 
-fn guard(effect: Idempotency, hedging: bool, deadline: f64) -> Guard {
+fn guard(idempotency: Idempotency, hedging: bool, deadline: f64) -> Guard {
     let mut class = Class::default();
-    (class.idempotency, class.deadline, class.latency_objective) = (effect, deadline, deadline / 2.0);
+    (class.idempotency, class.deadline, class.latency_objective) = (idempotency, deadline, deadline / 2.0);
     let mut settings = Settings::default();
     (settings.max_attempts, settings.hedging, settings.classes) = (3, hedging, vec![class]);
     Guard::new(&settings)
@@ -16,34 +18,34 @@
 fn the_earliest_kill_is_the_longest_deadline_counted_as_three_seconds_at_most_and_a_margin() {
     for (deadline, span) in [(0.2, 0.9), (1.5, 2.2), (3.0, 3.7), (6.0, 3.7)] {
         let shutdown = Shutdown::new(100.0, deadline);
-        assert!((shutdown.kill - 100.0 - span).abs() < 1e-9, "{deadline}");
-        assert!(shutdown.respond_by() < shutdown.kill - 0.29, "two delays of 0.15 s fit in");
+        assert!((shutdown.kill_at - 100.0 - span).abs() < 1e-9, "{deadline}");
+        assert!(shutdown.respond_by() < shutdown.kill_at - 0.29, "two stalls of 0.15 s fit in");
         assert!(shutdown.accept_until() <= shutdown.respond_by());
     }
     let mut class = Class::default();
     (class.latency_objective, class.deadline) = (2.0, 1.0);
-    assert_eq!(longest_deadline(&[class]), 2.0, "a deadline is never shorter than the aim");
+    assert_eq!(longest_deadline(&[class]), 2.0, "a deadline is never shorter than the latency objective");
     assert_eq!(longest_deadline(&[]), 0.0);
 }
 
 proptest! {
     /// Whenever a request is read, its response is due before its client's deadline and before the process may be killed.
     #[test]
-    fn an_accepted_request_has_its_response_while_everyone_is_there(
+    fn an_accepted_request_has_its_response_before_its_deadline_and_the_kill(
         deadline in 0.05..8.0f64, waits in 0.001..8.0f64, stopped in 0.0..5.0f64, read in 0.0..12.0f64,
     ) {
         let mut guard = guard(Idempotency::NonIdempotent, false, deadline);
         let (stopped, read) = (1e9 + stopped, 1e9 + read);
-        let shutdown = (read >= stopped).then(|| guard.stop(stopped));
-        match (guard.accept(read, waits), shutdown) {
+        let shutdown = (read >= stopped).then(|| guard.begin_shutdown(stopped));
+        match (guard.check_accept(read, waits), shutdown) {
             (Ok(due), None) => prop_assert!(due < read + waits),
             (Ok(due), Some(shutdown)) => {
                 prop_assert!(due < read + waits && due <= shutdown.respond_by());
-                prop_assert!(read < due || waits < 0.001, "there is time left for it");
+                prop_assert!(read < due || waits < 0.001, "time is left for it");
             }
             (Err(reason), Some(shutdown)) => {
                 prop_assert_eq!(reason, Reason::Stopping);
-                prop_assert!(read > shutdown.respond_by() - 0.1, "refused only where nothing is left");
+                prop_assert!(read > shutdown.respond_by() - 0.1, "rejected only when no time is left");
             }
             (Err(reason), None) => prop_assert!(false, "{}", reason),
         }
@@ -51,69 +53,74 @@
 }
 
 #[test]
-fn the_first_signal_counts() {
+fn the_first_signal_sets_the_schedule() {
     let mut guard = guard(Idempotency::Idempotent, false, 1.0);
     assert!(guard.may_read(1e9));
-    let first = guard.stop(10.0);
-    assert_eq!(guard.stop(11.0), first);
+    let first = guard.begin_shutdown(10.0);
+    assert_eq!(guard.begin_shutdown(11.0), first);
     assert!(guard.may_read(first.respond_by() - 0.01) && !guard.may_read(first.respond_by()));
 }
 
 #[test]
-fn an_attempt_is_sent_only_while_all_that_stands_behind_it_holds() {
+fn an_attempt_is_sent_only_while_its_conditions_hold() {
     let guard = guard(Idempotency::Idempotent, false, 1.0);
-    let check = SendCheck { deadline: Some(5.0), give_up: Some(4.0), send_by: 3.0, listed: true };
-    let limits = guard.may_send(2.5, &check).unwrap();
+    let conditions = SendConditions {
+        request_deadline: Some(5.0),
+        attempt_deadline: Some(4.0),
+        write_deadline: 3.0,
+        backend_available: true,
+    };
+    let limits = guard.check_send(2.5, &conditions).unwrap();
     assert_eq!(limits.timeout, 1.5);
-    assert!((limits.send_within - 0.35).abs() < 1e-9, "0.15 s are for being held up");
-    let later = SendCheck { send_by: f64::INFINITY, deadline: Some(3.5), ..check };
-    assert_eq!(guard.may_send(3.0, &later).unwrap().timeout, 0.5, "no longer than its request has");
+    assert!((limits.write_timeout - 0.35).abs() < 1e-9, "0.15 s are for a stall");
+    let later = SendConditions { write_deadline: f64::INFINITY, request_deadline: Some(3.5), ..conditions };
+    assert_eq!(guard.check_send(3.0, &later).unwrap().timeout, 0.5, "at most the request's time budget");
     let blocked = [
-        (SendCheck { deadline: None, ..check }, 2.5, Blocked::NotPending),
-        (SendCheck { give_up: None, ..check }, 2.5, Blocked::Ended),
-        (SendCheck { send_by: f64::INFINITY, ..check }, 4.0, Blocked::DeadlineExceeded),
-        (SendCheck { deadline: Some(2.0), ..check }, 2.5, Blocked::DeadlineExceeded),
-        (check, 2.86, Blocked::WindowOver),
-        (SendCheck { listed: false, ..check }, 2.5, Blocked::ServerLeft),
+        (SendConditions { request_deadline: None, ..conditions }, 2.5, SendError::NotPending),
+        (SendConditions { attempt_deadline: None, ..conditions }, 2.5, SendError::AttemptEnded),
+        (SendConditions { write_deadline: f64::INFINITY, ..conditions }, 4.0, SendError::DeadlineExceeded),
+        (SendConditions { request_deadline: Some(2.0), ..conditions }, 2.5, SendError::DeadlineExceeded),
+        (conditions, 2.86, SendError::WindowOver),
+        (SendConditions { backend_available: false, ..conditions }, 2.5, SendError::BackendUnavailable),
     ];
-    for (check, now, why) in blocked {
-        assert_eq!(guard.may_send(now, &check), Err(why));
+    for (conditions, now, error) in blocked {
+        assert_eq!(guard.check_send(now, &conditions), Err(error));
     }
 }
 
 #[test]
-fn a_repeat_that_would_break_a_rule_is_stopped_and_counted() {
+fn an_attempt_that_would_break_a_rule_is_prevented_and_counted() {
     let keyed = Idempotency::Keyed { scope: DedupScope::All, window: 2.0 };
-    let at = |sent, progress| Earlier { sent, progress };
-    let (never, maybe, out) =
-        (at(0.0, Progress::NeverRan), at(0.5, Progress::MayHaveRun), at(0.5, Progress::Out));
-    // Class, hedging, earlier attempts, moment, allowed.
+    let at = |started_at, execution| PriorAttempt { started_at, execution };
+    let (never, maybe, in_flight) =
+        (at(0.0, Execution::NotExecuted), at(0.5, Execution::MayHaveExecuted), at(0.5, Execution::InFlight));
+    // Idempotency, hedging, prior attempts, time, allowed.
     let cases = [
         (Idempotency::NonIdempotent, true, vec![], 1.0, true),
         (Idempotency::NonIdempotent, true, vec![never], 1.0, true),
         (Idempotency::NonIdempotent, true, vec![maybe], 1.0, false),
-        (Idempotency::NonIdempotent, true, vec![out], 1.0, false),
+        (Idempotency::NonIdempotent, true, vec![in_flight], 1.0, false),
         (Idempotency::NonIdempotent, true, vec![never, maybe], 1.0, false),
-        (Idempotency::Idempotent, false, vec![out], 1.0, false),
-        (Idempotency::Idempotent, true, vec![out], 1.0, true),
+        (Idempotency::Idempotent, false, vec![in_flight], 1.0, false),
+        (Idempotency::Idempotent, true, vec![in_flight], 1.0, true),
         (Idempotency::Idempotent, false, vec![maybe], 9.0, true),
         (Idempotency::Idempotent, true, vec![never, never, never], 1.0, false),
         (keyed, true, vec![never, maybe], 2.4, true),
         (keyed, true, vec![never, maybe], 2.5, false),
         (keyed, true, vec![never, never], 9.0, true),
     ];
-    for (effect, hedging, earlier, now, allowed) in cases {
-        let mut guard = guard(effect, hedging, 1.0);
+    for (idempotency, hedging, prior, now, allowed) in cases {
+        let mut guard = guard(idempotency, hedging, 1.0);
         assert_eq!(
-            guard.may_repeat(now, 0, &earlier).is_ok(),
+            guard.check_attempt(now, 0, &prior).is_ok(),
             allowed,
-            "{effect:?} {hedging} {earlier:?} {now}"
+            "{idempotency:?} {hedging} {prior:?} {now}"
         );
         assert_eq!(guard.violations().total(), u64::from(!allowed));
-        // A class that the settings do not have may not be repeated either.
-        assert_eq!(guard.may_repeat(now, 7, &[maybe]), Err(Violation::UnsafeRepeat));
+        // A class that the settings do not have is not idempotent either.
+        assert_eq!(guard.check_attempt(now, 7, &[maybe]), Err(Violation::UnsafeRetry));
     }
     let mut guard = guard(keyed, true, 1.0);
-    guard.closed(2);
+    guard.connection_closed(2);
     assert_eq!(guard.violations().closed_unanswered, 2);
 }
--- a/crates/core/tests/pool.rs
+++ b/crates/core/tests/pool.rs
@@ -1,58 +1,58 @@
-//! Idle connections: which is used next, which gives way, which is too old or too young.
+//! The connection pool: which idle connection is used next, which is evicted, which may not be reused yet.
 
-use weirusher_core::{Pool, Room};
+use weirusher_core::{ConnectionPool, Reservation};
 
 #[test]
-fn the_most_recently_used_goes_first_and_the_old_are_dropped() {
-    let mut pool = Pool::new(8, 10.0);
+fn the_most_recently_used_is_taken_first_and_timed_out_ones_are_evicted() {
+    let mut pool = ConnectionPool::new(8, 10.0);
     for connection in 1..=3 {
-        assert_eq!(pool.opening(), Room::Free);
+        assert_eq!(pool.reserve(), Reservation::Granted);
         assert_eq!(pool.put(f64::from(connection), "a", connection), None);
     }
     assert_eq!(pool.take(4.0, &"a"), Some(3));
-    assert_eq!(pool.next_prune(), Some(11.0));
-    assert_eq!(pool.prune(11.5, |_| true), [1]);
-    assert_eq!((pool.take(12.5, &"a"), pool.open()), (None, 1), "the second is too old by now");
+    assert_eq!(pool.next_eviction(), Some(11.0));
+    assert_eq!(pool.evict(11.5, |_| true), [1]);
+    assert_eq!((pool.take(12.5, &"a"), pool.open()), (None, 1), "the second has timed out");
 }
 
 #[test]
-fn at_the_bound_the_longest_idle_gives_way_to_a_new_one() {
-    let mut pool = Pool::new(2, 10.0);
-    assert_eq!((pool.opening(), pool.opening()), (Room::Free, Room::Free));
-    assert_eq!(pool.opening(), Room::Full);
+fn a_full_pool_evicts_the_longest_idle_for_a_new_connection() {
+    let mut pool = ConnectionPool::new(2, 10.0);
+    assert_eq!((pool.reserve(), pool.reserve()), (Reservation::Granted, Reservation::Granted));
+    assert_eq!(pool.reserve(), Reservation::Exhausted);
     assert!(pool.put(1.0, "b", 2).is_none() && pool.put(0.5, "a", 1).is_none());
-    assert_eq!(pool.opening(), Room::Instead(1));
+    assert_eq!(pool.reserve(), Reservation::Evicted(1));
     assert_eq!(pool.open(), 2);
-    pool.closed();
-    assert_eq!((pool.opening(), pool.open()), (Room::Free, 2));
+    pool.release();
+    assert_eq!((pool.reserve(), pool.open()), (Reservation::Granted, 2));
 }
 
 #[test]
-fn a_place_that_is_left_loses_its_connections() {
-    let mut pool = Pool::new(8, 10.0);
-    for place in ["a", "b"] {
-        pool.opening();
-        pool.put(0.0, place, place);
+fn an_endpoint_that_is_not_kept_loses_its_connections() {
+    let mut pool = ConnectionPool::new(8, 10.0);
+    for endpoint in ["a", "b"] {
+        pool.reserve();
+        pool.put(0.0, endpoint, endpoint);
     }
-    assert_eq!(pool.prune(0.0, |place| *place == "b"), ["a"]);
+    assert_eq!(pool.evict(0.0, |endpoint| *endpoint == "b"), ["a"]);
     assert_eq!((pool.open(), pool.take(0.1, &"a"), pool.take(0.1, &"b")), (1, None, Some("b")));
 }
 
 #[test]
-fn a_place_keeps_so_many_and_no_more() {
-    let mut pool = Pool::new(1000, 10.0);
-    (0..32).for_each(|n| assert_eq!((pool.opening(), pool.put(0.0, "a", n)), (Room::Free, None)));
-    pool.opening();
+fn idle_connections_for_one_endpoint_are_bounded() {
+    let mut pool = ConnectionPool::new(1000, 10.0);
+    (0..32).for_each(|n| assert_eq!((pool.reserve(), pool.put(0.0, "a", n)), (Reservation::Granted, None)));
+    pool.reserve();
     assert_eq!((pool.put(0.0, "a", 999), pool.open()), (Some(0), 32));
 }
 
 #[test]
-fn one_that_has_just_answered_rests_as_a_second_answer_may_be_on_its_way() {
-    let mut pool = Pool::new(8, 10.0);
+fn a_connection_is_not_reused_right_after_a_response() {
+    let mut pool = ConnectionPool::new(8, 10.0);
     for (at, connection) in [(1.0, 1), (1.5, 2)] {
-        assert_eq!((pool.opening(), pool.put(at, "a", connection)), (Room::Free, None));
+        assert_eq!((pool.reserve(), pool.put(at, "a", connection)), (Reservation::Granted, None));
     }
-    assert_eq!(pool.take(1.505, &"a"), Some(1), "the youngest that has rested");
-    assert_eq!(pool.take(1.505, &"a"), None, "a new one is to be made");
+    assert_eq!(pool.take(1.505, &"a"), Some(1), "the most recent that may be reused");
+    assert_eq!(pool.take(1.505, &"a"), None, "a new one has to be opened");
     assert_eq!((pool.take(1.515, &"a"), pool.open()), (Some(2), 2));
 }
--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -1,10 +1,10 @@
-//! The proxy in virtual time: whatever order outcomes, time-outs, departures and counter answers come in, each
-//! request gets one answer in time and leaves nothing behind.
+//! The proxy core in virtual time: in whatever order attempts end, time out, clients go and counter responses arrive, each
+//! request gets one response in time and is removed from the table.
 
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
 use weirusher::{Class, Endpoint, EndpointListKind, LoadReport, Plan, RequestId, Settings, Status};
-use weirusher_core::{Arrived, Command, IncomingRequest, ProxyCore, ProxyOutput};
+use weirusher_core::{Command, IncomingRequest, ProxyCore, ProxyOutput, RequestStatus};
 
 const START: f64 = 1_000_000.0;
 const TIME_BUDGET: f64 = 3.0;
@@ -13,29 +13,29 @@
 enum Step {
     Arrive,
     /// The id of an open request once more.
-    Double {
-        job: usize,
+    Duplicate {
+        request: usize,
     },
     End {
         attempt: usize,
         status: Status,
     },
-    /// An end that was told already, or of an attempt that never was.
+    /// An end that was reported before, or of an attempt that does not exist.
     Stray {
-        job: usize,
+        request: usize,
         attempt: u32,
     },
-    Leave {
-        job: usize,
+    ClientGone {
+        request: usize,
     },
-    Counted {
+    CounterResponse {
         status: Status,
     },
     Wait {
         millis: u64,
     },
-    /// The process is told to stop.
-    Stop,
+    /// The process receives the signal to stop.
+    Shutdown,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -49,18 +49,18 @@
     ];
     prop_oneof![
         4 => Just(Step::Arrive),
-        1 => (0..32usize).prop_map(|job| Step::Double { job }),
+        1 => (0..32usize).prop_map(|request| Step::Duplicate { request }),
         4 => (0..32usize, status.clone()).prop_map(|(attempt, status)| Step::End { attempt, status }),
-        1 => (0..32usize, 0..4u32).prop_map(|(job, attempt)| Step::Stray { job, attempt }),
-        1 => (0..32usize).prop_map(|job| Step::Leave { job }),
-        2 => status.prop_map(|status| Step::Counted { status }),
+        1 => (0..32usize, 0..4u32).prop_map(|(request, attempt)| Step::Stray { request, attempt }),
+        1 => (0..32usize).prop_map(|request| Step::ClientGone { request }),
+        2 => status.prop_map(|status| Step::CounterResponse { status }),
         2 => (0..900u64).prop_map(|millis| Step::Wait { millis }),
     ]
 }
 
 /// The same, with a signal to stop among them now and then.
-fn step_or_stop() -> impl Strategy<Value = Step> {
-    prop_oneof![30 => step(), 1 => Just(Step::Stop)]
+fn step_or_shutdown() -> impl Strategy<Value = Step> {
+    prop_oneof![30 => step(), 1 => Just(Step::Shutdown)]
 }
 
 fn settings() -> Settings {
@@ -78,189 +78,202 @@
     proxy: ProxyCore,
     now: f64,
     next: u64,
-    out: Vec<(RequestId, u32)>,
-    jobs: Vec<RequestId>,
+    in_flight: Vec<(RequestId, u32)>,
+    requests: Vec<RequestId>,
     answered: HashMap<RequestId, u32>,
-    left: HashSet<RequestId>,
+    client_gone: HashSet<RequestId>,
     arrived: HashMap<RequestId, f64>,
     calls: Vec<u64>,
-    /// By when a shutdown that has begun wants the last answers.
+    /// When the last response has to be written, once a shutdown has begun.
     respond_by: f64,
 }
 
 impl Rig {
     fn new() -> Self {
         let mut proxy = ProxyCore::new(settings(), 7, START).unwrap();
-        proxy.update_endpoints(
+        proxy.handle_endpoint_list(
             START,
             EndpointListKind::Snapshot,
             (0..6).map(|n| Endpoint::warm(format!("w{n}"))).collect(),
         );
-        let (out, jobs, calls) = Default::default();
-        let (answered, left, arrived) = Default::default();
+        let (in_flight, requests, calls) = Default::default();
+        let (answered, client_gone, arrived) = Default::default();
         let respond_by = f64::INFINITY;
-        Self { proxy, now: START, next: 0, out, jobs, answered, left, arrived, calls, respond_by }
+        Self {
+            proxy,
+            now: START,
+            next: 0,
+            in_flight,
+            requests,
+            answered,
+            client_gone,
+            arrived,
+            calls,
+            respond_by,
+        }
     }
 
-    fn settle(&mut self) {
+    fn carry_out(&mut self) {
         let mut outputs = Vec::new();
         self.proxy.take_outputs(&mut outputs);
         for output in outputs {
             match output {
-                ProxyOutput::Forward { request: job, attempt, timeout, .. } => {
-                    assert!(!self.answered.contains_key(&job), "nothing goes out for an answered request");
-                    assert!(!self.left.contains(&job), "nothing goes out for a client that left");
-                    assert!(self.now + timeout <= self.arrived[&job] + TIME_BUDGET);
+                ProxyOutput::Forward { request: id, attempt, timeout, .. } => {
+                    assert!(!self.answered.contains_key(&id), "no attempt starts for an answered request");
+                    assert!(!self.client_gone.contains(&id), "no attempt starts for a client that is gone");
+                    assert!(self.now + timeout <= self.arrived[&id] + TIME_BUDGET);
                     assert!(self.now + timeout <= self.respond_by + 1e-6, "it ends before the process may");
-                    self.out.push((job, attempt));
+                    self.in_flight.push((id, attempt));
                 }
-                ProxyOutput::Abort { request: job, attempt } => {
-                    self.out.retain(|out| *out != (job.clone(), attempt))
+                ProxyOutput::Abort { request: id, attempt } => {
+                    self.in_flight.retain(|attempts| *attempts != (id.clone(), attempt))
                 }
-                ProxyOutput::Prevented { request: job, attempt, violation } => {
-                    panic!("attempt {attempt} of {job}: {violation}")
+                ProxyOutput::Prevented { request: id, attempt, violation } => {
+                    panic!("attempt {attempt} of {id}: {violation}")
                 }
-                ProxyOutput::Respond { request: job, .. } => self.answer(job),
+                ProxyOutput::Respond { request: id, .. } => self.answer(id),
                 ProxyOutput::Command(Command::AddToCounter { call, .. }) => self.calls.push(call),
                 ProxyOutput::Command(_) => {}
             }
         }
     }
 
-    fn answer(&mut self, job: RequestId) {
-        assert!(!self.left.contains(&job));
-        assert!(self.now < self.arrived[&job] + TIME_BUDGET, "answered in time");
-        let refused_late = self.arrived[&job] > self.respond_by - 0.1;
+    fn answer(&mut self, id: RequestId) {
+        assert!(!self.client_gone.contains(&id));
+        assert!(self.now < self.arrived[&id] + TIME_BUDGET, "answered in time");
+        let rejected_late = self.arrived[&id] > self.respond_by - 0.1;
         assert!(
-            refused_late || self.now < self.respond_by + 0.01,
+            rejected_late || self.now < self.respond_by + 0.01,
             "answered before the process may be killed"
         );
-        *self.answered.entry(job).or_default() += 1;
+        *self.answered.entry(id).or_default() += 1;
     }
 
     fn arrive(&mut self) {
         self.next += 1;
-        let job: RequestId = format!("job{}", self.next).into();
-        self.arrived.insert(job.clone(), self.now);
-        self.jobs.push(job.clone());
-        assert_eq!(self.proxy.request(self.now, arrival(&job)), Arrived::Accepted);
+        let id: RequestId = format!("request{}", self.next).into();
+        self.arrived.insert(id.clone(), self.now);
+        self.requests.push(id.clone());
+        assert_eq!(self.proxy.handle_request(self.now, arrival(&id)), RequestStatus::Accepted);
     }
 
     fn wait(&mut self, until: f64) {
-        while let Some(due) = self.proxy.next_deadline().filter(|due| *due <= until) {
-            // A little on, so that rounding of the seconds does not stop the time.
+        while let Some(due) = self.proxy.next_timeout().filter(|due| *due <= until) {
+            // A little later, so that rounding does not stop the time.
             self.now = due.max(self.now) + 1e-5;
-            self.proxy.advance(self.now);
-            self.settle();
+            self.proxy.handle_timeout(self.now);
+            self.carry_out();
         }
         self.now = until;
     }
 
     fn step(&mut self, step: Step) {
-        let job = |jobs: &[RequestId], at: usize| jobs.get(at % jobs.len().max(1)).cloned();
+        let pick = |ids: &[RequestId], index: usize| ids.get(index % ids.len().max(1)).cloned();
         match step {
             Step::Arrive => self.arrive(),
-            Step::Double { job: at } => {
-                if let Some(job) = job(&self.jobs, at).filter(|job| self.proxy.contains(job)) {
-                    assert_eq!(self.proxy.request(self.now, arrival(&job)), Arrived::Duplicate);
+            Step::Duplicate { request } => {
+                if let Some(id) = pick(&self.requests, request).filter(|id| self.proxy.contains(id)) {
+                    assert_eq!(self.proxy.handle_request(self.now, arrival(&id)), RequestStatus::Duplicate);
                 }
             }
-            Step::End { attempt, status } if !self.out.is_empty() => {
-                let (job, attempt) = self.out.remove(attempt % self.out.len());
-                if self.proxy.attempt_ended(self.now, &job, attempt, status, LoadReport::default()) {
+            Step::End { attempt, status } if !self.in_flight.is_empty() => {
+                let (id, attempt) = self.in_flight.remove(attempt % self.in_flight.len());
+                if self.proxy.handle_attempt_ended(self.now, &id, attempt, status, LoadReport::default()) {
                     assert_eq!(status, Status::Ok);
-                    self.answer(job);
+                    self.answer(id);
                 }
             }
-            Step::Stray { job: at, attempt } => {
-                let Some(job) = job(&self.jobs, at) else { return };
-                if !self.out.contains(&(job.clone(), attempt)) {
-                    assert!(!self.proxy.attempt_ended(
+            Step::Stray { request, attempt } => {
+                let Some(id) = pick(&self.requests, request) else { return };
+                if !self.in_flight.contains(&(id.clone(), attempt)) {
+                    assert!(!self.proxy.handle_attempt_ended(
                         self.now,
-                        &job,
+                        &id,
                         attempt,
                         Status::Ok,
                         LoadReport::default()
                     ));
                 }
             }
-            Step::Leave { job: at } => {
-                let Some(job) = job(&self.jobs, at) else { return };
-                self.proxy.client_gone(self.now, &job);
-                if !self.answered.contains_key(&job) {
-                    self.left.insert(job);
+            Step::ClientGone { request } => {
+                let Some(id) = pick(&self.requests, request) else { return };
+                self.proxy.handle_client_gone(self.now, &id);
+                if !self.answered.contains_key(&id) {
+                    self.client_gone.insert(id);
                 }
             }
-            Step::Counted { status } if !self.calls.is_empty() => {
+            Step::CounterResponse { status } if !self.calls.is_empty() => {
                 let call = self.calls.remove(0);
-                self.proxy.counter_response(self.now, call, status, 1.0, 0.001);
+                self.proxy.handle_counter_response(self.now, call, status, 1.0, 0.001);
             }
-            Step::Stop => self.respond_by = self.proxy.stop(self.now).respond_by(),
+            Step::Shutdown => self.respond_by = self.proxy.begin_shutdown(self.now).respond_by(),
             Step::Wait { millis } => self.wait(self.now + millis as f64 / 1e3),
-            Step::End { .. } | Step::Counted { .. } => {}
+            Step::End { .. } | Step::CounterResponse { .. } => {}
         }
-        self.settle();
+        self.carry_out();
     }
 }
 
-fn arrival(job: &RequestId) -> IncomingRequest {
-    let (customer, spread) = ("c".into(), (2, 0));
-    let job = job.clone();
+fn arrival(id: &RequestId) -> IncomingRequest {
     IncomingRequest {
-        id: job,
-        customer,
+        id: id.clone(),
+        customer: "c".into(),
         plan: 0,
         class: 0,
         units: 1.0,
         time_budget: TIME_BUDGET,
-        customer_instances: spread,
+        customer_instances: 2,
+        first_instance: 0,
         is_retry: false,
     }
 }
 
 proptest! {
     #[test]
-    fn each_request_gets_one_answer_in_time_and_leaves_nothing(steps in proptest::collection::vec(step_or_stop(), 1..120)) {
+    fn each_request_gets_one_response_in_time_and_is_removed(steps in proptest::collection::vec(step_or_shutdown(), 1..120)) {
         let mut rig = Rig::new();
         steps.into_iter().for_each(|step| rig.step(step));
-        // Nothing more comes from anywhere: limits end what is open.
+        // Nothing more arrives: timeouts end what is open.
         rig.wait(rig.now + 2.0 * TIME_BUDGET);
-        for job in &rig.jobs {
-            let answers = rig.answered.get(job).copied().unwrap_or(0);
-            prop_assert_eq!(answers, u32::from(!rig.left.contains(job)), "{}", job);
+        for id in &rig.requests {
+            let responses = rig.answered.get(id).copied().unwrap_or(0);
+            prop_assert_eq!(responses, u32::from(!rig.client_gone.contains(id)), "{}", id);
         }
-        prop_assert_eq!((rig.proxy.pending(), rig.proxy.open_requests(), rig.out.len()), (0, 0, 0));
+        prop_assert_eq!((rig.proxy.pending(), rig.proxy.open_requests(), rig.in_flight.len()), (0, 0, 0));
         prop_assert_eq!(rig.proxy.violations().total(), 0);
     }
 }
 
 #[test]
-fn a_request_that_nobody_decides_is_answered_before_its_client_gives_up() {
+fn a_request_that_is_not_decided_is_answered_before_its_deadline() {
     let mut rig = Rig::new();
     rig.arrive();
-    rig.settle();
+    rig.carry_out();
     rig.wait(START + TIME_BUDGET);
     assert_eq!(rig.answered.len(), 1);
-    let tally = rig.proxy.tally();
-    assert_eq!((tally.timed_out + tally.overdue, tally.served), (tally.attempts.max(1), 0));
+    let metrics = rig.proxy.metrics();
+    assert_eq!(
+        (metrics.attempts_timed_out + metrics.undecided, metrics.served),
+        (metrics.attempts.max(1), 0)
+    );
 }
 
 #[test]
-fn ever_new_requests_return_the_ledger_to_its_size() {
+fn the_request_table_is_empty_after_thousands_of_requests() {
     let mut rig = Rig::new();
     for round in 0..2_000u32 {
         rig.arrive();
-        rig.settle();
+        rig.carry_out();
         rig.calls.clear();
-        while let Some((job, attempt)) = rig.out.pop() {
-            if rig.proxy.attempt_ended(rig.now, &job, attempt, Status::Ok, LoadReport::default()) {
-                rig.answer(job);
+        while let Some((id, attempt)) = rig.in_flight.pop() {
+            if rig.proxy.handle_attempt_ended(rig.now, &id, attempt, Status::Ok, LoadReport::default()) {
+                rig.answer(id);
             }
-            rig.settle();
+            rig.carry_out();
         }
         rig.wait(START + f64::from(round) * 0.1);
     }
     rig.wait(rig.now + TIME_BUDGET);
     assert_eq!((rig.proxy.pending(), rig.proxy.open_requests()), (0, 0));
-    assert!(rig.proxy.tally().served > 500);
+    assert!(rig.proxy.metrics().served > 500);
 }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use weirusher::{BackendId, LoadReport, RequestId, Status};
-use weirusher_core::{Blocked, Room};
+use weirusher_core::{Reservation, SendError};
 use weirusher_platform::backend::{MOST_ANSWER, Passed, load, outcome};
 use weirusher_platform::response::{Response, ResponseReader};
 
@@ -51,7 +51,7 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         if !self.kept {
-            self.node.state.borrow_mut().pool.closed();
+            self.node.state.borrow_mut().pool.release();
         }
     }
 }
@@ -66,7 +66,7 @@
         self.kept = true;
         let state = &mut *self.node.state.borrow_mut();
         state.pool.put(self.node.now(), endpoint, stream); // What comes back is dropped.
-        self.node.idlers.set(state.pool.next_prune());
+        self.node.idlers.set(state.pool.next_eviction());
     }
 }
 
@@ -97,7 +97,7 @@
         Ok(limits) => limits,
         Err(blocked) => {
             event!(node, id = %attempt.job, attempt = attempt.attempt, %blocked, "attempt not sent");
-            if blocked != Blocked::ServerLeft {
+            if blocked != SendError::BackendUnavailable {
                 // It serves the next request.
                 lease.keep(endpoint);
             }
@@ -109,7 +109,7 @@
     attempt.passed.write_head(&mut buffer, limits.timeout);
     attempt.begun.set(true);
     match tokio::time::timeout(
-        limit(limits.send_within),
+        limit(limits.write_timeout),
         weirusher_net::write_all(stream, Buf::chain(&buffer[..], attempt.passed.body())),
     )
     .await
@@ -151,7 +151,7 @@
         }
     }
     // One that gives way is dropped here.
-    if matches!(node.state.borrow_mut().pool.opening(), Room::Full) {
+    if matches!(node.state.borrow_mut().pool.reserve(), Reservation::Exhausted) {
         return Err(Status::NotSent);
     }
     let mut lease = Lease::new(node, None);
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -197,8 +197,8 @@
         let node = &self.slot.node;
         self.request_began = node.now();
         let state = &mut *node.state.borrow_mut();
-        state.slots.reading(self.request_began, self.slot.id);
-        node.idlers.set(state.slots.next_overdue());
+        state.slots.set_reading(self.request_began, self.slot.id);
+        node.idlers.set(state.slots.next_eviction());
     }
 
     fn idle(&mut self) {
@@ -206,8 +206,8 @@
             self.buffer = BytesMut::with_capacity(BUFFER);
         }
         let state = &mut *self.slot.node.state.borrow_mut();
-        state.slots.idle(self.slot.node.now(), self.slot.id);
-        self.slot.node.idlers.set(state.slots.next_overdue());
+        state.slots.set_idle(self.slot.node.now(), self.slot.id);
+        self.slot.node.idlers.set(state.slots.next_eviction());
     }
 
     // ---- Reading ----
@@ -309,10 +309,10 @@
         let Demand { job, customer, class, plan, units, spread, patience, repeat, closes, .. } = demand;
         {
             let state = &mut *node.state.borrow_mut();
-            state.slots.busy(node.now(), self.slot.id);
-            if !state.slots.free() {
+            state.slots.set_active(node.now(), self.slot.id);
+            if !state.slots.has_free() {
                 // One that was to give way may be it: another has to.
-                node.idlers.set(state.slots.next_overdue());
+                node.idlers.set(state.slots.next_eviction());
             }
         }
         let time_budget = patience - waited;
@@ -323,7 +323,8 @@
             class,
             units,
             time_budget,
-            customer_instances: spread,
+            customer_instances: spread.0,
+            first_instance: spread.1,
             is_retry: repeat,
         };
         let Some(reply) = node.request(request, passed, self.socket.clone()) else {
--- a/crates/node/src/connection/tests.rs
+++ b/crates/node/src/connection/tests.rs
@@ -54,7 +54,7 @@
     let (server, _) = listener.accept().unwrap();
     server.set_nonblocking(true).unwrap();
     let pool = &mut node.state.borrow_mut().pool;
-    let _ = pool.opening();
+    let _ = pool.reserve();
     // Idle for longer than a connection rests once it has answered.
     assert!(pool.put(node.now() - 1.0, ("s-0".into(), address), stream).is_none());
     server
@@ -88,7 +88,7 @@
             }
             let mut serve = std::pin::pin!(connection.serve());
             assert_eq!(once(serve.as_mut()), Poll::Ready(()), "{how}");
-            assert_eq!(node.state.borrow().proxy.tally().requests, 0, "{how}: it was entered");
+            assert_eq!(node.state.borrow().proxy.metrics().requests, 0, "{how}: it was entered");
         }
     })
     .await;
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -18,8 +18,8 @@
 use weirusher::{BackendId, LoadReport, Reason, RequestId, Status};
 use weirusher_clock::Clock;
 use weirusher_core::{
-    Arrived, Blocked, Command, IncomingRequest, Outcome, Pool, ProxyCore, ProxyOutput, SendLimits, Shutdown,
-    SlotId, Slots,
+    Command, ConnectionPool, ConnectionSlots, IncomingRequest, Outcome, ProxyCore, ProxyOutput,
+    RequestStatus, SendError, SendLimits, Shutdown, SlotId,
 };
 use weirusher_platform::backend::Passed;
 use weirusher_platform::client::Names;
@@ -73,10 +73,10 @@
     pub proxy: ProxyCore,
     pending: HashMap<RequestId, PendingRequest>,
     attempts: HashMap<(RequestId, u32), RunningAttempt>,
-    pub pool: Pool<Endpoint, TcpStream>,
+    pub pool: ConnectionPool<Endpoint, TcpStream>,
     /// Where backends listen that take what is new.
     addresses: HashMap<BackendId, SocketAddr>,
-    pub slots: Slots,
+    pub slots: ConnectionSlots,
     last_slot: SlotId,
     /// By connection, how to ask for its close.
     pub close_requests: HashMap<SlotId, Rc<CloseRequest>>,
@@ -139,7 +139,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let state = &mut *self.node.state.borrow_mut();
-        state.slots.leave(self.id);
+        state.slots.remove(self.id);
         state.close_requests.remove(&self.id);
         self.node.slot.notify_one();
     }
@@ -151,9 +151,9 @@
             proxy,
             pending: HashMap::new(),
             attempts: HashMap::new(),
-            pool: Pool::new(budget.backends, idle),
+            pool: ConnectionPool::new(budget.backends, idle),
             addresses: HashMap::new(),
-            slots: Slots::new(budget.clients),
+            slots: ConnectionSlots::new(budget.clients),
             last_slot: 0,
             close_requests: HashMap::new(),
             calls: VecDeque::new(),
@@ -172,9 +172,9 @@
         let state = &mut *self.state.borrow_mut();
         state.last_slot += 1;
         let (id, close) = (state.last_slot, Rc::new(CloseRequest::default()));
-        state.slots.take(self.now(), id);
+        state.slots.insert(self.now(), id);
         state.close_requests.insert(id, close.clone());
-        self.idlers.set(state.slots.next_overdue());
+        self.idlers.set(state.slots.next_eviction());
         (Slot { node: self.clone(), id }, close)
     }
 
@@ -189,7 +189,7 @@
         {
             let state = &mut *self.state.borrow_mut();
             let job = request.id.clone();
-            if state.proxy.request(self.now(), request) == Arrived::Duplicate {
+            if state.proxy.handle_request(self.now(), request) == RequestStatus::Duplicate {
                 return None;
             }
             state.pending.insert(job, PendingRequest { client, passed: Rc::new(passed), answer });
@@ -205,20 +205,20 @@
 
     /// Whether the first byte of an attempt may be written now, and how long it then has. The client's socket is asked
     /// itself, last: a process that was held up has not heard of its end yet.
-    pub fn may_send(&self, attempt: &attempt::Attempt) -> Result<SendLimits, Blocked> {
+    pub fn may_send(&self, attempt: &attempt::Attempt) -> Result<SendLimits, SendError> {
         let state = self.state.borrow();
         let listed =
             attempt.address.is_some() && state.addresses.get(&attempt.server).copied() == attempt.address;
-        let limits = state.proxy.may_send(self.now(), &attempt.job, attempt.attempt, listed)?;
-        let pending = state.pending.get(&attempt.job).ok_or(Blocked::NotPending)?;
-        if pending.client.is_gone() { Err(Blocked::ClientGone) } else { Ok(limits) }
+        let limits = state.proxy.check_send(self.now(), &attempt.job, attempt.attempt, listed)?;
+        let pending = state.pending.get(&attempt.job).ok_or(SendError::NotPending)?;
+        if pending.client.is_gone() { Err(SendError::ClientGone) } else { Ok(limits) }
     }
 
     /// A connection was closed, with so many requests that were read and have no answer.
     pub fn closed(&self, unanswered: usize) {
         if unanswered > 0 {
             tracing::error!(unanswered, "a connection was closed with requests that have no response");
-            self.state.borrow_mut().proxy.closed(unanswered);
+            self.state.borrow_mut().proxy.handle_connection_closed(unanswered);
         }
     }
 
@@ -231,10 +231,10 @@
     pub fn stop(self: &Rc<Self>) -> Shutdown {
         let shutdown = {
             let state = &mut *self.state.borrow_mut();
-            let shutdown = state.proxy.stop(self.now());
-            state.slots.stop(shutdown);
-            self.stopping_since.set(Some(shutdown.since));
-            self.idlers.set(state.slots.next_overdue());
+            let shutdown = state.proxy.begin_shutdown(self.now());
+            state.slots.begin_shutdown(shutdown);
+            self.stopping_since.set(Some(shutdown.started_at));
+            self.idlers.set(state.slots.next_eviction());
             shutdown
         };
         self.pump();
@@ -247,7 +247,7 @@
             let state = &mut *self.state.borrow_mut();
             state.pending.remove(job);
             event!(self, id = %job, "client gone, request withdrawn");
-            state.proxy.client_gone(self.now(), job);
+            state.proxy.handle_client_gone(self.now(), job);
         }
         self.pump();
     }
@@ -264,7 +264,7 @@
         {
             let state = &mut *self.state.borrow_mut();
             state.attempts.remove(&(job.clone(), attempt));
-            let serves = state.proxy.attempt_ended(self.now(), job, attempt, status, load);
+            let serves = state.proxy.handle_attempt_ended(self.now(), job, attempt, status, load);
             event!(self, id = %job, attempt, ?status, serves, "attempt ended");
             if serves {
                 let reason = Reason::AttemptsFailed;
@@ -289,7 +289,7 @@
 
     /// A counter call ended.
     pub fn counted(self: &Rc<Self>, call: u64, status: Status, total: f64, spent: f64) {
-        self.state.borrow_mut().proxy.counter_response(self.now(), call, status, total, spent);
+        self.state.borrow_mut().proxy.handle_counter_response(self.now(), call, status, total, spent);
         self.pump();
     }
 
@@ -312,8 +312,8 @@
             }
             let now = self.now();
             let addresses = &state.addresses;
-            state.pool.prune(now, |(name, address)| addresses.get(name) == Some(address));
-            state.proxy.update_endpoints(now, update.kind, update.endpoints);
+            state.pool.evict(now, |(name, address)| addresses.get(name) == Some(address));
+            state.proxy.handle_endpoint_list(now, update.kind, update.endpoints);
             state.call_back(now);
         }
         self.ready.set(true);
@@ -322,12 +322,12 @@
 
     /// Discovery answered that the list is as it was.
     pub fn list_confirmed(&self) {
-        self.state.borrow_mut().proxy.confirm_endpoints(self.now());
+        self.state.borrow_mut().proxy.handle_endpoint_list_confirmed(self.now());
     }
 
     /// Lets the proxy core's timers come due.
     pub fn advance(self: &Rc<Self>) {
-        self.state.borrow_mut().proxy.advance(self.now());
+        self.state.borrow_mut().proxy.handle_timeout(self.now());
         self.pump();
     }
 
@@ -346,7 +346,7 @@
                     attempt,
                     backend: server,
                     timeout,
-                    start_within: within,
+                    write_timeout: within,
                 } => {
                     self.begin(state, job, attempt, server, (timeout, within));
                 }
@@ -375,7 +375,7 @@
             }
         }
         state.outputs = outputs;
-        self.timers.set(state.proxy.next_deadline());
+        self.timers.set(state.proxy.next_timeout());
         if called {
             self.called.notify_one();
         }
@@ -383,7 +383,7 @@
             return;
         }
         for call in turned_away {
-            state.proxy.counter_response(self.now(), call, Status::Rejected, 0.0, 0.0);
+            state.proxy.handle_counter_response(self.now(), call, Status::Rejected, 0.0, 0.0);
         }
         // What was held for these calls is decided now, not with the next event. It ends: a counter that turned calls
         // away is not asked again at once.
@@ -442,7 +442,7 @@
             if let Some(running) = self.attempts.remove(&key) {
                 running.task.abort();
             }
-            self.proxy.attempt_ended(now, &key.0, key.1, Status::NotSent, LoadReport::default());
+            self.proxy.handle_attempt_ended(now, &key.0, key.1, Status::NotSent, LoadReport::default());
         }
     }
 
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: calls to its agent, on as many connections as [`ListWatch`] wants.
+//! Discovery: calls to its agent, on as many connections as [`EndpointWatch`] wants.
 
 use crate::context::NodeContext;
 use bytes::BytesMut;
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::{AbortHandle, JoinSet};
 use weirusher::EndpointListKind;
-use weirusher_core::{LineId, ListWatch, WatchStep, WatchTerms};
+use weirusher_core::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
 use weirusher_platform::list::{ListState, MOST_LIST};
 use weirusher_platform::response::ResponseReader;
 
@@ -29,11 +29,11 @@
 struct Follower {
     node: Rc<NodeContext>,
     address: SocketAddr,
-    watch: ListWatch,
+    watch: EndpointWatch,
     list: ListState,
-    calls: JoinSet<(LineId, io::Result<Answer>)>,
-    tasks: HashMap<LineId, AbortHandle>,
-    begun: UnboundedSender<LineId>,
+    calls: JoinSet<(WatchConnection, io::Result<Answer>)>,
+    tasks: HashMap<WatchConnection, AbortHandle>,
+    begun: UnboundedSender<WatchConnection>,
     /// When the last call was made.
     asked: f64,
     /// What went wrong since the last answer, so that each cause is logged once and not for every call.
@@ -45,11 +45,11 @@
     node: Rc<NodeContext>,
     address: SocketAddr,
     zones: Vec<String>,
-    terms: WatchTerms,
+    terms: PollTiming,
     seed: u64,
 ) {
     let (begun, told) = unbounded_channel();
-    let watch = ListWatch::new(node.now(), terms, seed);
+    let watch = EndpointWatch::new(node.now(), terms, seed);
     let (calls, tasks) = (JoinSet::new(), HashMap::new());
     let list = ListState::new(zones);
     let (asked, trouble) = (f64::NEG_INFINITY, Vec::new());
@@ -57,12 +57,12 @@
 }
 
 impl Follower {
-    async fn follow(mut self, mut begun: UnboundedReceiver<LineId>) {
+    async fn follow(mut self, mut begun: UnboundedReceiver<WatchConnection>) {
         loop {
             let now = self.node.now();
-            let steps = self.watch.due(now);
+            let steps = self.watch.handle_timeout(now);
             self.carry_out(steps);
-            let next = self.node.clock.instant(self.watch.next());
+            let next = self.node.clock.instant(self.watch.next_timeout());
             tokio::select! {
                 // First what has come: a process that was kept from running must not ask anew for it.
                 biased;
@@ -72,22 +72,22 @@
                         self.ended(line, answer);
                     }
                 }
-                Some(line) = begun.recv() => self.watch.begun(self.node.now(), line),
+                Some(line) = begun.recv() => self.watch.handle_partial_response(self.node.now(), line),
                 () = tokio::time::sleep_until(next) => {}
             }
         }
     }
 
-    fn carry_out(&mut self, steps: Vec<WatchStep>) {
+    fn carry_out(&mut self, steps: Vec<WatchOutput>) {
         for step in steps {
             match step {
-                WatchStep::Open(line) => {
+                WatchOutput::Open(line) => {
                     if !self.tasks.is_empty() {
                         self.note("no answer in time".into());
                     }
                     self.call(line, None, ListState::WHOLE.to_string(), Duration::ZERO);
                 }
-                WatchStep::Close(line) => {
+                WatchOutput::Close(line) => {
                     if let Some(task) = self.tasks.remove(&line) {
                         task.abort();
                     }
@@ -96,7 +96,7 @@
         }
     }
 
-    fn call(&mut self, line: LineId, stream: Option<TcpStream>, target: String, pause: Duration) {
+    fn call(&mut self, line: WatchConnection, stream: Option<TcpStream>, target: String, pause: Duration) {
         let (address, begun) = (self.address, self.begun.clone());
         self.asked = self.node.now() + pause.as_secs_f64();
         let task = self.calls.spawn_local(async move {
@@ -108,7 +108,7 @@
         self.tasks.insert(line, task);
     }
 
-    fn ended(&mut self, line: LineId, answer: io::Result<Answer>) {
+    fn ended(&mut self, line: WatchConnection, answer: io::Result<Answer>) {
         // One that was given up is older than what is held: it must not move the version either.
         if self.tasks.remove(&line).is_none() {
             return;
@@ -121,8 +121,8 @@
         match self.list.take(&body) {
             Ok(Some(update)) => {
                 let now = self.node.now();
-                let Some(steps) = self.watch.answered(now, line) else { return };
-                self.node.current_until.set(now + self.watch.bound());
+                let Some(steps) = self.watch.handle_response(now, line) else { return };
+                self.node.current_until.set(now + self.watch.max_staleness());
                 self.carry_out(steps);
                 if !std::mem::take(&mut self.trouble).is_empty() {
                     tracing::info!("discovery answers again");
@@ -142,8 +142,8 @@
         }
     }
 
-    fn failed(&mut self, line: LineId, error: String) {
-        self.watch.ended(self.node.now(), line);
+    fn failed(&mut self, line: WatchConnection, error: String) {
+        self.watch.handle_closed(self.node.now(), line);
         self.note(error);
     }
 
@@ -156,11 +156,11 @@
 }
 
 async fn ask(
-    line: LineId,
+    line: WatchConnection,
     stream: Option<TcpStream>,
     address: SocketAddr,
     target: String,
-    begun: UnboundedSender<LineId>,
+    begun: UnboundedSender<WatchConnection>,
 ) -> io::Result<Answer> {
     let invalid = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
     let stream = match stream {
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -10,8 +10,8 @@
 /// Accepts connections while there are slots, until the last is called for and nobody waits.
 pub async fn accept(node: Rc<NodeContext>, mut listener: Listener) {
     loop {
-        while !node.state.borrow().slots.free() {
-            node.idlers.set(node.state.borrow().slots.next_overdue());
+        while !node.state.borrow().slots.has_free() {
+            node.idlers.set(node.state.borrow().slots.next_eviction());
             node.slot.notified().await;
         }
         tokio::select! {
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -18,7 +18,7 @@
 use tokio::task::{AbortHandle, JoinHandle, spawn_local};
 use weirusher_clock::Clock;
 use weirusher_config::FleetConfig;
-use weirusher_core::{EngineError, ProxyCore, WatchTerms};
+use weirusher_core::{EngineError, PollTiming, ProxyCore};
 use weirusher_peers::{Peers, page};
 use weirusher_platform::client::Names;
 use weirusher_platform::config::{Config, ConfigError};
@@ -199,7 +199,7 @@
 
     fn watch(node: &Rc<NodeContext>, config: &Config) -> AbortHandle {
         let (site, address) = (&config.site, config.discovery);
-        let terms = WatchTerms::new(site.drain_grace, site.settings.polls_endpoints);
+        let terms = PollTiming::new(site.drain_grace, site.settings.polls_endpoints);
         spawn_local(discovery::run(node.clone(), address, site.zones.clone(), terms, config.seed))
             .abort_handle()
     }
@@ -241,7 +241,7 @@
 /// The ledger's timers.
 async fn timers(node: Rc<NodeContext>) {
     loop {
-        let due = node.state.borrow().proxy.next_deadline();
+        let due = node.state.borrow().proxy.next_timeout();
         node.timers.wait(&node.clock, due).await;
         node.advance();
     }
@@ -252,13 +252,13 @@
     loop {
         let due = {
             let state = node.state.borrow();
-            state.pool.next_prune().into_iter().chain(state.slots.next_overdue()).reduce(f64::min)
+            state.pool.next_eviction().into_iter().chain(state.slots.next_eviction()).reduce(f64::min)
         };
         node.idlers.wait(&node.clock, due).await;
         let state = &mut *node.state.borrow_mut();
         let now = node.now();
-        state.pool.prune(now, |_| true); // What comes back is dropped.
-        let overdue = state.slots.overdue(now);
+        state.pool.evict(now, |_| true); // What comes back is dropped.
+        let overdue = state.slots.evict(now);
         state.ask_to_close(&overdue);
     }
 }
@@ -272,7 +272,7 @@
             pending = state.proxy.pending(),
             slots = ?state.slots.counts(),
             connections = ?node.connections,
-            respond_within = shutdown.respond_by() - shutdown.since,
+            respond_within = shutdown.respond_by() - shutdown.started_at,
             "stopping"
         );
     }
@@ -292,8 +292,8 @@
         tracing::warn!(%id, "a request is left without a response");
     }
     tracing::info!(
-        after = node.now() - shutdown.since,
-        tally = ?state.proxy.tally(),
+        after = node.now() - shutdown.started_at,
+        metrics = ?state.proxy.metrics(),
         connections = ?node.connections,
         violations = ?state.proxy.violations(),
         "stopped"
