--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::signal::unix::{SignalKind, signal};
 use weirusher_config::{Config, FleetConfig, Problem, render};
-use weirusher_node::InFleet;
+use weirusher_node::FleetMembership;
 use weirusher_scenarios::{Options, Scenario, audit as judge};
 
 /// Something ran and failed, or a rule was broken.
@@ -87,9 +87,9 @@
 /// One thread for all: the platform gives one core, and tasks that share it need no locks.
 pub fn node(config: &Path, fleet: Option<&Path>) -> ExitCode {
     let fleet = match fleet.map(|file| parsed(file, FleetConfig::parse)).transpose() {
-        Ok(config) => config.map(|config| InFleet {
+        Ok(config) => config.map(|config| FleetMembership {
             config,
-            listening: |fleet, admin| announce(&json!({ "fleet": fleet, "admin": admin })),
+            on_listening: |fleet, admin| announce(&json!({ "fleet": fleet, "admin": admin })),
         }),
         Err(code) => return code,
     };
--- a/crates/node/src/byte_budget.rs
+++ b/crates/node/src/byte_budget.rs
@@ -1,27 +1,28 @@
-//! Memory for what passes through: bodies of requests and of answers, each kind within a bound of its own.
+//! A bound on the memory that the bodies in transit take together.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that bodies of one kind may take together.
+/// The bytes that the bodies of one kind may take together.
 #[derive(Debug)]
 pub struct ByteBudget {
-    most: usize,
-    taken: Cell<usize>,
+    capacity: usize,
+    used: Cell<usize>,
 }
 
 impl ByteBudget {
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Self { most, taken: Cell::new(0) })
+    /// A budget of `capacity` bytes.
+    pub fn new(capacity: usize) -> Rc<Self> {
+        Rc::new(Self { capacity, used: Cell::new(0) })
     }
 
-    /// A body that takes nothing yet.
+    /// A permit for one body, of no bytes yet.
     pub fn permit(self: &Rc<Self>) -> BytePermit {
         BytePermit { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// What one body takes, as its bytes come: one that is only announced takes nothing. Dropped, it is free again.
+/// The bytes of one body. It grows as the body is received, not by the length that is announced; dropping it frees them.
 #[derive(Debug)]
 pub struct BytePermit {
     budget: Rc<ByteBudget>,
@@ -29,14 +30,14 @@
 }
 
 impl BytePermit {
-    /// It takes `bytes` in all from now on; `false`: there is no room for them.
+    /// Grows the permit to `bytes`; it never shrinks. Returns `false` if the budget does not have them.
     #[must_use]
-    pub fn grow(&mut self, bytes: usize) -> bool {
-        let taken = self.budget.taken.get() + bytes.saturating_sub(self.bytes);
-        if taken > self.budget.most {
+    pub fn try_grow_to(&mut self, bytes: usize) -> bool {
+        let used = self.budget.used.get() + bytes.saturating_sub(self.bytes);
+        if used > self.budget.capacity {
             return false;
         }
-        self.budget.taken.set(taken);
+        self.budget.used.set(used);
         self.bytes = self.bytes.max(bytes);
         true
     }
@@ -44,7 +45,7 @@
 
 impl Drop for BytePermit {
     fn drop(&mut self) {
-        self.budget.taken.set(self.budget.taken.get() - self.bytes);
+        self.budget.used.set(self.budget.used.get() - self.bytes);
     }
 }
 
--- a/crates/node/src/byte_budget/tests.rs
+++ b/crates/node/src/byte_budget/tests.rs
@@ -1,16 +1,16 @@
-//! A budget is bounded in sum, and free again as bodies go.
+//! The permits of a budget are bounded in sum, and free their bytes when dropped.
 
 use super::*;
 
 #[test]
-fn bodies_share_their_room_and_give_it_back() {
+fn bodies_share_a_budget_and_free_their_bytes() {
     let budget = ByteBudget::new(10);
     let (mut one, mut other) = (budget.permit(), budget.permit());
-    assert!(one.grow(4) && other.grow(6));
-    assert!(one.grow(3), "it never shrinks");
-    assert!(!one.grow(5), "there is no room");
+    assert!(one.try_grow_to(4) && other.try_grow_to(6));
+    assert!(one.try_grow_to(3), "it never shrinks");
+    assert!(!one.try_grow_to(5), "the budget is used up");
     drop(other);
-    assert!(one.grow(10) && !budget.permit().grow(1));
+    assert!(one.try_grow_to(10) && !budget.permit().try_grow_to(1));
     drop(one);
-    assert!(budget.permit().grow(10));
+    assert!(budget.permit().try_grow_to(10));
 }
--- /dev/null
+++ b/crates/node/src/client_slot.rs
@@ -0,0 +1,59 @@
+//! The slot of a client connection.
+
+use crate::close_request::CloseRequest;
+use crate::context::NodeContext;
+use std::rc::Rc;
+use weirusher::Time;
+use weirusher_core::SlotId;
+
+/// A slot for one client connection; dropping it frees the slot.
+pub struct ClientSlot {
+    pub node: Rc<NodeContext>,
+    pub id: SlotId,
+}
+
+impl ClientSlot {
+    /// Takes a slot for a connection that was accepted. The request asks its task to close it.
+    pub fn take(node: &Rc<NodeContext>) -> (Self, Rc<CloseRequest>) {
+        let state = &mut *node.state.borrow_mut();
+        state.last_slot += 1;
+        let (id, close_request) = (state.last_slot, Rc::new(CloseRequest::default()));
+        state.slots.insert(node.now(), id);
+        state.close_requests.insert(id, close_request.clone());
+        node.eviction_wakeup.set(state.slots.next_eviction());
+        (Self { node: node.clone(), id }, close_request)
+    }
+
+    /// A part of a request was received.
+    pub fn set_reading(&self, now: Time) {
+        let state = &mut *self.node.state.borrow_mut();
+        state.slots.set_reading(now, self.id);
+        self.node.eviction_wakeup.set(state.slots.next_eviction());
+    }
+
+    /// A request was read and is open.
+    pub fn set_active(&self) {
+        let state = &mut *self.node.state.borrow_mut();
+        state.slots.set_active(self.node.now(), self.id);
+        if !state.slots.has_free() {
+            // This connection may have been the next to be evicted: another takes its place.
+            self.node.eviction_wakeup.set(state.slots.next_eviction());
+        }
+    }
+
+    /// The request was answered and nothing more was received.
+    pub fn set_idle(&self) {
+        let state = &mut *self.node.state.borrow_mut();
+        state.slots.set_idle(self.node.now(), self.id);
+        self.node.eviction_wakeup.set(state.slots.next_eviction());
+    }
+}
+
+impl Drop for ClientSlot {
+    fn drop(&mut self) {
+        let state = &mut *self.node.state.borrow_mut();
+        state.slots.remove(self.id);
+        state.close_requests.remove(&self.id);
+        self.node.slot_freed.notify_one();
+    }
+}
--- a/crates/node/src/close_request.rs
+++ b/crates/node/src/close_request.rs
@@ -1,31 +1,31 @@
-//! A request to a connection's task to close it.
+//! A request to the task of a client connection to close it.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Asks one task to close its connection, until that is withdrawn: a connection that has been given work since has to
-/// do it first.
+/// Asks one task to close its connection. The request is withdrawn when a client request arrives on the connection, which
+/// is served first.
 #[derive(Debug, Default)]
 pub struct CloseRequest {
-    made: Cell<bool>,
+    requested: Cell<bool>,
     changed: Notify,
 }
 
 impl CloseRequest {
     /// Asks for the close.
-    pub fn make(&self) {
-        self.made.set(true);
+    pub fn request(&self) {
+        self.requested.set(true);
         self.changed.notify_one();
     }
 
-    /// Takes the request back.
+    /// Withdraws the request.
     pub fn withdraw(&self) {
-        self.made.set(false);
+        self.requested.set(false);
     }
 
-    /// Waits until the close is asked for.
-    pub async fn made(&self) {
-        while !self.made.get() {
+    /// Waits until the close is requested.
+    pub async fn requested(&self) {
+        while !self.requested.get() {
             self.changed.notified().await;
         }
     }
--- /dev/null
+++ b/crates/node/src/connection/respond.rs
@@ -0,0 +1,106 @@
+//! Writes the responses to a client, and closes its connection after the last one.
+
+use super::Connection;
+use crate::context::{ClientResponse, CompleteResponse};
+use crate::log::log_step;
+use crate::metrics::CloseReason;
+use bytes::{Buf, Bytes, BytesMut};
+use std::time::Duration;
+use weirusher::Reason;
+use weirusher_core::Outcome;
+use weirusher_platform::client::{
+    RequestError, write_error, write_failed, write_readiness, write_rejected, write_served, write_unavailable,
+};
+
+/// Longest time that a client may take to read a response. One that does not read holds its slot no longer.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest lingering close (RFC 9112, 9.6): a close with unread bytes is a reset, which may overtake the last response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Most bytes of an invalid request that a lingering close reads and discards.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+/// Initial capacity of the buffer for the head of a response, in bytes.
+const HEAD_CAPACITY: usize = 128;
+
+impl Connection {
+    /// Writes all bytes, or gives up a client that does not read them in time.
+    pub(super) async fn write(&mut self, bytes: impl Buf) -> Result<(), CloseReason> {
+        match tokio::time::timeout(WRITE_TIMEOUT, self.socket.write_all(bytes)).await {
+            Ok(written) => Ok(written?),
+            Err(_) => Err(CloseReason::ResponseUnread),
+        }
+    }
+
+    pub(super) async fn write_response(
+        &mut self,
+        response: ClientResponse,
+        close: bool,
+    ) -> Result<(), CloseReason> {
+        let mut head = BytesMut::with_capacity(HEAD_CAPACITY);
+        let body = match response {
+            ClientResponse::Served(CompleteResponse { body, .. }) => {
+                write_served(&mut head, body.len(), close);
+                body
+            }
+            ClientResponse::Outcome(Outcome::Rejected { reason: Reason::Stopping, .. }) => {
+                write_unavailable(&mut head, close);
+                Bytes::new()
+            }
+            ClientResponse::Outcome(Outcome::Rejected { retry_after, .. }) => {
+                write_rejected(&mut head, retry_after, close);
+                Bytes::new()
+            }
+            ClientResponse::Outcome(Outcome::Failed { .. }) => {
+                write_failed(&mut head, close);
+                Bytes::new()
+            }
+        };
+        self.write(head.chain(body)).await
+    }
+
+    pub(super) async fn answer_readiness_check(&mut self, close: bool) -> Result<(), CloseReason> {
+        let close = close || self.is_last_response();
+        let is_ready = self.slot.node.has_endpoint_list.get() && !self.is_shutting_down();
+        let mut head = BytesMut::new();
+        write_readiness(&mut head, is_ready, close);
+        self.write(head).await?;
+        self.finish_message(close).await
+    }
+
+    /// Answers an invalid request with an error and closes the connection.
+    pub(super) async fn reject_invalid(&mut self, error: RequestError) -> Result<(), CloseReason> {
+        log_step!(self.slot.node, %error, connection = self.slot.id, "request invalid");
+        let mut head = BytesMut::new();
+        write_error(&mut head, error);
+        self.write(head).await?;
+        self.lingering_close_discarding().await;
+        Err(CloseReason::InvalidRequest)
+    }
+
+    /// Closes the connection after its last response, once the client has closed too. Requests that it sent behind stay
+    /// unread; the client sends them again on another connection.
+    pub(super) async fn lingering_close(&mut self) {
+        if self.socket.shutdown_write().is_ok() {
+            // After the timeout the connection is closed all the same.
+            let _ = tokio::time::timeout(LINGER_TIMEOUT, self.socket.wait_closed()).await;
+        }
+    }
+
+    /// Closes the connection after an error. The rest of the invalid request is read and discarded, within a bound.
+    async fn lingering_close_discarding(&mut self) {
+        if self.socket.shutdown_write().is_err() {
+            return;
+        }
+        let discard = async {
+            let mut remaining = MAX_DISCARDED_BYTES;
+            while remaining > 0 {
+                self.buffer.clear();
+                match self.socket.read(&mut self.buffer).await {
+                    Ok(count @ 1..) => remaining = remaining.saturating_sub(count),
+                    _ => break,
+                }
+            }
+        };
+        // After the timeout the connection is closed all the same.
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, discard).await;
+    }
+}
--- a/crates/node/src/connection/tests.rs
+++ b/crates/node/src/connection/tests.rs
@@ -1,10 +1,15 @@
-//! A client's end that crosses its request, the one side held at the very moment.
+//! Races between a client's close and its request, with the runtime stopped at the moment of the race.
 
-use super::*;
+use super::Connection;
+use crate::client_slot::ClientSlot;
+use crate::client_socket::ClientSocket;
+use crate::context::{BackendEndpoint, NodeContext};
 use socket2::SockRef;
 use std::future::Future;
 use std::io::Write;
+use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
+use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 use weirusher_platform::config::Config;
@@ -28,7 +33,7 @@
     )
 }
 
-/// A connection whose request the runtime has told of, and its client.
+/// A connection whose request the runtime has been notified of, and its client.
 async fn connected(node: &Rc<NodeContext>, bytes: &str) -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -37,45 +42,46 @@
         client.write_all(bytes.as_bytes()).unwrap();
         stream.readable().await.unwrap();
     }
-    let slot = Slot { node: node.clone(), id: 1 };
+    let slot = ClientSlot { node: node.clone(), id: 1 };
     (Connection::new(slot, ClientSocket::new(stream), Rc::default()), client)
 }
 
-/// A server that the node's list names, and its end of an idle connection to it.
-async fn pooled_server(node: &Rc<NodeContext>) -> std::net::TcpStream {
+/// A backend in the node's list, and its side of an idle connection in the pool.
+async fn pooled_backend(node: &Rc<NodeContext>) -> std::net::TcpStream {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let text = String::from_utf8(CONFIGURATION.to_vec()).unwrap();
     let text =
         text.replace(r#""s-0", "address": "127.0.0.1:9""#, &format!(r#""s-0", "address": "{address}""#));
-    node.list(Config::parse(text.as_bytes()).unwrap().known.unwrap().unwrap());
-    node.current_until.set(f64::INFINITY);
+    node.handle_endpoint_list(Config::parse(text.as_bytes()).unwrap().cached_list.unwrap().unwrap());
+    node.list_current_until.set(f64::INFINITY);
     let stream = TcpStream::connect(address).await.unwrap();
-    let (server, _) = listener.accept().unwrap();
-    server.set_nonblocking(true).unwrap();
+    let (backend, _) = listener.accept().unwrap();
+    backend.set_nonblocking(true).unwrap();
     let pool = &mut node.state.borrow_mut().pool;
     let _ = pool.reserve();
-    // Idle for longer than a connection rests once it has answered.
-    assert!(pool.put(node.now() - 1.0, ("s-0".into(), address), stream).is_none());
-    server
+    // Idle for longer than the delay before its reuse.
+    let endpoint = BackendEndpoint { name: "s-0".into(), address };
+    assert!(pool.put(node.now() - 1.0, endpoint, stream).is_none());
+    backend
 }
 
-/// Runs a connection as far as it comes while the runtime hears nothing new from the system.
-fn once(serve: std::pin::Pin<&mut impl Future<Output = ()>>) -> Poll<()> {
+/// Polls a connection once, without new notifications from the system.
+fn poll_once(serve: std::pin::Pin<&mut impl Future<Output = ()>>) -> Poll<()> {
     serve.poll(&mut Context::from_waker(Waker::noop()))
 }
 
 async fn on_one_thread(test: impl AsyncFnOnce(Rc<NodeContext>)) {
     let config = Config::parse(CONFIGURATION).unwrap();
-    let node = crate::run::node(&config).unwrap();
-    node.list(config.known.unwrap().unwrap());
+    let node = NodeContext::new(&config).unwrap();
+    node.handle_endpoint_list(config.cached_list.unwrap().unwrap());
     LocalSet::new().run_until(test(node)).await;
 }
 
 #[tokio::test]
-async fn a_client_that_asked_and_went_before_its_request_is_read_has_asked_nothing() {
+async fn the_request_of_a_client_that_closed_before_it_was_read_is_not_entered() {
     on_one_thread(async |node| {
-        // Shut down, closed, and reset: by the time that its request is read each has arrived.
+        // Shut down, closed and reset: each was received by the time that the request is read.
         for how in 0..3 {
             let (connection, client) = connected(&node, &request(how)).await;
             match how {
@@ -87,7 +93,7 @@
                 }
             }
             let mut serve = std::pin::pin!(connection.serve());
-            assert_eq!(once(serve.as_mut()), Poll::Ready(()), "{how}");
+            assert_eq!(poll_once(serve.as_mut()), Poll::Ready(()), "{how}");
             assert_eq!(node.state.borrow().proxy.metrics().requests, 0, "{how}: it was entered");
         }
     })
@@ -95,12 +101,12 @@
 }
 
 #[tokio::test]
-async fn a_client_that_goes_beside_bytes_ahead_is_seen_with_them() {
+async fn a_close_together_with_bytes_read_ahead_is_detected() {
     on_one_thread(async |node| {
         let (connection, mut client) = connected(&node, &request(0)).await;
         let mut serve = std::pin::pin!(connection.serve());
-        assert_eq!(once(serve.as_mut()), Poll::Pending, "it waits for its answer");
-        // One notice for both, and a read of the first alone would be a short one.
+        assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "it waits for its response");
+        // One notification for both; a read of the bytes alone would be a short read.
         client.write_all(request(1).as_bytes()).unwrap();
         client.shutdown(std::net::Shutdown::Write).unwrap();
         tokio::time::timeout(Duration::from_secs(30), serve).await.expect("it ends");
@@ -110,44 +116,44 @@
 }
 
 #[tokio::test]
-async fn one_that_stays_is_entered() {
+async fn the_request_of_a_client_that_stays_is_entered() {
     on_one_thread(async |node| {
         let (connection, _client) = connected(&node, &request(0)).await;
         let mut serve = std::pin::pin!(connection.serve());
-        assert_eq!(once(serve.as_mut()), Poll::Pending);
+        assert_eq!(poll_once(serve.as_mut()), Poll::Pending);
         assert_eq!(node.state.borrow().proxy.pending(), 1);
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_request_that_comes_as_its_connection_is_told_to_leave_is_read() {
+async fn a_request_that_arrives_with_a_close_request_is_read() {
     on_one_thread(async |node| {
         let (connection, mut client) = connected(&node, "").await;
-        let close = connection.close.clone();
+        let close_request = connection.close_request.clone();
         let mut serve = std::pin::pin!(connection.serve());
-        assert_eq!(once(serve.as_mut()), Poll::Pending, "it rests");
-        // Both before the runtime hears of either.
+        assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "it is idle");
+        // Both before the runtime is notified of either.
         client.write_all(request(0).as_bytes()).unwrap();
-        close.make();
-        assert_eq!(once(serve.as_mut()), Poll::Pending);
+        close_request.request();
+        assert_eq!(poll_once(serve.as_mut()), Poll::Pending);
         assert_eq!(node.state.borrow().proxy.pending(), 1);
     })
     .await;
 }
 
 #[tokio::test]
-async fn an_attempt_that_is_about_to_begin_as_its_client_goes_is_not_sent() {
+async fn an_attempt_is_not_sent_if_its_client_has_just_closed() {
     on_one_thread(async |node| {
         for goes in [false, true] {
-            let mut server = pooled_server(&node).await;
+            let mut backend = pooled_backend(&node).await;
             let (connection, client) = connected(&node, &request(u32::from(goes))).await;
             let mut serve = std::pin::pin!(connection.serve());
-            assert_eq!(once(serve.as_mut()), Poll::Pending, "its attempt is decided on");
+            assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "its attempt is decided");
             let client = (!goes).then_some(client);
-            // The attempt's task runs, and the connection's hears nothing of its client: as in a process that is held up.
+            // The attempt's task runs and the connection's is not notified of the close, as after a stall of the process.
             tokio::time::sleep(Duration::from_millis(20)).await;
-            let read = std::io::Read::read(&mut server, &mut [0; 1]);
+            let read = std::io::Read::read(&mut backend, &mut [0; 1]);
             assert_eq!(read.is_ok(), !goes, "{read:?}");
             drop(client);
         }
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -1,6 +1,6 @@
-//! The counter, over a few pipelined connections to each address it has.
+//! The client of the counter: calls are pipelined over a few connections to its address.
 
-use crate::context::{Call, NodeContext};
+use crate::context::{CounterCall, NodeContext};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -11,191 +11,206 @@
 use tokio::sync::Notify;
 use weirusher::Status;
 use weirusher_core::{Lines, Route};
-use weirusher_platform::counter::{MOST_ANSWER, outcome, write_call};
+use weirusher_platform::counter::{MAX_RESPONSE_BYTES, parse_add_result, write_add};
 use weirusher_platform::response::{Response, ResponseReader};
 
-/// Most bytes that wait to be written on a line; past that, calls are turned away: the counter reads too slowly.
-const MOST_UNWRITTEN: usize = 64 * 1024;
-/// Limits of a call that a new connection may take.
-const CONNECT: f64 = 5.0;
+/// Most bytes that wait to be written on a connection. Beyond that the counter reads too slowly, and the connection is
+/// closed.
+const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
+/// Longest time for opening a connection, as a multiple of a call's timeout.
+const CONNECT_TIMEOUTS: f64 = 5.0;
 
-/// One address of the counter.
-pub struct Counter {
+/// The client of the counter at one address.
+pub struct CounterClient {
     node: Rc<NodeContext>,
     address: SocketAddr,
-    lines: RefCell<Lines>,
-    wires: RefCell<Vec<Rc<Wire>>>,
-    moved: Cell<bool>,
-    told: Notify,
+    /// Decides which connection carries a call, and when calls time out.
+    connections: RefCell<Lines>,
+    /// What is to be written, by connection.
+    outboxes: RefCell<Vec<Rc<Outbox>>>,
+    /// The counter has another address: no further calls are taken.
+    is_retired: Cell<bool>,
+    retired: Notify,
 }
 
-/// What waits to be written on a line.
+/// What is to be written on a connection.
 #[derive(Default)]
-struct Wire {
-    unwritten: RefCell<BytesMut>,
-    wake: Notify,
+struct Outbox {
+    bytes: RefCell<BytesMut>,
+    changed: Notify,
 }
 
-impl Counter {
+impl CounterClient {
     pub fn new(node: Rc<NodeContext>, address: SocketAddr, seed: u64) -> Rc<Self> {
-        let lines = RefCell::new(Lines::new(node.count_limit, seed));
-        let (wires, moved, told) = (RefCell::default(), Cell::new(false), Notify::new());
-        Rc::new(Self { node, address, lines, wires, moved, told })
+        let connections = RefCell::new(Lines::new(node.counter_timeout, seed));
+        Rc::new(Self {
+            node,
+            address,
+            connections,
+            outboxes: RefCell::default(),
+            is_retired: Cell::new(false),
+            retired: Notify::new(),
+        })
     }
 
-    /// The counter is elsewhere now: no call is taken any more, and what is out is waited for.
-    pub fn moved(&self) {
-        self.moved.set(true);
-        self.told.notify_one();
-        self.wires.borrow().iter().for_each(|wire| wire.wake.notify_one());
+    /// Takes no further calls. Calls in flight are waited for, and then the connections close.
+    pub fn retire(&self) {
+        self.is_retired.set(true);
+        self.retired.notify_one();
+        self.outboxes.borrow().iter().for_each(|outbox| outbox.changed.notify_one());
     }
 
-    /// Takes calls until the counter has moved.
+    /// Takes queued calls until the client is retired.
     pub async fn run(self: Rc<Self>) {
-        while !self.moved.get() {
-            let calls = std::mem::take(&mut self.node.state.borrow_mut().calls);
+        while !self.is_retired.get() {
+            let calls = std::mem::take(&mut self.node.state.borrow_mut().counter_calls);
             for call in calls {
                 self.send(call);
             }
             tokio::select! {
-                () = self.node.called.notified() => {}
-                () = self.told.notified() => {}
+                () = self.node.counter_calls_queued.notified() => {}
+                () = self.retired.notified() => {}
             }
         }
-        // Its successor may have missed the note.
-        self.node.called.notify_one();
+        // The notification may have been meant for the client of the next address.
+        self.node.counter_calls_queued.notify_one();
     }
 
-    fn send(self: &Rc<Self>, Call { call, counter, amount, ttl }: Call) {
-        let route = self.lines.borrow_mut().send(self.node.now(), call, counter);
-        let line = match route {
-            Route::On(line) | Route::Open(line) => line,
-            // At once: the module falls back on its safe share.
-            Route::Nowhere => return self.node.counted(call, Status::ConnectFailed, 0.0, 0.0),
+    fn send(self: &Rc<Self>, CounterCall { call, counter, amount, ttl }: CounterCall) {
+        let route = self.connections.borrow_mut().send(self.node.now(), call, counter);
+        let connection = match route {
+            Route::On(connection) | Route::Open(connection) => connection,
+            // The call fails at once, so that the decisions use their local fallback limit.
+            Route::Nowhere => {
+                return self.node.handle_counter_response(call, Status::ConnectFailed, 0.0, 0.0);
+            }
         };
         if let Route::Open(_) = route {
-            self.open(line);
+            self.open(connection);
         }
-        let wire = self.wires.borrow()[line].clone();
-        write_call(&mut wire.unwritten.borrow_mut(), counter, amount, ttl);
-        wire.wake.notify_one();
+        let outbox = self.outboxes.borrow()[connection].clone();
+        write_add(&mut outbox.bytes.borrow_mut(), counter, amount, ttl);
+        outbox.changed.notify_one();
     }
 
-    fn open(self: &Rc<Self>, line: usize) {
-        let mut wires = self.wires.borrow_mut();
-        while wires.len() <= line {
-            wires.push(Rc::default());
+    fn open(self: &Rc<Self>, connection: usize) {
+        let mut outboxes = self.outboxes.borrow_mut();
+        while outboxes.len() <= connection {
+            outboxes.push(Rc::default());
         }
-        wires[line] = Rc::default();
-        tokio::task::spawn_local(self.clone().line(line, wires[line].clone()));
+        outboxes[connection] = Rc::default();
+        tokio::task::spawn_local(self.clone().run_connection(connection, outboxes[connection].clone()));
     }
 
-    /// A line's life, from its connecting to its end.
-    async fn line(self: Rc<Self>, line: usize, wire: Rc<Wire>) {
-        let limit = Duration::from_secs_f64(CONNECT * self.node.count_limit);
+    /// Opens a connection and serves its calls until it closes; those that are left then fail.
+    async fn run_connection(self: Rc<Self>, connection: usize, outbox: Rc<Outbox>) {
+        let limit = Duration::from_secs_f64(CONNECT_TIMEOUTS * self.node.counter_timeout);
         let connected = tokio::time::timeout(limit, weirusher_net::connect(self.address)).await;
-        // Without a connection nothing was added; after that it may have been.
-        let (status, end) = match connected {
-            Ok(Ok(stream)) => (Status::Reset, self.serve(line, &wire, stream).await),
+        // Without a connection no amount was added; after a reset it may have been.
+        let (status, error) = match connected {
+            Ok(Ok(stream)) => (Status::Reset, self.serve(connection, &outbox, stream).await.err()),
             Ok(Err(error)) => (Status::ConnectFailed, Some(error)),
-            Err(late) => (Status::ConnectFailed, Some(late.into())),
+            Err(elapsed) => (Status::ConnectFailed, Some(elapsed.into())),
         };
-        if let Some(error) = end {
-            tracing::debug!(%error, line, "the counter's connection is dropped");
+        if let Some(error) = error {
+            tracing::debug!(%error, connection, "the connection to the counter is closed");
         }
-        let left = self.lines.borrow_mut().closed(self.node.now(), line);
-        for (call, spent) in left {
-            self.node.counted(call, status, 0.0, spent);
+        let failed = self.connections.borrow_mut().closed(self.node.now(), connection);
+        for (call, elapsed) in failed {
+            self.node.handle_counter_response(call, status, 0.0, elapsed);
         }
     }
 
-    /// Serves a line's calls until the connection ends, and tells why unless it is in order.
-    async fn serve(&self, line: usize, wire: &Wire, stream: TcpStream) -> Option<io::Error> {
-        let mut answers = ResponseReader::new(MOST_ANSWER);
+    /// Serves the calls of a connection until it closes.
+    ///
+    /// # Errors
+    /// Why it closes out of order.
+    async fn serve(&self, connection: usize, outbox: &Outbox, stream: TcpStream) -> io::Result<()> {
+        let mut responses = ResponseReader::new(MAX_RESPONSE_BYTES);
         let (mut unread, mut unwritten) = (BytesMut::new(), BytesMut::new());
         loop {
-            let due = self.lines.borrow().deadline(line);
-            if due.is_none() && self.moved.get() {
-                return None;
+            let deadline = self.connections.borrow().deadline(connection);
+            if deadline.is_none() && self.is_retired.get() {
+                return Ok(());
             }
-            let at = due.map(|at| self.node.clock.instant(at));
-            unwritten.unsplit(wire.unwritten.take());
-            if unwritten.len() > MOST_UNWRITTEN {
-                return Some(io::ErrorKind::WriteZero.into());
+            let deadline = deadline.map(|at| self.node.clock.instant(at));
+            unwritten.unsplit(outbox.bytes.take());
+            if unwritten.len() > MAX_UNWRITTEN_BYTES {
+                return Err(io::ErrorKind::WriteZero.into());
             }
             tokio::select! {
-                // First what has come: a process that was kept from running must not give up answers that
-                // wait in its socket.
+                // Responses first: after a stall of the process they wait in the socket, and must not count as timed out.
                 biased;
-                read = weirusher_net::read(&stream, &mut unread) => match read {
-                    Ok(1..) => {
-                        if let Err(error) = self.answers(line, &mut answers, &mut unread) {
-                            return Some(error);
-                        }
+                read = weirusher_net::read(&stream, &mut unread) => match read? {
+                    0 => {
+                        return match responses.finish() {
+                            Some(last) => self.handle_response(connection, Some(last)),
+                            None => Ok(()),
+                        };
                     }
-                    Ok(_) => return answers.ended().and_then(|last| self.answer(line, Some(last)).err()),
-                    Err(error) => return Some(error),
+                    _ => self.handle_bytes(connection, &mut responses, &mut unread)?,
                 },
-                () = async { tokio::time::sleep_until(at.unwrap_or_else(tokio::time::Instant::now)).await },
-                    if at.is_some() =>
+                () = async { tokio::time::sleep_until(deadline.unwrap_or_else(tokio::time::Instant::now)).await },
+                    if deadline.is_some() =>
                 {
-                    if self.give_up(line, answers.begun()) {
-                        return Some(io::ErrorKind::TimedOut.into());
-                    }
-                }
-                written = weirusher_net::write(&stream, &mut unwritten), if !unwritten.is_empty() => {
-                    if let Err(error) = written {
-                        return Some(error);
+                    if self.handle_timeout(connection, responses.has_started()) {
+                        return Err(io::ErrorKind::TimedOut.into());
                     }
                 }
-                () = wire.wake.notified() => {}
+                written = weirusher_net::write(&stream, &mut unwritten), if !unwritten.is_empty() => written?,
+                () = outbox.changed.notified() => {}
             }
         }
     }
 
-    /// Tells the calls that have waited too long; whether the line is of no further use. Where an answer has
-    /// `begun` and does not end, it is spoilt: the first of them was added.
-    fn give_up(&self, line: usize, begun: bool) -> bool {
+    /// Ends the calls that have timed out. Returns whether the connection must not be used further. If a response has
+    /// started and does not end, the first of these calls was executed with an unknown total.
+    fn handle_timeout(&self, connection: usize, response_started: bool) -> bool {
         let now = self.node.now();
-        let late = self.lines.borrow_mut().give_up(now, line);
-        let spoilt = begun && !late.is_empty();
-        for (nth, (call, spent)) in late.into_iter().enumerate() {
-            let status = if spoilt && nth == 0 { Status::Error } else { Status::Timeout };
-            self.node.counted(call, status, 0.0, spent);
+        let timed_out = self.connections.borrow_mut().give_up(now, connection);
+        let is_truncated = response_started && !timed_out.is_empty();
+        for (index, (call, elapsed)) in timed_out.into_iter().enumerate() {
+            let status = if is_truncated && index == 0 { Status::Error } else { Status::Timeout };
+            self.node.handle_counter_response(call, status, 0.0, elapsed);
         }
-        spoilt || self.lines.borrow().dead(now, line)
+        is_truncated || self.connections.borrow().dead(now, connection)
     }
 
-    /// Hands the answers on that have come. An error: the line is of no further use.
-    fn answers(&self, line: usize, answers: &mut ResponseReader, unread: &mut BytesMut) -> io::Result<()> {
+    /// Handles the responses that are complete. An error: the connection must not be used further.
+    fn handle_bytes(
+        &self,
+        connection: usize,
+        responses: &mut ResponseReader,
+        unread: &mut BytesMut,
+    ) -> io::Result<()> {
         loop {
-            match answers.read(unread) {
-                Ok(Some(response)) => self.answer(line, Some(response))?,
+            match responses.read(unread) {
+                Ok(Some(response)) => self.handle_response(connection, Some(response))?,
                 Ok(None) => {
-                    if answers.begun() {
-                        self.lines.borrow_mut().begun(self.node.now(), line);
+                    if responses.has_started() {
+                        self.connections.borrow_mut().begun(self.node.now(), connection);
                     }
                     return Ok(());
                 }
-                // What cannot be read is an answer too.
-                Err(_) => self.answer(line, None)?,
+                Err(_) => self.handle_response(connection, None)?,
             }
         }
     }
 
-    /// Hands one answer on; `None`: it cannot be read. An error: the line is of no further use.
-    fn answer(&self, line: usize, response: Option<Response>) -> io::Result<()> {
-        let invalid = |error: String| io::Error::new(io::ErrorKind::InvalidData, error);
-        let closes = response.as_ref().is_none_or(|response| response.closes);
-        let told = response.as_ref().and_then(outcome);
-        let answered = self.lines.borrow_mut().answered(self.node.now(), line);
-        if let Some((call, spent)) = answered.map_err(|e| invalid(e.to_string()))? {
-            // One with no total was added, but how much there is nobody knows.
-            let (status, total) = told.unwrap_or((Status::Error, 0.0));
-            self.node.counted(call, status, total, spent);
+    /// Handles one response; `None`: it is malformed. An error: the connection must not be used further.
+    fn handle_response(&self, connection: usize, response: Option<Response>) -> io::Result<()> {
+        let closes = response.as_ref().is_none_or(|response| response.closes_connection);
+        let result = response.as_ref().and_then(parse_add_result);
+        let ended = self.connections.borrow_mut().answered(self.node.now(), connection);
+        let ended = ended.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
+        if let Some((call, elapsed)) = ended {
+            // Without a total the amount was added, but the new value is unknown.
+            let (status, total) = result.map_or((Status::Error, 0.0), |result| (result.status, result.total));
+            self.node.handle_counter_response(call, status, total, elapsed);
         }
-        if told.is_none() || closes {
-            return Err(invalid("its answer holds no total, or is the last".into()));
+        if result.is_none() || closes {
+            let reason = "the response has no total or is the last one";
+            return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
         }
         Ok(())
     }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: calls to its agent, on as many connections as [`EndpointWatch`] wants.
+//! The client of discovery: polls for the endpoint list, over as many connections as [`EndpointWatch`] asks for.
 
 use crate::context::NodeContext;
 use bytes::BytesMut;
@@ -12,83 +12,109 @@
 use tokio::task::{AbortHandle, JoinSet};
 use weirusher::EndpointListKind;
 use weirusher_core::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
-use weirusher_platform::list::{ListState, MOST_LIST};
+use weirusher_platform::list::{ListState, ListUpdate, MAX_LIST_BYTES};
 use weirusher_platform::response::ResponseReader;
 
-/// The pause behind an answer that came at once and told nothing new: one that always does keeps nobody busy, and its
-/// watch lasts, as the next call comes in time.
-const NO_NEWS: Duration = Duration::from_millis(10);
+/// The pause after a response that came at once and had no change, so that a discovery that always answers so costs little.
+/// It is short enough that the next poll is in time.
+const NO_CHANGE_PAUSE: Duration = Duration::from_millis(10);
+/// Most errors that are logged between two responses.
+const MAX_LOGGED_ERRORS: usize = 8;
+/// Initial capacity of the buffer for a response, in bytes.
+const BUFFER_CAPACITY: usize = 4096;
 
-/// Causes that are logged between two answers.
-const MOST_CAUSES: usize = 8;
+/// The response to a poll.
+struct PollResponse {
+    /// The connection, if it may be used further.
+    stream: Option<TcpStream>,
+    body: BytesMut,
+}
 
-/// A call's answer and the connection it came on, where that goes on.
-type Answer = (Option<TcpStream>, BytesMut);
+/// A poll to be made.
+struct Poll {
+    connection: WatchConnection,
+    address: SocketAddr,
+    /// An open connection; `None`: one is opened.
+    stream: Option<TcpStream>,
+    target: String,
+    /// Takes the connection when a part of the response was received.
+    started: UnboundedSender<WatchConnection>,
+}
 
-/// Who follows the list.
-struct Follower {
+/// The client of discovery at one address.
+pub struct DiscoveryClient {
     node: Rc<NodeContext>,
     address: SocketAddr,
     watch: EndpointWatch,
     list: ListState,
-    calls: JoinSet<(WatchConnection, io::Result<Answer>)>,
+    polls: JoinSet<(WatchConnection, io::Result<PollResponse>)>,
+    /// The tasks of the polls in flight. A poll without an entry was abandoned.
     tasks: HashMap<WatchConnection, AbortHandle>,
-    begun: UnboundedSender<WatchConnection>,
-    /// When the last call was made.
-    asked: f64,
-    /// What went wrong since the last answer, so that each cause is logged once and not for every call.
-    trouble: Vec<String>,
+    started: UnboundedSender<WatchConnection>,
+    /// When the last poll was sent.
+    last_poll_at: f64,
+    /// Errors since the last response, so that each is logged once and not for every poll.
+    logged_errors: Vec<String>,
 }
 
-/// Follows the list at `address` until it is aborted.
-pub async fn run(
-    node: Rc<NodeContext>,
-    address: SocketAddr,
-    zones: Vec<String>,
-    terms: PollTiming,
-    seed: u64,
-) {
-    let (begun, told) = unbounded_channel();
-    let watch = EndpointWatch::new(node.now(), terms, seed);
-    let (calls, tasks) = (JoinSet::new(), HashMap::new());
-    let list = ListState::new(zones);
-    let (asked, trouble) = (f64::NEG_INFINITY, Vec::new());
-    Follower { node, address, watch, list, calls, tasks, begun, asked, trouble }.follow(told).await;
-}
+impl DiscoveryClient {
+    /// Watches the list of discovery at `address` until the task is aborted. `zones` are the names of the zones.
+    pub async fn run(
+        node: Rc<NodeContext>,
+        address: SocketAddr,
+        zones: Vec<String>,
+        timing: PollTiming,
+        seed: u64,
+    ) {
+        let (started, receiver) = unbounded_channel();
+        let client = Self {
+            watch: EndpointWatch::new(node.now(), timing, seed),
+            node,
+            address,
+            list: ListState::new(zones),
+            polls: JoinSet::new(),
+            tasks: HashMap::new(),
+            started,
+            last_poll_at: f64::NEG_INFINITY,
+            logged_errors: Vec::new(),
+        };
+        client.watch_list(receiver).await;
+    }
 
-impl Follower {
-    async fn follow(mut self, mut begun: UnboundedReceiver<WatchConnection>) {
+    async fn watch_list(mut self, mut started: UnboundedReceiver<WatchConnection>) {
         loop {
-            let now = self.node.now();
-            let steps = self.watch.handle_timeout(now);
-            self.carry_out(steps);
+            let outputs = self.watch.handle_timeout(self.node.now());
+            self.carry_out(outputs);
             let next = self.node.clock.instant(self.watch.next_timeout());
             tokio::select! {
-                // First what has come: a process that was kept from running must not ask anew for it.
+                // Responses first: after a stall of the process they wait in the sockets, and need no further poll.
                 biased;
-                Some(ended) = self.calls.join_next() => {
-                    // One that was dropped tells nothing.
-                    if let Ok((line, answer)) = ended {
-                        self.ended(line, answer);
+                Some(ended) = self.polls.join_next() => {
+                    // An aborted poll is ignored.
+                    if let Ok((connection, response)) = ended {
+                        self.handle_poll_ended(connection, response);
                     }
                 }
-                Some(line) = begun.recv() => self.watch.handle_partial_response(self.node.now(), line),
+                Some(connection) = started.recv() => {
+                    self.watch.handle_partial_response(self.node.now(), connection);
+                }
                 () = tokio::time::sleep_until(next) => {}
             }
         }
     }
 
-    fn carry_out(&mut self, steps: Vec<WatchOutput>) {
-        for step in steps {
-            match step {
-                WatchOutput::Open(line) => {
+    fn carry_out(&mut self, outputs: Vec<WatchOutput>) {
+        for output in outputs {
+            match output {
+                WatchOutput::Open(connection) => {
                     if !self.tasks.is_empty() {
-                        self.note("no answer in time".into());
+                        self.log_error("no response in time".into());
                     }
-                    self.call(line, None, ListState::WHOLE.to_string(), Duration::ZERO);
+                    let target = ListState::COMPLETE_LIST.to_string();
+                    self.start_poll(connection, None, target, Duration::ZERO);
                 }
-                WatchOutput::Close(line) => {
-                    if let Some(task) = self.tasks.remove(&line) {
+                WatchOutput::Close(connection) => {
+                    if let Some(task) = self.tasks.remove(&connection) {
                         task.abort();
                     }
                 }
@@ -96,91 +122,106 @@
         }
     }
 
-    fn call(&mut self, line: WatchConnection, stream: Option<TcpStream>, target: String, pause: Duration) {
-        let (address, begun) = (self.address, self.begun.clone());
-        self.asked = self.node.now() + pause.as_secs_f64();
-        let task = self.calls.spawn_local(async move {
+    fn start_poll(
+        &mut self,
+        connection: WatchConnection,
+        stream: Option<TcpStream>,
+        target: String,
+        pause: Duration,
+    ) {
+        self.last_poll_at = self.node.now() + pause.as_secs_f64();
+        let poll = Poll { connection, address: self.address, stream, target, started: self.started.clone() };
+        let task = self.polls.spawn_local(async move {
             if !pause.is_zero() {
                 tokio::time::sleep(pause).await;
             }
-            (line, ask(line, stream, address, target, begun).await)
+            (connection, poll.send().await)
         });
-        self.tasks.insert(line, task);
+        self.tasks.insert(connection, task);
     }
 
-    fn ended(&mut self, line: WatchConnection, answer: io::Result<Answer>) {
-        // One that was given up is older than what is held: it must not move the version either.
-        if self.tasks.remove(&line).is_none() {
+    fn handle_poll_ended(&mut self, connection: WatchConnection, response: io::Result<PollResponse>) {
+        // The response to an abandoned poll is older than the list in use and must not change its version either.
+        if self.tasks.remove(&connection).is_none() {
             return;
         }
-        let (stream, body) = match answer {
-            Ok(answer) => answer,
-            Err(error) => return self.failed(line, error.to_string()),
+        let response = match response {
+            Ok(response) => response,
+            Err(error) => return self.handle_failure(connection, error.to_string()),
         };
-        let version = self.list.version();
-        match self.list.take(&body) {
-            Ok(Some(update)) => {
-                let now = self.node.now();
-                let Some(steps) = self.watch.handle_response(now, line) else { return };
-                self.node.current_until.set(now + self.watch.max_staleness());
-                self.carry_out(steps);
-                if !std::mem::take(&mut self.trouble).is_empty() {
-                    tracing::info!("discovery answers again");
-                }
-                // Most answers bring no news: nothing is worked through for them.
-                if update.kind != EndpointListKind::Delta || !update.addresses.is_empty() {
-                    self.node.list(update);
-                } else {
-                    self.node.list_confirmed();
-                }
-                let waited = now - self.asked >= self.watch.wait() / 2.0;
-                let pause = if waited || self.list.version() != version { Duration::ZERO } else { NO_NEWS };
-                self.call(line, stream, self.list.target(self.watch.wait()), pause);
+        let last_version = self.list.version();
+        match self.list.apply(&response.body) {
+            Ok(Some(update)) => self.handle_update(connection, response.stream, update, last_version),
+            Ok(None) => {
+                self.handle_failure(connection, "changes to an older list than the one in use".into())
             }
-            Ok(None) => self.failed(line, "changes to an older list than the one that is held".into()),
-            Err(error) => self.failed(line, error.to_string()),
+            Err(error) => self.handle_failure(connection, error.to_string()),
+        }
+    }
+
+    fn handle_update(
+        &mut self,
+        connection: WatchConnection,
+        stream: Option<TcpStream>,
+        update: ListUpdate,
+        last_version: Option<u64>,
+    ) {
+        let now = self.node.now();
+        let Some(outputs) = self.watch.handle_response(now, connection) else { return };
+        self.node.list_current_until.set(now + self.watch.max_staleness());
+        self.carry_out(outputs);
+        if !std::mem::take(&mut self.logged_errors).is_empty() {
+            tracing::info!("discovery answers again");
+        }
+        // Most responses have no change: the decisions do no work for them.
+        if update.kind != EndpointListKind::Delta || !update.addresses.is_empty() {
+            self.node.handle_endpoint_list(update);
+        } else {
+            self.node.handle_endpoint_list_confirmed();
         }
+        let has_waited = now - self.last_poll_at >= self.watch.wait() / 2.0;
+        let has_changed = self.list.version() != last_version;
+        let pause = if has_waited || has_changed { Duration::ZERO } else { NO_CHANGE_PAUSE };
+        self.start_poll(connection, stream, self.list.poll_target(self.watch.wait()), pause);
     }
 
-    fn failed(&mut self, line: WatchConnection, error: String) {
-        self.watch.handle_closed(self.node.now(), line);
-        self.note(error);
+    fn handle_failure(&mut self, connection: WatchConnection, error: String) {
+        self.watch.handle_closed(self.node.now(), connection);
+        self.log_error(error);
     }
 
-    fn note(&mut self, error: String) {
-        if self.trouble.len() < MOST_CAUSES && !self.trouble.contains(&error) {
-            tracing::info!(error, "discovery is asked anew; the last list stays in use");
-            self.trouble.push(error);
+    fn log_error(&mut self, error: String) {
+        if self.logged_errors.len() < MAX_LOGGED_ERRORS && !self.logged_errors.contains(&error) {
+            tracing::info!(error, "discovery is polled again; the last list stays in use");
+            self.logged_errors.push(error);
         }
     }
 }
 
-async fn ask(
-    line: WatchConnection,
-    stream: Option<TcpStream>,
-    address: SocketAddr,
-    target: String,
-    begun: UnboundedSender<WatchConnection>,
-) -> io::Result<Answer> {
-    let invalid = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
-    let stream = match stream {
-        Some(stream) => stream,
-        None => weirusher_net::connect(address).await?,
-    };
-    let call = format!("GET {target} HTTP/1.1\r\nHost: discovery.local\r\n\r\n");
-    weirusher_net::write_all(&stream, call.as_bytes()).await?;
-    let (mut reader, mut buffer) = (ResponseReader::new(MOST_LIST), BytesMut::with_capacity(4096));
-    loop {
-        let answer = match weirusher_net::read(&stream, &mut buffer).await? {
-            0 => Some(reader.ended().ok_or(io::ErrorKind::UnexpectedEof)?),
-            _ => reader.read(&mut buffer).map_err(|e| invalid(e.to_string()))?,
+impl Poll {
+    async fn send(self) -> io::Result<PollResponse> {
+        let invalid = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
+        let stream = match self.stream {
+            Some(stream) => stream,
+            None => weirusher_net::connect(self.address).await?,
         };
-        if let Some(response) = answer {
-            return match response.status {
-                200 => Ok(((!response.closes).then_some(stream), response.body.into())),
-                status => Err(invalid(format!("status {status}"))),
+        let request = format!("GET {} HTTP/1.1\r\nHost: discovery.local\r\n\r\n", self.target);
+        weirusher_net::write_all(&stream, request.as_bytes()).await?;
+        let mut reader = ResponseReader::new(MAX_LIST_BYTES);
+        let mut buffer = BytesMut::with_capacity(BUFFER_CAPACITY);
+        loop {
+            let response = match weirusher_net::read(&stream, &mut buffer).await? {
+                0 => Some(reader.finish().ok_or(io::ErrorKind::UnexpectedEof)?),
+                _ => reader.read(&mut buffer).map_err(|error| invalid(error.to_string()))?,
             };
+            if let Some(response) = response {
+                if response.status != 200 {
+                    return Err(invalid(format!("status {}", response.status)));
+                }
+                let stream = (!response.closes_connection).then_some(stream);
+                return Ok(PollResponse { stream, body: response.body.into() });
+            }
+            let _ = self.started.send(self.connection); // Without a receiver this poll was abandoned too.
         }
-        let _ = begun.send(line); // Whoever follows the list is gone: so is this call.
     }
 }
--- /dev/null
+++ b/crates/node/src/events.rs
@@ -0,0 +1,179 @@
+//! What happens at the sockets, as events of the proxy core.
+
+use crate::client_socket::ClientSocket;
+use crate::context::{
+    ClientResponse, CompleteResponse, NodeContext, NodeState, PendingRequest, RunningAttempt,
+};
+use crate::log::log_step;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+use weirusher::{EndpointListKind, LoadReport, Reason, RequestId, Status};
+use weirusher_core::{IncomingRequest, Outcome, RequestStatus, Shutdown};
+use weirusher_platform::backend::ForwardedRequest;
+use weirusher_platform::list::ListUpdate;
+
+/// The end of an attempt.
+pub struct AttemptResult {
+    pub status: Status,
+    pub load: LoadReport,
+    /// The response, if it is complete.
+    pub response: Option<CompleteResponse>,
+}
+
+impl AttemptResult {
+    /// An end without a response.
+    pub fn without_response(status: Status) -> Self {
+        Self { status, load: LoadReport::default(), response: None }
+    }
+}
+
+impl NodeContext {
+    /// A request was read; its response arrives on the receiver. `None`: a request with the same id is open.
+    pub fn handle_request(
+        self: &Rc<Self>,
+        request: IncomingRequest,
+        forwarded: ForwardedRequest,
+        client: ClientSocket,
+    ) -> Option<oneshot::Receiver<ClientResponse>> {
+        let (response, receiver) = oneshot::channel();
+        {
+            let state = &mut *self.state.borrow_mut();
+            let id = request.id.clone();
+            if state.proxy.handle_request(self.now(), request) == RequestStatus::Duplicate {
+                return None;
+            }
+            let pending = PendingRequest { client, forwarded: Rc::new(forwarded), response };
+            state.pending.insert(id, pending);
+        }
+        self.carry_out_outputs();
+        Some(receiver)
+    }
+
+    /// The client of a pending request closed its connection.
+    pub fn handle_client_gone(self: &Rc<Self>, id: &RequestId) {
+        {
+            let state = &mut *self.state.borrow_mut();
+            state.pending.remove(id);
+            log_step!(self, %id, "client gone, request withdrawn");
+            state.proxy.handle_client_gone(self.now(), id);
+        }
+        self.carry_out_outputs();
+    }
+
+    /// A client connection was closed while `unanswered` requests that were read from it had no response.
+    pub fn handle_connection_closed(&self, unanswered: usize) {
+        if unanswered > 0 {
+            tracing::error!(unanswered, "a connection was closed with requests that have no response");
+            self.state.borrow_mut().proxy.handle_connection_closed(unanswered);
+        }
+    }
+
+    /// An attempt ended.
+    pub fn handle_attempt_ended(self: &Rc<Self>, id: &RequestId, attempt: u32, result: AttemptResult) {
+        {
+            let state = &mut *self.state.borrow_mut();
+            state.attempts.remove(&(id.clone(), attempt));
+            let status = result.status;
+            let serves = state.proxy.handle_attempt_ended(self.now(), id, attempt, status, result.load);
+            log_step!(self, %id, attempt, ?status, serves, "attempt ended");
+            if serves {
+                let missing = Outcome::Failed { reason: Reason::AttemptsFailed };
+                let response =
+                    result.response.map_or(ClientResponse::Outcome(missing), ClientResponse::Served);
+                self.respond(state, id, response);
+            }
+        }
+        self.carry_out_outputs();
+    }
+
+    /// Whether a counter is configured from now on. Without one the queued calls fail.
+    pub fn set_has_counter(self: &Rc<Self>, configured: bool) {
+        self.has_counter.set(configured);
+        if configured {
+            return;
+        }
+        let calls = std::mem::take(&mut self.state.borrow_mut().counter_calls);
+        for call in calls {
+            self.handle_counter_response(call.call, Status::ConnectFailed, 0.0, 0.0);
+        }
+    }
+
+    /// A counter call ended: `total` is the counter's new value, `elapsed` the seconds that the call took.
+    pub fn handle_counter_response(self: &Rc<Self>, call: u64, status: Status, total: f64, elapsed: f64) {
+        self.state.borrow_mut().proxy.handle_counter_response(self.now(), call, status, total, elapsed);
+        self.carry_out_outputs();
+    }
+
+    /// An endpoint list arrived. Idle connections to backends that drain or have another address are closed, and attempts
+    /// to them that have not written anything end.
+    pub fn handle_endpoint_list(self: &Rc<Self>, update: ListUpdate) {
+        if !update.problems.is_empty() {
+            let entries: Vec<String> = update.problems.iter().map(ToString::to_string).collect();
+            tracing::warn!(
+                ?entries,
+                "the list has entries that cannot be used: their backends get nothing new"
+            );
+        }
+        {
+            let state = &mut *self.state.borrow_mut();
+            if update.kind != EndpointListKind::Delta {
+                state.addresses.clear();
+            }
+            for endpoint in update.addresses {
+                match endpoint.address {
+                    Some(address) => state.addresses.insert(endpoint.name, address),
+                    None => state.addresses.remove(&endpoint.name),
+                };
+            }
+            let now = self.now();
+            let addresses = &state.addresses;
+            state.pool.evict(now, |endpoint| addresses.get(&endpoint.name) == Some(&endpoint.address));
+            state.proxy.handle_endpoint_list(now, update.kind, update.endpoints);
+            state.cancel_unsent_attempts(now);
+        }
+        self.has_endpoint_list.set(true);
+        self.carry_out_outputs();
+    }
+
+    /// Discovery confirmed that the endpoint list is unchanged.
+    pub fn handle_endpoint_list_confirmed(&self) {
+        self.state.borrow_mut().proxy.handle_endpoint_list_confirmed(self.now());
+    }
+
+    /// Runs the timers of the proxy core that are due.
+    pub fn handle_timeout(self: &Rc<Self>) {
+        self.state.borrow_mut().proxy.handle_timeout(self.now());
+        self.carry_out_outputs();
+    }
+
+    /// The signal to stop was received.
+    pub fn begin_shutdown(self: &Rc<Self>) -> Shutdown {
+        let shutdown = {
+            let state = &mut *self.state.borrow_mut();
+            let shutdown = state.proxy.begin_shutdown(self.now());
+            state.slots.begin_shutdown(shutdown);
+            self.shutdown_started_at.set(Some(shutdown.started_at));
+            self.eviction_wakeup.set(state.slots.next_eviction());
+            shutdown
+        };
+        self.carry_out_outputs();
+        shutdown
+    }
+}
+
+impl NodeState {
+    /// Ends the attempts that have not written anything to backends that accept no new requests.
+    fn cancel_unsent_attempts(&mut self, now: f64) {
+        let addresses = &self.addresses;
+        let is_unsent = |(_, running): &(&(RequestId, u32), &mut RunningAttempt)| {
+            !running.write_started.get() && !addresses.contains_key(&running.backend)
+        };
+        let unsent: Vec<_> = self.attempts.iter_mut().filter(is_unsent).map(|(key, _)| key.clone()).collect();
+        for key in unsent {
+            if let Some(running) = self.attempts.remove(&key) {
+                running.task.abort();
+            }
+            self.proxy.handle_attempt_ended(now, &key.0, key.1, Status::NotSent, LoadReport::default());
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/fleet_membership.rs
@@ -0,0 +1,39 @@
+//! The membership of a node in its fleet. The platform starts nodes without it.
+
+use crate::start_error::StartError;
+use std::net::SocketAddr;
+use weirusher_config::FleetConfig;
+use weirusher_peers::{Peers, page};
+use weirusher_platform::config::Config;
+
+/// How a node takes part in its fleet.
+pub struct FleetMembership {
+    /// The members, and which of them this instance is.
+    pub config: FleetConfig,
+    /// Called with the addresses of the datagram socket and of the fleet page.
+    pub on_listening: fn(SocketAddr, SocketAddr),
+}
+
+impl FleetMembership {
+    /// Starts the membership and the fleet page.
+    ///
+    /// # Errors
+    /// The fleet file does not belong to the configuration, or an address cannot be used.
+    pub(crate) async fn start(self, config: &Config) -> Result<(), StartError> {
+        let (fleet, settings) = (&self.config.settings, &config.platform.settings);
+        let (fleet_instance, fleet_size) = (fleet.instance, fleet.members.len());
+        let (instance, instances) = (settings.instance, settings.instances);
+        if (u32::from(fleet_instance), fleet_size) != (instance, instances as usize) {
+            return Err(StartError::FleetMismatch { fleet_instance, fleet_size, instance, instances });
+        }
+        let page_address = self.config.admin.unwrap_or(config.listen);
+        let page_error = |error| StartError::FleetPage(page_address, error);
+        let listener = weirusher_net::bind(page_address).await.map_err(page_error)?;
+        let page_address = listener.local_addr().map_err(page_error)?;
+        let (peers, task) = Peers::start(self.config).await?;
+        (self.on_listening)(peers.address, page_address);
+        tokio::spawn(task);
+        tokio::spawn(page::serve(listener, peers));
+        Ok(())
+    }
+}
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,24 +1,34 @@
-//! The gateway on the platform: listener, backend pools, counter, discovery, signals. It decides nothing:
-//! what a request becomes is decided by the module behind [`weirusher_core::ProxyCore`], which connections are kept
-//! by [`weirusher_core::Pool`] and [`weirusher_core::Slots`].
+//! The gateway on the operators' platform: sockets, tasks and signals around [`weirusher_core::ProxyCore`].
 //!
-//! Everything runs on one thread, in tasks that share a context: one for each client connection and for each
-//! attempt, and one each for the counter, discovery, timers and signals.
+//! This crate decides nothing: the proxy core decides what a request becomes, and the pool and the slots of
+//! `weirusher-core` which connections are kept. Everything runs on one thread, in tasks that share a
+//! `NodeContext`: one for each client connection and each attempt, and one each for the counter, discovery, timers and
+//! evictions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod attempt;
+mod backend_connection;
 mod budget;
 mod byte_budget;
+mod client_slot;
 mod client_socket;
 mod close_request;
 mod connection;
 mod context;
 mod counter;
 mod discovery;
+mod effects;
+mod events;
+mod fleet_membership;
 mod listener;
+mod log;
 mod metrics;
 mod run;
+mod services;
+mod start_error;
 mod wakeup;
 
-pub use run::{InFleet, StartError, run};
+pub use fleet_membership::FleetMembership;
+pub use run::run;
+pub use start_error::StartError;
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -1,5 +1,6 @@
-//! Accepts clients' connections.
+//! Accepts the connections of clients.
 
+use crate::client_slot::ClientSlot;
 use crate::client_socket::ClientSocket;
 use crate::connection::Connection;
 use crate::context::NodeContext;
@@ -7,24 +8,25 @@
 use tokio::net::TcpStream;
 use weirusher_net::Listener;
 
-/// Accepts connections while there are slots, until the last is called for and nobody waits.
+/// Accepts connections while slots are free, until it is asked to stop and none waits.
 pub async fn accept(node: Rc<NodeContext>, mut listener: Listener) {
     loop {
         while !node.state.borrow().slots.has_free() {
-            node.idlers.set(node.state.borrow().slots.next_eviction());
-            node.slot.notified().await;
+            node.eviction_wakeup.set(node.state.borrow().slots.next_eviction());
+            node.slot_freed.notified().await;
         }
         tokio::select! {
-            // First those that wait: a connection that was made is not reset with its request on it.
+            // Waiting connections first: closing the listener would reset them with their requests.
             biased;
             stream = listener.accept() => serve(&node, stream),
-            () = node.last.notified() => return,
+            () = node.stop_accepting.notified() => return,
         }
     }
 }
 
 fn serve(node: &Rc<NodeContext>, stream: TcpStream) {
     node.connections.accepted();
-    let (slot, close) = node.take_slot();
-    tokio::task::spawn_local(Connection::new(slot, ClientSocket::new(stream), close).serve());
+    let (slot, close_request) = ClientSlot::take(node);
+    let connection = Connection::new(slot, ClientSocket::new(stream), close_request);
+    tokio::task::spawn_local(connection.serve());
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted of client connections, and why each of them was closed.
+//! Counts of client connections, and the reasons why they were closed.
 
 use std::cell::Cell;
 use std::fmt;
@@ -6,47 +6,47 @@
 /// Why a client's connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed or reset it between two requests.
+    /// The client closed or reset it while no request was pending.
     ClientClosed,
     /// The client closed or reset it while its request was pending.
     ClientGone,
-    /// The client asked for a close after this response.
-    ClientAsked,
+    /// The client requested the close (`Connection: close`).
+    ClientRequestedClose,
     /// The client did not read its response in time.
     ResponseUnread,
-    /// It was idle for too long, or made room for another.
+    /// It was idle for too long, or was evicted for another.
     Idle,
-    /// No whole request came in time.
+    /// No complete request arrived in time.
     NoRequest,
-    /// Its request could not be used, and it was told so.
-    BadRequest,
-    /// This gateway is stopping.
-    Stopping,
+    /// Its request was invalid and was answered with an error.
+    InvalidRequest,
+    /// This gateway is shutting down.
+    Shutdown,
 }
 
 impl CloseReason {
     const ALL: [Self; 8] = [
         Self::ClientClosed,
         Self::ClientGone,
-        Self::ClientAsked,
+        Self::ClientRequestedClose,
         Self::ResponseUnread,
         Self::Idle,
         Self::NoRequest,
-        Self::BadRequest,
-        Self::Stopping,
+        Self::InvalidRequest,
+        Self::Shutdown,
     ];
 
-    /// Its name in logs.
+    /// The name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::ClientClosed => "client_closed",
             Self::ClientGone => "client_gone",
-            Self::ClientAsked => "client_asked",
+            Self::ClientRequestedClose => "client_requested_close",
             Self::ResponseUnread => "response_unread",
             Self::Idle => "idle",
             Self::NoRequest => "no_request",
-            Self::BadRequest => "bad_request",
-            Self::Stopping => "stopping",
+            Self::InvalidRequest => "invalid_request",
+            Self::Shutdown => "shutdown",
         }
     }
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Client connections accepted, and closed by reason; each figure grows only.
+/// How many client connections were accepted, and closed by reason. Each count grows only.
 #[derive(Default)]
 pub struct ConnectionMetrics {
     accepted: Cell<u64>,
--- a/crates/node/src/wakeup.rs
+++ b/crates/node/src/wakeup.rs
@@ -1,41 +1,41 @@
-//! A task's wait for a moment that others may bring forward.
+//! A task's wait for a time that others may bring forward.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 use weirusher::Time;
 use weirusher_clock::Clock;
 
-/// Ends a wait at the earliest moment it was set to.
+/// Ends the wait of one task at the earliest time that was set.
 #[derive(Debug)]
 pub struct Wakeup {
-    armed: Cell<Time>,
-    sooner: Notify,
+    due: Cell<Time>,
+    brought_forward: Notify,
 }
 
 impl Default for Wakeup {
     fn default() -> Self {
-        Self { armed: Cell::new(f64::INFINITY), sooner: Notify::new() }
+        Self { due: Cell::new(f64::INFINITY), brought_forward: Notify::new() }
     }
 }
 
 impl Wakeup {
-    /// Ends the wait at `due` at the latest; costs a wake only where that is sooner than before.
+    /// Ends the wait at `due` at the latest. Wakes the task only if that is earlier than before.
     pub fn set(&self, due: Option<Time>) {
-        if let Some(due) = due.filter(|due| *due < self.armed.get()) {
-            self.armed.set(due);
-            self.sooner.notify_one();
+        if let Some(due) = due.filter(|due| *due < self.due.get()) {
+            self.due.set(due);
+            self.brought_forward.notify_one();
         }
     }
 
-    /// Waits for the moment; `due` is what is known to be due now, and sets it anew.
+    /// Waits until `due`, or an earlier time that is set meanwhile. `None`: only until a time that is set.
     pub async fn wait(&self, clock: &Clock, due: Option<Time>) {
-        self.armed.set(due.unwrap_or(f64::INFINITY));
+        self.due.set(due.unwrap_or(f64::INFINITY));
         loop {
-            let armed = self.armed.get();
-            let sleep = tokio::time::sleep_until(clock.instant(armed));
+            let due = self.due.get();
+            let sleep = tokio::time::sleep_until(clock.instant(due));
             tokio::select! {
-                () = sleep, if armed.is_finite() => return,
-                () = self.sooner.notified() => {}
+                () = sleep, if due.is_finite() => return,
+                () = self.brought_forward.notified() => {}
             }
         }
     }
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -1,29 +1,31 @@
-//! Attempts at backends, and what their answers mean.
+//! Requests to backends, and what their responses mean.
 
-use crate::client::MOST_BODY;
+use crate::client::MAX_BODY_BYTES;
 use crate::response::Response;
 use bytes::{BufMut, Bytes, BytesMut};
 use weirusher::{LoadReport, Status};
 use weirusher_wire::head::RequestHead;
 
-/// Most bytes of a load report that are read.
-const MOST_REPORT: usize = 1024;
-/// Most bytes of a backend's body.
-pub const MOST_ANSWER: usize = MOST_BODY;
+/// Most bytes of a load report that are parsed.
+const MAX_LOAD_REPORT_BYTES: usize = 1024;
+/// Most bytes of the body of a backend's response.
+pub const MAX_RESPONSE_BYTES: usize = MAX_BODY_BYTES;
+/// Microseconds in a second, the unit of the time budget that a backend is sent.
+const MICROS: f64 = 1e6;
 
-/// What of a request passes on, the same bytes at every attempt.
+/// The part of a client's request that is forwarded, the same bytes at every attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Passed {
-    /// The head but for the time left, which differs from attempt to attempt.
+pub struct ForwardedRequest {
+    /// The head without the time budget, which differs between attempts.
     head: Bytes,
     body: Bytes,
 }
 
-impl Passed {
-    /// What passes on of a request that was read: method, target, id and body as they came.
-    pub fn new(head: &RequestHead<'_, '_>, job: &str, body: Bytes) -> Self {
-        let mut dst = BytesMut::with_capacity(head.target.len() + job.len() + 96);
-        for part in [head.method, " ", head.target, " HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: ", job] {
+impl ForwardedRequest {
+    /// The request with this head, id and body: its method, target, id and body are forwarded as they were received.
+    pub fn new(head: &RequestHead<'_, '_>, id: &str, body: Bytes) -> Self {
+        let mut dst = BytesMut::with_capacity(head.target.len() + id.len() + 96);
+        for part in [head.method, " ", head.target, " HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: ", id] {
             dst.put_slice(part.as_bytes());
         }
         dst.put_slice(b"\r\n");
@@ -33,37 +35,37 @@
         Self { head: dst.freeze(), body }
     }
 
-    /// Its body.
+    /// The body.
     pub fn body(&self) -> Bytes {
         self.body.clone()
     }
 
-    /// Writes the head of an attempt that is waited for `timeout` seconds; the body follows it.
+    /// Writes the head of an attempt with a time budget of `timeout` seconds; the body follows it.
     pub fn write_head(&self, dst: &mut BytesMut, timeout: f64) {
         dst.put_slice(&self.head);
-        dst.put_slice(format!("X-Expires-In: {}u\r\n\r\n", (timeout * 1e6).max(1.0) as u64).as_bytes());
+        dst.put_slice(format!("X-Expires-In: {}u\r\n\r\n", (timeout * MICROS).max(1.0) as u64).as_bytes());
     }
 }
 
-/// How an attempt ended by what its backend answered. Only a whole 200 serves.
-pub fn outcome(response: &Response) -> Status {
+/// How an attempt ended by its complete response. Only a 200 serves the request.
+pub fn attempt_status(response: &Response) -> Status {
     match response.status {
         200 => Status::Ok,
-        503 | 504 if response.never_ran => Status::Rejected,
+        503 | 504 if response.not_executed => Status::Rejected,
         _ => Status::Error,
     }
 }
 
-/// Reads a load report; what cannot be read is no report.
-pub fn load(report: &str) -> LoadReport {
+/// Parses a load report. One that is malformed counts as empty.
+pub fn parse_load_report(report: &str) -> LoadReport {
     let mut load = LoadReport::default();
-    if report.len() > MOST_REPORT {
+    if report.len() > MAX_LOAD_REPORT_BYTES {
         return load;
     }
     let (_, pairs) = report.trim().split_once(' ').unwrap_or(("", report));
     for pair in pairs.split(',') {
         let Some((key, value)) = pair.trim().split_once('=') else { return LoadReport::default() };
-        let Some(value) = value.parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0) else {
+        let Some(value) = value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0) else {
             return LoadReport::default();
         };
         match key {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,36 +1,37 @@
-//! The configuration that a gateway finds on the platform.
+//! The configuration file that a gateway instance gets from the platform.
 
-use crate::list::{BadList, ListUpdate, Listing};
+use crate::list::{ListError, ListMessage, ListUpdate};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 use weirusher::{EndpointListKind, PlatformSettings, PlatformSettingsError};
 
-/// The file's form.
+/// The file as it is written.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: Value,
     limits: Limits,
     counter: Option<SocketAddr>,
-    known: Option<Value>,
+    #[serde(rename = "known")]
+    cached_list: Option<Value>,
     settings: Value,
 }
 
-/// What the processes of a gateway may use.
+/// The resources that the process may use.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Share of a core.
+    /// Cores; may be a fraction of one.
     pub cores: f64,
-    /// Megabytes.
+    /// Memory in megabytes.
     pub memory_mb: f64,
     /// File descriptors.
     pub sockets: usize,
 }
 
-/// A gateway's configuration.
+/// The configuration of a gateway instance.
 #[derive(Debug)]
 pub struct Config {
     /// Its name.
@@ -41,41 +42,42 @@
     pub discovery: SocketAddr,
     /// Where the counter is, if there is one.
     pub counter: Option<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// The seed of all randomness; another one at each start.
     pub seed: u64,
-    /// What it may use.
+    /// The resources that it may use.
     pub limits: Limits,
-    /// The list as this gateway last had it. One that cannot be used is no reason not to start, or not to move:
-    /// discovery tells a younger one.
-    pub known: Result<Option<ListUpdate>, BadList>,
-    /// What it decides by.
-    pub site: PlatformSettings,
+    /// The endpoint list that this instance had last. An invalid one does not prevent a start or a reload, because
+    /// discovery has a newer one.
+    pub cached_list: Result<Option<ListUpdate>, ListError>,
+    /// The platform's settings, which the decisions follow.
+    pub platform: PlatformSettings,
 }
 
 /// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is no such file.
+    /// The file does not have the expected form.
     #[error("it cannot be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
-    /// Its settings cannot be used.
+    Malformed(#[from] serde_json::Error),
+    /// The settings in it cannot be used.
     #[error(transparent)]
     Settings(#[from] PlatformSettingsError),
-    /// Its seed is no number.
+    /// The seed is not a number.
     #[error("seed: neither a number nor hex digits")]
     Seed,
 }
 
-fn seed(value: &Value) -> Option<u64> {
+fn parse_seed(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| u64::from_str_radix(value.as_str()?.trim_start_matches("0x"), 16).ok())
 }
 
 impl Config {
-    /// What of `newer` a gateway that runs by `self` does not follow: it moves to other addresses of discovery and
-    /// the counter, and decides by the settings that it started with until its end. The seed is new in every file.
-    pub fn not_followed(&self, newer: &Self) -> Vec<&'static str> {
-        let (old, new) = (&self.site, &newer.site);
-        let same = [
+    /// The fields in which `newer` differs from this configuration and that a running instance does not follow. It
+    /// follows the addresses of discovery and the counter, and keeps the other settings until its end. The seed differs
+    /// in every file and is not reported.
+    pub fn changes_requiring_restart(&self, newer: &Self) -> Vec<&'static str> {
+        let (old, new) = (&self.platform, &newer.platform);
+        let unchanged = [
             ("name", self.name == newer.name),
             ("listen", self.listen == newer.listen),
             ("limits", self.limits == newer.limits),
@@ -84,28 +86,28 @@
             ("settings.Plans", old.plans == new.plans && old.settings.plans == new.settings.plans),
             ("settings", old == new),
         ];
-        same.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect()
+        unchanged.into_iter().filter(|(_, unchanged)| !unchanged).map(|(field, _)| field).collect()
     }
 
-    /// Reads the file's text.
+    /// Parses the text of the file.
     ///
     /// # Errors
-    /// What of it cannot be used.
+    /// What in it cannot be used.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
-        let file: File = serde_json::from_slice(text)?;
-        let site = PlatformSettings::read(&file.settings)?;
-        let known = file.known.map(|list| {
-            Listing::deserialize(list)?.into_update(&site.zones, EndpointListKind::StaleSnapshot)
+        let file: ConfigFile = serde_json::from_slice(text)?;
+        let platform = PlatformSettings::read(&file.settings)?;
+        let cached_list = file.cached_list.map(|list| {
+            ListMessage::deserialize(list)?.into_update(&platform.zones, EndpointListKind::StaleSnapshot)
         });
         Ok(Self {
             name: file.name,
             listen: file.listen,
             discovery: file.discovery,
             counter: file.counter,
-            seed: seed(&file.seed).ok_or(ConfigError::Seed)?,
+            seed: parse_seed(&file.seed).ok_or(ConfigError::Seed)?,
             limits: file.limits,
-            known: known.transpose(),
-            site,
+            cached_list: cached_list.transpose(),
+            platform,
         })
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's messages, strictly read and written, without I/O: what clients send and are answered, what
-//! backends and the counter are sent and answer, the list of discovery, the configuration.
+//! The messages of the operators' platform, without I/O: what clients send and receive, what backends and the counter
+//! receive and answer, the endpoint list of discovery, and the configuration file.
 //!
-//! Whatever arrives is held to the bounds that stand here as constants. What cannot be read is an error with
-//! the status it is answered by; nothing that was not understood travels on.
+//! This crate maps the platform's own header and field names to the terms that the rest of the code uses. Everything that
+//! is received is checked against the bounds that are constants here; nothing that was not understood is passed on.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,97 +1,108 @@
-//! Answers of backends, the counter and discovery, as their bytes come in.
+//! Responses of backends, the counter and discovery, read from the bytes of a connection as they arrive.
 
 use bytes::{Bytes, BytesMut};
 use weirusher_wire::body::{BodyReader, Framing};
-use weirusher_wire::head::{HeadSearch, NO_HEADERS, response};
+use weirusher_wire::head::{EMPTY_HEADERS, HeadSearch, parse_response};
 use weirusher_wire::http1::HttpError;
 
-/// Interim answers that are skipped ahead of a real one; more are a fault.
-const MOST_INTERIM: u32 = 8;
+/// Most interim responses (1xx) ahead of a final one.
+const MAX_INTERIM: u32 = 8;
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// It carries `X-Never-Ran: 1`.
-    pub never_ran: bool,
-    /// Its load report, unread.
-    pub report: Option<String>,
-    /// The connection is of no further use.
-    pub closes: bool,
+    /// The backend states that it did not execute the request (`X-Never-Ran: 1`).
+    pub not_executed: bool,
+    /// The load report of the backend, not parsed.
+    pub load_report: Option<String>,
+    /// The connection must not be used further.
+    pub closes_connection: bool,
 }
 
-/// Reads one answer after another from the bytes of a connection.
+/// Reads one response after another from a connection.
 #[derive(Debug)]
 pub struct ResponseReader {
-    most_body: usize,
+    max_body: usize,
     search: HeadSearch,
+    /// The head of the response whose body is being read.
     head: Option<(Response, BodyReader)>,
+    /// Interim responses since the last final one.
     interim: u32,
-    begun: bool,
+    started: bool,
 }
 
 impl ResponseReader {
-    /// A reader of answers whose bodies hold `most_body` bytes at most.
-    pub fn new(most_body: usize) -> Self {
-        Self { most_body, search: HeadSearch::default(), head: None, interim: 0, begun: false }
+    /// A reader of responses with bodies of at most `max_body` bytes.
+    pub fn new(max_body: usize) -> Self {
+        Self { max_body, search: HeadSearch::default(), head: None, interim: 0, started: false }
     }
 
-    /// Whether some of the next answer has come, but not all.
-    pub fn begun(&self) -> bool {
-        self.begun
+    /// Whether a part of the next response was received.
+    pub fn has_started(&self) -> bool {
+        self.started
     }
 
-    /// Bytes of its body that it holds, beside those that wait in `src`.
-    pub fn held(&self) -> usize {
-        self.head.as_ref().map_or(0, |(_, body)| body.held())
+    /// How many bytes of the body the reader holds, beside those that are still in `src`.
+    pub fn buffered(&self) -> usize {
+        self.head.as_ref().map_or(0, |(_, body)| body.buffered())
     }
 
-    /// The next answer, once all of it is there.
+    /// Reads from `src`; returns the next response once it is complete.
     ///
     /// # Errors
-    /// What came cannot be read, or passes a bound; the connection is of no further use.
+    /// The response is malformed or too long; the connection must not be used further.
     pub fn read(&mut self, src: &mut BytesMut) -> Result<Option<Response>, HttpError> {
         while self.head.is_none() {
-            self.begun = !src.is_empty();
-            let Some(end) = self.search.end(src)? else { return Ok(None) };
-            let bytes = src.split_to(end);
-            let mut slots = NO_HEADERS;
-            let head = response(&bytes, &mut slots)?;
-            if head.status < 200 {
-                self.interim += 1;
-                // 101 would be another protocol from here on, which nobody asked for.
-                if self.interim > MOST_INTERIM || head.status < 100 || head.status == 101 {
-                    return Err(HttpError::Malformed("an interim answer that is none".into()));
-                }
-                continue;
-            }
-            let fields = head.fields;
-            let framing = match head.status {
-                // These have no body, whatever their head says.
-                204 | 304 => Framing::Length(0),
-                _ => fields.framing(self.most_body)?.unwrap_or(Framing::UntilClose),
-            };
-            let never_ran = fields.one("X-Never-Ran") == Ok(Some("1"));
-            let report = fields.one("Endpoint-LoadReport-Metrics").ok().flatten().map(str::to_string);
-            let (status, closes) = (head.status, fields.closes() || framing == Framing::UntilClose);
-            let body = BodyReader::new(framing, self.most_body);
-            self.head = Some((Response { status, body: Bytes::new(), never_ran, report, closes }, body));
+            self.started = !src.is_empty();
+            let Some(end) = self.search.find_end(src)? else { return Ok(None) };
+            let head = src.split_to(end);
+            self.read_head(&head)?;
         }
         let Some((_, body)) = &mut self.head else { return Ok(None) };
         let Some(body) = body.read(src)? else { return Ok(None) };
-        Ok(self.whole(body))
+        Ok(self.complete(body))
+    }
+
+    /// The connection was closed in order, without a reset: returns the response if that is how it ends.
+    pub fn finish(&mut self) -> Option<Response> {
+        let body = self.head.as_mut()?.1.finish()?;
+        self.complete(body)
     }
 
-    /// The connection ended in order, with no reset: the answer that this is the end of.
-    pub fn ended(&mut self) -> Option<Response> {
-        let body = self.head.as_mut()?.1.ended()?;
-        self.whole(body)
+    /// Parses a head. An interim response is counted and skipped.
+    fn read_head(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
+        let mut slots = EMPTY_HEADERS;
+        let head = parse_response(bytes, &mut slots)?;
+        if head.status < 200 {
+            self.interim += 1;
+            // 101 would switch to another protocol, which was not requested.
+            if self.interim > MAX_INTERIM || head.status < 100 || head.status == 101 {
+                return Err(HttpError::Malformed("an invalid interim response"));
+            }
+            return Ok(());
+        }
+        let fields = head.fields;
+        let framing = match head.status {
+            // These have no body, whatever their head says (RFC 9112, 6.3).
+            204 | 304 => Framing::Length(0),
+            _ => fields.framing(self.max_body)?.unwrap_or(Framing::UntilClose),
+        };
+        let response = Response {
+            status: head.status,
+            body: Bytes::new(),
+            not_executed: fields.single("X-Never-Ran") == Ok(Some("1")),
+            load_report: fields.single("Endpoint-LoadReport-Metrics").ok().flatten().map(str::to_string),
+            closes_connection: fields.closes_connection() || framing == Framing::UntilClose,
+        };
+        self.head = Some((response, BodyReader::new(framing, self.max_body)));
+        Ok(())
     }
 
-    fn whole(&mut self, body: Bytes) -> Option<Response> {
+    fn complete(&mut self, body: Bytes) -> Option<Response> {
         self.interim = 0;
         self.head.take().map(|(response, _)| Response { body, ..response })
     }
--- a/crates/platform/tests/parsers.rs
+++ b/crates/platform/tests/parsers.rs
@@ -1,70 +1,74 @@
-//! What arrives is read strictly, the same way however its bytes are split, and never past a bound.
+//! Messages are parsed strictly, in the same way however their bytes are split, and never beyond a bound.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
 use serde_json::json;
 use weirusher::{EndpointListKind, Lifecycle, PlatformSettings, Status};
-use weirusher_platform::client::{self, Asked, BadRequest, Demand, Names};
-use weirusher_platform::list::{ListState, MOST_LIST};
+use weirusher_platform::client::{self, ClientMessage, ClientRequest, RequestCatalog, RequestError};
+use weirusher_platform::counter::AddResult;
+use weirusher_platform::list::{ListState, MAX_LIST_BYTES};
 use weirusher_platform::response::{Response, ResponseReader};
 use weirusher_platform::{backend, counter};
-use weirusher_wire::head::{NO_HEADERS, request};
+use weirusher_wire::head::{EMPTY_HEADERS, parse_request};
 
-fn names() -> Names {
+fn catalog() -> RequestCatalog {
     let settings = json!({
         "PeersTotal": 4, "Me": 1, "Domain": {"MaxUnits": 8.0},
         "Classes": [{"Name": "check-answer", "Effect": "idempotent"}, {"Name": "store", "Effect": "at_most_once"}],
         "Plans": [{"Name": "pieni", "QuotaRate": 1.0, "Depth": 4.0}, {"Name": "iso"}],
     });
-    Names::new(&PlatformSettings::read(&settings).unwrap())
+    RequestCatalog::new(&PlatformSettings::read(&settings).unwrap())
 }
 
 const GOOD: &str = "GET /api/00000000b4d65521 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f03aa5c7e2d41\r\n\
     X-Qos: check-answer\r\nPlan: iso\r\nX-Expires-In: 480m\r\nQuota-Info: units=2,spread=3,first=1\r\n\r\n";
 
-fn read(text: &str) -> Result<Asked, BadRequest> {
-    let mut slots = NO_HEADERS;
-    client::read(&names(), &request(text.as_bytes(), &mut slots)?)
+fn read(text: &str) -> Result<ClientMessage, RequestError> {
+    let mut slots = EMPTY_HEADERS;
+    client::read_head(&catalog(), &parse_request(text.as_bytes(), &mut slots)?)
 }
 
-fn demand(text: &str) -> Demand {
+fn client_request(text: &str) -> ClientRequest {
     match read(text) {
-        Ok(Asked::Demand(demand)) => demand,
+        Ok(ClientMessage::Request(request)) => request,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_request_is_read_as_the_page_says() {
-    let read = demand(GOOD);
-    assert_eq!((&*read.job, &*read.customer), ("9b1f03aa5c7e2d41", "00000000b4d65521"));
-    assert_eq!((read.class, read.plan, read.units, read.spread), (0, 1, 2.0, (3, 1)));
-    assert!((read.patience - 0.48).abs() < 1e-9 && !read.repeat && !read.closes);
+fn a_request_head_is_mapped_to_its_fields() {
+    let read = client_request(GOOD);
+    assert_eq!((&*read.id, &*read.customer), ("9b1f03aa5c7e2d41", "00000000b4d65521"));
+    assert_eq!(
+        (read.class, read.plan, read.units, read.customer_instances, read.first_instance),
+        (0, 1, 2.0, 3, 1)
+    );
+    assert!((read.time_budget - 0.48).abs() < 1e-9 && !read.is_retry && !read.closes_connection);
     let micros = GOOD
         .replace("480m", "250000u")
         .replace("\r\n\r\n", "\r\nX-Second-Try: 1\r\nConnection: close\r\n\r\n");
-    let read = demand(&micros);
-    assert!((read.patience - 0.25).abs() < 1e-9 && read.repeat && read.closes);
-    let other_case = demand(&GOOD.replace("00000000b4d65521", "00000000B4d65521"));
+    let read = client_request(&micros);
+    assert!((read.time_budget - 0.25).abs() < 1e-9 && read.is_retry && read.closes_connection);
+    let other_case = client_request(&GOOD.replace("00000000b4d65521", "00000000B4d65521"));
     assert_eq!(&*other_case.customer, "00000000b4d65521", "one number, one quota");
     let ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    assert_eq!(self::read(ready), Ok(Asked::Ready));
+    assert_eq!(self::read(ready), Ok(ClientMessage::ReadinessCheck));
 }
 
 #[test]
-fn a_zone_that_the_settings_do_not_name_is_none_of_theirs() {
+fn a_zone_that_the_settings_do_not_name_has_a_number_of_its_own() {
     let zones = ["a", "b", "c", "c", "a", ""];
     let entry = |(n, zone): (usize, &&str)| json!({"name": format!("s-{n}"), "address": "127.0.0.1:1", "zone": zone, "status": "SERVING"});
     let endpoints: Vec<_> = zones.iter().enumerate().map(entry).collect();
     let list = json!({"index": 1, "snapshot": true, "endpoints": endpoints}).to_string();
-    let update = ListState::new(vec!["a".into(), "b".into()]).take(list.as_bytes()).unwrap().unwrap();
+    let update = ListState::new(vec!["a".into(), "b".into()]).apply(list.as_bytes()).unwrap().unwrap();
     let found: Vec<u32> = update.endpoints.iter().map(|server| server.zone).collect();
     assert_eq!((found[0], found[1], found[4]), (0, 1, 0));
     assert!(found[2] == found[3] && found[2] > 1 && found[5] > 1 && found[2] != found[5], "{found:?}");
 }
 
 #[test]
-fn what_is_wrong_is_an_error_with_its_status() {
+fn an_invalid_request_is_an_error_with_its_status() {
     for (from, to, status) in [
         ("GET /api/00000000b4d65521", "GET /api/00000000b4d6552", 404),
         ("GET /api/00000000b4d65521", "GET /api/0000000200000000", 404),
@@ -124,8 +128,8 @@
 }
 
 #[test]
-fn only_a_whole_framed_200_serves() {
-    let one = |text: &str| responses(text.as_bytes(), 7).map(|all| all.first().map(backend::outcome));
+fn only_a_complete_200_serves() {
+    let one = |text: &str| responses(text.as_bytes(), 7).map(|all| all.first().map(backend::attempt_status));
     assert_eq!(one("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), Ok(Some(Status::Ok)));
     assert_eq!(one("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok"), Ok(None), "it waits for the rest");
     assert_eq!(one("HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"), Ok(Some(Status::Error)));
@@ -148,26 +152,26 @@
     ] {
         assert!(one(&format!("HTTP/1.1 200 OK\r\n{spoilt}\r\n\r\n")).is_err(), "{spoilt}");
     }
-    assert!(one(&format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(20_000))).is_err(), "a head without end");
+    assert!(one(&format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(20_000))).is_err(), "an unbounded head");
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_once_its_connection_ends_in_order() {
+fn a_response_without_a_length_is_complete_once_its_connection_closes_in_order() {
     let mut reader = ResponseReader::new(1024);
     let mut src = BytesMut::from(&b"HTTP/1.1 200 OK\r\nX: y\r\n\r\nok"[..]);
     assert!(reader.read(&mut src).unwrap().is_none(), "more of it may come");
     src.extend_from_slice(b" then");
-    assert!(reader.read(&mut src).unwrap().is_none() && reader.begun());
-    let whole = reader.ended().expect("its end");
+    assert!(reader.read(&mut src).unwrap().is_none() && reader.has_started());
+    let whole = reader.finish().expect("its end");
     assert_eq!(
-        (backend::outcome(&whole), &whole.body[..], whole.closes),
+        (backend::attempt_status(&whole), &whole.body[..], whole.closes_connection),
         (Status::Ok, &b"ok then"[..], true)
     );
-    // The end of any other answer is update by itself.
+    // The end of the connection does not complete any other response.
     for half in ["HTTP/1.1 200 OK\r\nX: y", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", ""] {
         let mut reader = ResponseReader::new(1024);
         assert!(reader.read(&mut BytesMut::from(half)).unwrap().is_none());
-        assert_eq!(reader.ended(), None, "{half}");
+        assert_eq!(reader.finish(), None, "{half}");
     }
     let past = format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(1025));
     assert!(ResponseReader::new(1024).read(&mut BytesMut::from(&*past)).is_err());
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn an_answer_in_chunks_is_read_as_one_with_a_length() {
+fn a_chunked_response_is_read_like_one_with_a_length() {
     let chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\no\u{6b}\r\n0\r\n\r\n";
     let length = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     for piece in [1, 7, 500] {
@@ -188,58 +192,61 @@
 }
 
 #[test]
-fn a_total_that_cannot_be_read_is_none() {
-    let update = |text: &str| counter::outcome(&responses(text.as_bytes(), 9).unwrap()[0]);
+fn a_malformed_total_is_none() {
+    let update = |text: &str| counter::parse_add_result(&responses(text.as_bytes(), 9).unwrap()[0]);
     let ok = |body: &str| update(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
-    assert_eq!(ok("38.25"), Some((Status::Ok, 38.25)));
-    assert_eq!(ok("1e2\n"), Some((Status::Ok, 100.0)));
+    assert_eq!(ok("38.25"), Some(AddResult { status: Status::Ok, total: 38.25 }));
+    assert_eq!(ok("1e2\n"), Some(AddResult { status: Status::Ok, total: 100.0 }));
     assert!(ok("").is_none() && ok("NaN").is_none() && ok("<html>").is_none());
-    assert_eq!(update("HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n"), Some((Status::Rejected, 0.0)));
+    assert_eq!(
+        update("HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n"),
+        Some(AddResult { status: Status::Rejected, total: 0.0 })
+    );
     let mut call = BytesMut::new();
-    counter::write_call(&mut call, 0xABC, -2.5, 400.0);
+    counter::write_add(&mut call, 0xABC, -2.5, 400.0);
     assert!(call.starts_with(b"POST /v2/numbers/abc?delta=-2.500000&life_ms=60000 HTTP/1.1\r\n"));
 }
 
 #[test]
-fn a_report_that_cannot_be_read_is_no_report() {
-    let load = backend::load("TEXT inflight=7, queue=2, util=0.61");
+fn a_malformed_load_report_counts_as_empty() {
+    let load = backend::parse_load_report("TEXT inflight=7, queue=2, util=0.61");
     assert_eq!((load.inflight, load.util), (Some(7.0), Some(0.61)));
     for bad in ["TEXT inflight=x", "TEXT inflight=-1", "TEXT util=NaN", "TEXT ,", "", &"x".repeat(2000)] {
-        let load = backend::load(bad);
+        let load = backend::parse_load_report(bad);
         assert_eq!((load.inflight, load.util), (None, None), "{bad}");
     }
 }
 
 #[test]
-fn a_list_is_taken_by_its_version() {
-    let mut held = ListState::new(vec!["a".into(), "b".into()]);
-    assert_eq!(held.target(5.0), "/api/targets");
+fn a_list_is_applied_by_its_version() {
+    let mut state = ListState::new(vec!["a".into(), "b".into()]);
+    assert_eq!(state.poll_target(5.0), "/api/targets");
     let list = |index: u64, whole: bool, status: &str| {
         json!({"index": index, "snapshot": whole, "endpoints": [{"name": "s-1", "address": "10.1.0.18:8443",
             "zone": "b", "type": "m2", "group": 3, "status": status, "weight": 1.0, "since_ms": 1500}]})
         .to_string()
     };
-    assert!(held.take(list(40, false, "SERVING").as_bytes()).unwrap().is_none(), "changes to nothing");
-    let update = held.take(list(41, true, "SERVING").as_bytes()).unwrap().unwrap();
+    assert!(state.apply(list(40, false, "SERVING").as_bytes()).unwrap().is_none(), "changes to nothing");
+    let update = state.apply(list(41, true, "SERVING").as_bytes()).unwrap().unwrap();
     assert_eq!(
         (update.kind, update.endpoints[0].zone, update.endpoints[0].cell),
         (EndpointListKind::Snapshot, 1, 3)
     );
     assert!((update.endpoints[0].started - 1.5).abs() < 1e-9);
-    assert_eq!(held.target(5.0), "/api/targets?since=41&timeout_ms=5000");
-    let update = held.take(list(43, false, "DELETED").as_bytes()).unwrap().unwrap();
+    assert_eq!(state.poll_target(5.0), "/api/targets?since=41&timeout_ms=5000");
+    let update = state.apply(list(43, false, "DELETED").as_bytes()).unwrap().unwrap();
     assert_eq!((update.kind, update.endpoints[0].lifecycle), (EndpointListKind::Delta, Lifecycle::Removed));
     assert_eq!(update.addresses[0].address, None);
     for bad in ["", "{", "[]", r#"{"index":1}"#, &list(44, true, "SERVING").replace("10.1", "x")] {
-        assert!(held.take(bad.as_bytes()).is_err(), "{bad}");
+        assert!(state.apply(bad.as_bytes()).is_err(), "{bad}");
     }
-    assert_eq!(held.target(5.0), "/api/targets?since=43&timeout_ms=5000", "what is held stays");
-    assert!(held.take(list(42, false, "SERVING").as_bytes()).unwrap().is_none(), "a lower version");
-    assert_eq!(held.target(5.0), "/api/targets", "so the whole list is asked for");
+    assert_eq!(state.poll_target(5.0), "/api/targets?since=43&timeout_ms=5000", "the version in use stays");
+    assert!(state.apply(list(42, false, "SERVING").as_bytes()).unwrap().is_none(), "a lower version");
+    assert_eq!(state.poll_target(5.0), "/api/targets", "so the whole list is asked for");
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_costs_its_worker_only() {
+fn an_invalid_entry_costs_its_backend_only() {
     let entry = |name: &str, status: &str, address: &str| json!({"name": name, "address": address, "zone": "a", "group": 0, "status": status, "since_ms": 0});
     let good = entry("s-1", "SERVING", "10.1.0.18:8443");
     let odd = [
@@ -250,12 +257,14 @@
         json!(7),
     ];
     for whole in [true, false] {
-        let mut held = ListState::new(vec!["a".into()]);
-        held.take(json!({"index": 1, "snapshot": true, "endpoints": [good]}).to_string().as_bytes()).unwrap();
+        let mut state = ListState::new(vec!["a".into()]);
+        state
+            .apply(json!({"index": 1, "snapshot": true, "endpoints": [good]}).to_string().as_bytes())
+            .unwrap();
         let mut entries = odd.to_vec();
         entries.insert(2, good.clone());
         let list = json!({"index": 2, "snapshot": whole, "endpoints": entries}).to_string();
-        let update = held.take(list.as_bytes()).unwrap().expect("it is newer");
+        let update = state.apply(list.as_bytes()).unwrap().expect("it is newer");
         let serving: Vec<_> =
             update.addresses.iter().filter(|w| w.address.is_some()).map(|w| &*w.name).collect();
         assert_eq!(serving, ["s-1"], "and those of which nothing sure was said get nothing new");
@@ -265,12 +274,16 @@
         let leaving = |name: &str| update.endpoints.iter().any(|s| &*s.id == name);
         // A whole list says by leaving it out that a backend left; changes must name it.
         assert_eq!([leaving("s-2"), leaving("s-3"), leaving("s-4")], [true, !whole, !whole]);
-        assert!(update.unread.len() == 4 && update.unread[0].starts_with("s-2:"), "{:?}", update.unread);
+        assert!(
+            update.problems.len() == 4 && update.problems[0].to_string().starts_with("s-2:"),
+            "{:?}",
+            update.problems
+        );
     }
 }
 
 #[test]
-fn a_list_of_thousands_is_taken_indented_and_with_the_longest_names() {
+fn a_list_of_thousands_is_parsed_indented_and_with_the_longest_names() {
     for many in [1024, 4096] {
         let entry = |n: usize| {
             json!({"name": format!("{n:0256}"), "address": "255.255.255.255:65535", "zone": "z".repeat(64),
@@ -282,9 +295,9 @@
         let text = serde_json::to_string_pretty(&list).unwrap();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
         let mut src = BytesMut::from(format!("{head}{text}").as_bytes());
-        let response = ResponseReader::new(MOST_LIST).read(&mut src).unwrap().expect("it is whole");
-        let update = ListState::default().take(&response.body).unwrap().expect("the first one");
-        assert_eq!((update.endpoints.len(), update.unread.len()), (many, 0));
+        let response = ResponseReader::new(MAX_LIST_BYTES).read(&mut src).unwrap().expect("it is whole");
+        let update = ListState::default().apply(&response.body).unwrap().expect("the first one");
+        assert_eq!((update.endpoints.len(), update.problems.len()), (many, 0));
     }
 }
 
@@ -300,16 +313,16 @@
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300), at in 0..200usize) {
+    fn any_bytes_are_parsed_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300), at in 0..200usize) {
         let mut text = GOOD.as_bytes().to_vec();
         let at = at.min(text.len() - 4);
         let upto = (at + bytes.len()).min(text.len() - 4);
         text.splice(at..upto, bytes.iter().copied());
-        let mut slots = NO_HEADERS;
-        if let Ok(head) = request(&text, &mut slots) {
-            let _ = client::read(&names(), &head);
+        let mut slots = EMPTY_HEADERS;
+        if let Ok(head) = parse_request(&text, &mut slots) {
+            let _ = client::read_head(&catalog(), &head);
         }
         let _ = responses(&bytes, 11);
-        let _ = ListState::default().take(&bytes);
+        let _ = ListState::default().apply(&bytes);
     }
 }
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,61 +1,61 @@
-//! Bodies of HTTP/1.1 messages, taken from a connection's bytes as they come in, by the framing that the head gives.
+//! Bodies of HTTP/1.1 messages (RFC 9112, 6 and 7), read from the bytes of a connection as they arrive.
 
 use crate::head::HeadSearch;
 use crate::http1::HttpError;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Most bytes of a chunk's size line, its extensions included.
-const MOST_SIZE_LINE: usize = 1024;
+/// Most bytes of the line with a chunk's size, extensions included.
+const MAX_SIZE_LINE: usize = 1024;
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// It has so many bytes.
+    /// The body has this many bytes (`Content-Length`).
     Length(usize),
-    /// It comes in chunks, the last of them empty (`Transfer-Encoding: chunked`).
+    /// The body is sent in chunks, the last of them empty (`Transfer-Encoding: chunked`).
     Chunked,
-    /// It goes on to the end of the connection. A reset is no end.
+    /// The body ends when the connection is closed in order. A reset does not end it.
     UntilClose,
 }
 
-/// Where in a chunked body the next byte lies.
+/// What the next byte of a chunked body belongs to.
 #[derive(Debug)]
-enum Part {
+enum ChunkState {
     SizeLine,
-    /// So many bytes of a chunk are to come.
+    /// The data of a chunk, of which this many bytes are missing.
     Data(usize),
-    /// The line break behind a chunk's data.
+    /// The line break after a chunk's data.
     DataEnd,
     Trailers,
 }
 
-/// A body being read.
+/// Reads one body.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    most: usize,
-    part: Part,
-    /// What has been taken of a body without a stated length.
-    taken: BytesMut,
+    max_length: usize,
+    chunk: ChunkState,
+    /// The part of a body without a stated length that was read so far.
+    body: BytesMut,
     trailers: HeadSearch,
 }
 
 impl BodyReader {
-    /// A reader of one body, of `most` bytes at most.
-    pub fn new(framing: Framing, most: usize) -> Self {
-        let (taken, trailers) = (BytesMut::new(), HeadSearch::default());
-        Self { framing, most, part: Part::SizeLine, taken, trailers }
+    /// A reader of one body of at most `max_length` bytes.
+    pub fn new(framing: Framing, max_length: usize) -> Self {
+        let (body, trailers) = (BytesMut::new(), HeadSearch::default());
+        Self { framing, max_length, chunk: ChunkState::SizeLine, body, trailers }
     }
 
-    /// Bytes that it holds, beside those that wait in `src`.
-    pub fn held(&self) -> usize {
-        self.taken.len()
+    /// How many bytes of the body the reader holds, beside those that are still in `src`.
+    pub fn buffered(&self) -> usize {
+        self.body.len()
     }
 
-    /// The body, once all of it is there; what follows it stays in `src`.
+    /// Reads from `src`; returns the body once it is complete. Bytes behind it stay in `src`.
     ///
     /// # Errors
-    /// Chunks that cannot be read, or a body past its bound.
+    /// A malformed chunk, or a body that is too long.
     pub fn read(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         match self.framing {
             Framing::Length(length) if src.len() < length => {
@@ -63,89 +63,88 @@
                 Ok(None)
             }
             Framing::Length(length) => Ok(Some(src.split_to(length).freeze())),
-            Framing::Chunked => self.chunks(src),
-            Framing::UntilClose => self.take(src.len(), src).map(|()| None),
+            Framing::Chunked => self.read_chunked(src),
+            Framing::UntilClose => self.append(src.len(), src).map(|()| None),
         }
     }
 
-    /// The connection ended in order: the body, if that is its end.
-    pub fn ended(&mut self) -> Option<Bytes> {
-        (self.framing == Framing::UntilClose).then(|| self.taken.split().freeze())
+    /// The connection was closed in order: returns the body if that is how it ends.
+    pub fn finish(&mut self) -> Option<Bytes> {
+        (self.framing == Framing::UntilClose).then(|| self.body.split().freeze())
     }
 
-    fn chunks(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
+    fn read_chunked(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         loop {
-            match self.part {
-                Part::SizeLine => match size_line(src)? {
+            match self.chunk {
+                ChunkState::SizeLine => match take_size_line(src)? {
                     None => return Ok(None),
-                    Some(0) => self.part = Part::Trailers,
-                    Some(size) if size > (self.most - self.taken.len()) as u64 => {
+                    Some(0) => self.chunk = ChunkState::Trailers,
+                    Some(size) if size > (self.max_length - self.body.len()) as u64 => {
                         return Err(HttpError::BodyTooLarge);
                     }
-                    Some(size) => self.part = Part::Data(size as usize),
+                    Some(size) => self.chunk = ChunkState::Data(size as usize),
                 },
-                Part::Data(left) => {
-                    let many = left.min(src.len());
-                    self.take(many, src)?;
-                    if many < left {
-                        src.reserve(left - many);
-                        self.part = Part::Data(left - many);
+                ChunkState::Data(missing) => {
+                    let available = missing.min(src.len());
+                    self.append(available, src)?;
+                    if available < missing {
+                        src.reserve(missing - available);
+                        self.chunk = ChunkState::Data(missing - available);
                         return Ok(None);
                     }
-                    self.part = Part::DataEnd;
+                    self.chunk = ChunkState::DataEnd;
                 }
-                Part::DataEnd => match src.get(..2) {
+                ChunkState::DataEnd => match src.get(..2) {
                     None => return Ok(None),
                     Some(b"\r\n") => {
                         src.advance(2);
-                        self.part = Part::SizeLine;
-                    }
-                    Some(_) => {
-                        return Err(HttpError::Malformed("a chunk that is longer than its size".into()));
+                        self.chunk = ChunkState::SizeLine;
                     }
+                    Some(_) => return Err(HttpError::Malformed("a chunk is longer than its size")),
                 },
-                Part::Trailers => return self.trailers(src),
+                ChunkState::Trailers => return self.read_trailers(src),
             }
         }
     }
 
-    /// The end of the last chunk. Trailers are of no use here and are dropped, within the bound of a head.
-    fn trailers(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
+    /// Reads the end of the last chunk. Trailers are dropped, and bounded like a head.
+    fn read_trailers(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         let end = match src.get(..2) {
             None => return Ok(None),
             Some(b"\r\n") => 2,
-            Some(_) => match self.trailers.end(src)? {
+            Some(_) => match self.trailers.find_end(src)? {
                 None => return Ok(None),
                 Some(end) => end,
             },
         };
         src.advance(end);
-        Ok(Some(self.taken.split().freeze()))
+        Ok(Some(self.body.split().freeze()))
     }
 
-    fn take(&mut self, many: usize, src: &mut BytesMut) -> Result<(), HttpError> {
-        if self.taken.len() + many > self.most {
+    /// Moves the first `count` bytes of `src` to the body.
+    fn append(&mut self, count: usize, src: &mut BytesMut) -> Result<(), HttpError> {
+        if self.body.len() + count > self.max_length {
             return Err(HttpError::BodyTooLarge);
         }
-        self.taken.extend_from_slice(&src.split_to(many));
+        self.body.extend_from_slice(&src.split_to(count));
         Ok(())
     }
 }
 
-/// Takes a chunk's size line off `src`, once it is whole.
-fn size_line(src: &mut BytesMut) -> Result<Option<u64>, HttpError> {
-    let bad = || HttpError::Malformed("a chunk's size that is none".into());
-    // An empty line would pass for an empty chunk.
+/// Takes the line with a chunk's size off `src`, once it is complete.
+fn take_size_line(src: &mut BytesMut) -> Result<Option<u64>, HttpError> {
+    let invalid = || HttpError::Malformed("a chunk has no valid size");
+    // The parser would take an empty line for an empty chunk.
     if src.first().is_some_and(|first| !first.is_ascii_hexdigit()) {
-        return Err(bad());
+        return Err(invalid());
     }
-    match httparse::parse_chunk_size(src).map_err(|_| bad())? {
-        httparse::Status::Complete((end, _)) if end > MOST_SIZE_LINE => Err(bad()),
+    match httparse::parse_chunk_size(src).map_err(|_| invalid())? {
+        httparse::Status::Complete((end, _)) if end > MAX_SIZE_LINE => Err(invalid()),
         httparse::Status::Complete((end, size)) => {
             src.advance(end);
             Ok(Some(size))
         }
-        httparse::Status::Partial if src.len() > MOST_SIZE_LINE => Err(bad()),
+        httparse::Status::Partial if src.len() > MAX_SIZE_LINE => Err(invalid()),
         httparse::Status::Partial => Ok(None),
     }
 }
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -1,169 +1,183 @@
-//! Heads of HTTP/1.1 messages, read where they lie: nothing is copied.
+//! Heads of HTTP/1.1 messages (RFC 9112), parsed in place: nothing is copied.
 
 use crate::body::Framing;
-use crate::http1::{HttpError, MOST_HEAD, MOST_HEADERS};
+use crate::http1::{HttpError, MAX_HEAD_BYTES, MAX_HEADERS};
 
-/// Finds the end of a head as its bytes come in: only what is new is searched, so that a byte a second does
-/// not cost a search of the whole each time.
+/// The empty line that ends a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// Finds the end of a head as its bytes arrive. Only new bytes are searched, so that a peer that sends a byte at a time
+/// does not cost a search of the whole head for each.
 #[derive(Debug, Default)]
-pub struct HeadSearch(usize);
+pub struct HeadSearch {
+    /// Bytes that were searched without success.
+    searched: usize,
+}
 
 impl HeadSearch {
-    /// The length of the head at the start of `src`, its empty line included, once all of it is there.
+    /// The length of the head at the start of `src`, its empty line included, once it is complete.
     ///
     /// # Errors
-    /// It is longer than [`MOST_HEAD`].
-    pub fn end(&mut self, src: &[u8]) -> Result<Option<usize>, HttpError> {
-        let from = self.0.saturating_sub(3).min(src.len());
-        let found = src[from..].windows(4).position(|w| w == b"\r\n\r\n").map(|at| from + at + 4);
-        self.0 = if found.is_some() { 0 } else { src.len() };
-        if found.unwrap_or(src.len()) > MOST_HEAD { Err(HttpError::HeadTooLarge) } else { Ok(found) }
+    /// It is longer than [`MAX_HEAD_BYTES`].
+    pub fn find_end(&mut self, src: &[u8]) -> Result<Option<usize>, HttpError> {
+        let from = self.searched.saturating_sub(HEAD_END.len() - 1).min(src.len());
+        let position = src[from..].windows(HEAD_END.len()).position(|window| window == HEAD_END);
+        let end = position.map(|position| from + position + HEAD_END.len());
+        self.searched = if end.is_some() { 0 } else { src.len() };
+        if end.unwrap_or(src.len()) > MAX_HEAD_BYTES { Err(HttpError::HeadTooLarge) } else { Ok(end) }
     }
 }
 
-/// Room for the headers of one head.
-pub type Slots<'b> = [httparse::Header<'b>; MOST_HEADERS];
+/// Memory for the parsed headers of one head.
+pub type HeaderSlots<'b> = [httparse::Header<'b>; MAX_HEADERS];
 
-/// Empty room.
-pub const NO_HEADERS: Slots<'static> = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Header slots before parsing.
+pub const EMPTY_HEADERS: HeaderSlots<'static> = [httparse::EMPTY_HEADER; MAX_HEADERS];
 
-/// A header came twice where one is allowed, or is no text.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadField;
+/// A header that may occur once occurs twice, or is not visible ASCII.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("a header occurs twice or is not visible ASCII")]
+pub struct InvalidField;
 
 /// The headers of a head.
 #[derive(Debug, Clone, Copy)]
-pub struct Fields<'h, 'b>(&'h [httparse::Header<'b>]);
+pub struct HeaderFields<'h, 'b>(&'h [httparse::Header<'b>]);
 
-impl<'h, 'b> Fields<'h, 'b> {
-    /// Every header in its order.
-    pub fn all(&self) -> impl Iterator<Item = (&'b str, &'b [u8])> + use<'h, 'b> {
-        self.0.iter().map(|h| (h.name, h.value))
+impl<'h, 'b> HeaderFields<'h, 'b> {
+    /// The names and values of all headers, in order.
+    pub fn iter(&self) -> impl Iterator<Item = (&'b str, &'b [u8])> + use<'h, 'b> {
+        self.0.iter().map(|header| (header.name, header.value))
     }
 
-    /// A header that may come once; `None`: it did not come.
+    /// The value of a header that may occur once; `None` if it is absent.
     ///
     /// # Errors
-    /// It came twice, or is not visible ASCII with spaces.
-    pub fn one(&self, name: &str) -> Result<Option<&'b str>, BadField> {
-        let mut values = self.0.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
+    /// It occurs twice, or is not visible ASCII with spaces.
+    pub fn single(&self, name: &str) -> Result<Option<&'b str>, InvalidField> {
+        let mut values =
+            self.0.iter().filter(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value);
         let Some(value) = values.next() else { return Ok(None) };
-        if values.next().is_some() || !value.iter().all(|b| (0x20..0x7f).contains(b)) {
-            return Err(BadField);
+        if values.next().is_some() || !value.iter().all(|byte| (0x20..0x7f).contains(byte)) {
+            return Err(InvalidField);
         }
-        std::str::from_utf8(value).map(Some).map_err(|_| BadField)
+        std::str::from_utf8(value).map(Some).map_err(|_| InvalidField)
     }
 
-    /// Whether a header came at all.
-    pub fn has(&self, name: &str) -> bool {
-        self.0.iter().any(|h| h.name.eq_ignore_ascii_case(name))
+    /// Whether a header occurs.
+    pub fn contains(&self, name: &str) -> bool {
+        self.0.iter().any(|header| header.name.eq_ignore_ascii_case(name))
     }
 
-    /// Whether the sender closes the connection after this message.
-    pub fn closes(&self) -> bool {
-        let closing =
-            |value: &[u8]| value.split(|b| *b == b',').any(|t| t.trim_ascii().eq_ignore_ascii_case(b"close"));
-        self.0.iter().any(|h| h.name.eq_ignore_ascii_case("connection") && closing(h.value))
+    /// Whether the sender closes the connection after this message (`Connection: close`).
+    pub fn closes_connection(&self) -> bool {
+        let has_close = |value: &[u8]| {
+            value.split(|byte| *byte == b',').any(|token| token.trim_ascii().eq_ignore_ascii_case(b"close"))
+        };
+        self.0.iter().any(|header| header.name.eq_ignore_ascii_case("connection") && has_close(header.value))
     }
 
-    /// How the end of the body is told; `None`: the head does not say. Only one way is taken: a length beside chunks is
-    /// how requests are smuggled.
+    /// How the end of the body is determined (RFC 9112, 6.3); `None` if the head does not say.
     ///
     /// # Errors
-    /// It is told in two ways, in another encoding, by no plain number, or the length is past `most`.
-    pub fn framing(&self, most: usize) -> Result<Option<Framing>, HttpError> {
-        if !self.has("transfer-encoding") {
-            return Ok(self.length(most)?.map(Framing::Length));
+    /// Both a length and an encoding are given, which is how requests are smuggled; the encoding is not plain chunked; or
+    /// the length is not a number or above `max_length`.
+    pub fn framing(&self, max_length: usize) -> Result<Option<Framing>, HttpError> {
+        if !self.contains("transfer-encoding") {
+            return Ok(self.content_length(max_length)?.map(Framing::Length));
         }
-        let encoding = self.one("transfer-encoding").map_err(|_| HttpError::Length)?;
+        let encoding = self.single("transfer-encoding").map_err(|_| HttpError::InvalidLength)?;
         let chunked = encoding.is_some_and(|text| text.trim().eq_ignore_ascii_case("chunked"));
-        if chunked && !self.has("content-length") {
+        if chunked && !self.contains("content-length") {
             Ok(Some(Framing::Chunked))
         } else {
-            Err(HttpError::Length)
+            Err(HttpError::InvalidLength)
         }
     }
 
-    /// The stated length of the body; `None`: none is stated. Two lengths, or a length and an encoding, are how
-    /// requests are smuggled.
+    /// The `Content-Length`; `None` if it is absent.
     ///
     /// # Errors
-    /// A length in two ways, in an encoding, no plain number, or past `most`.
-    pub fn length(&self, most: usize) -> Result<Option<usize>, HttpError> {
-        if self.has("transfer-encoding") {
-            return Err(HttpError::Length);
+    /// It occurs twice or beside a transfer encoding, is not a number, or is above `max_length`.
+    pub fn content_length(&self, max_length: usize) -> Result<Option<usize>, HttpError> {
+        if self.contains("transfer-encoding") {
+            return Err(HttpError::InvalidLength);
         }
-        let Some(text) = self.one("content-length").map_err(|_| HttpError::Length)? else { return Ok(None) };
-        if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(HttpError::Length);
+        let Some(text) = self.single("content-length").map_err(|_| HttpError::InvalidLength)? else {
+            return Ok(None);
+        };
+        if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
+            return Err(HttpError::InvalidLength);
         }
         let length = text.parse().map_err(|_| HttpError::BodyTooLarge)?;
-        if length > most { Err(HttpError::BodyTooLarge) } else { Ok(Some(length)) }
+        if length > max_length { Err(HttpError::BodyTooLarge) } else { Ok(Some(length)) }
     }
 }
 
 /// The head of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestHead<'h, 'b> {
-    /// Its method.
+    /// The method.
     pub method: &'b str,
-    /// Its target.
+    /// The request target.
     pub target: &'b str,
-    /// Its headers.
-    pub fields: Fields<'h, 'b>,
+    /// The headers.
+    pub fields: HeaderFields<'h, 'b>,
 }
 
 /// The head of a response.
 #[derive(Debug, Clone, Copy)]
 pub struct ResponseHead<'h, 'b> {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its headers.
-    pub fields: Fields<'h, 'b>,
+    /// The headers.
+    pub fields: HeaderFields<'h, 'b>,
 }
 
-fn malformed(error: httparse::Error) -> HttpError {
-    if error == httparse::Error::TooManyHeaders {
-        HttpError::HeadTooLarge
-    } else {
-        HttpError::Malformed(error.to_string())
-    }
+fn parse_error(error: httparse::Error) -> HttpError {
+    if error == httparse::Error::TooManyHeaders { HttpError::HeadTooLarge } else { HttpError::Head(error) }
 }
 
-/// The end of a whole head is where the search found it, and its version is 1.1: a line feed alone, or an
-/// older version, is read in two ways by two readers.
-fn whole(bytes: &[u8], parsed: httparse::Status<usize>, version: Option<u8>) -> Result<(), HttpError> {
+/// Checks that the parser found the end of the head where [`HeadSearch`] did, and that the version is 1.1: two readers
+/// could disagree about lines that end in a line feed alone, and about older versions.
+fn check_head(
+    bytes: &[u8],
+    parsed: httparse::Status<usize>,
+    minor_version: Option<u8>,
+) -> Result<(), HttpError> {
     if parsed != httparse::Status::Complete(bytes.len()) {
-        return Err(HttpError::Malformed("it ends before its empty line".into()));
+        return Err(HttpError::Malformed("the head ends before its empty line"));
     }
-    if version != Some(1) {
-        return Err(HttpError::Malformed("its version is not 1.1".into()));
+    if minor_version != Some(1) {
+        return Err(HttpError::Malformed("the version is not 1.1"));
     }
     Ok(())
 }
 
-/// Reads the head of a request, all of which is in `bytes`.
+/// Parses the head of a request, which `bytes` holds completely.
 ///
 /// # Errors
-/// It is no head of HTTP/1.1, or has too many headers.
-pub fn request<'h, 'b>(bytes: &'b [u8], slots: &'h mut Slots<'b>) -> Result<RequestHead<'h, 'b>, HttpError> {
+/// It is not an HTTP/1.1 head, or has more than [`MAX_HEADERS`] headers.
+pub fn parse_request<'h, 'b>(
+    bytes: &'b [u8],
+    slots: &'h mut HeaderSlots<'b>,
+) -> Result<RequestHead<'h, 'b>, HttpError> {
     let mut parsed = httparse::Request::new(slots);
-    let status = parsed.parse(bytes).map_err(malformed)?;
-    whole(bytes, status, parsed.version)?;
+    let status = parsed.parse(bytes).map_err(parse_error)?;
+    check_head(bytes, status, parsed.version)?;
     let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
-    Ok(RequestHead { method, target, fields: Fields(parsed.headers) })
+    Ok(RequestHead { method, target, fields: HeaderFields(parsed.headers) })
 }
 
-/// Reads the head of a response, all of which is in `bytes`.
+/// Parses the head of a response, which `bytes` holds completely.
 ///
 /// # Errors
-/// It is no head of HTTP/1.1, or has too many headers.
-pub fn response<'h, 'b>(
+/// It is not an HTTP/1.1 head, or has more than [`MAX_HEADERS`] headers.
+pub fn parse_response<'h, 'b>(
     bytes: &'b [u8],
-    slots: &'h mut Slots<'b>,
+    slots: &'h mut HeaderSlots<'b>,
 ) -> Result<ResponseHead<'h, 'b>, HttpError> {
     let mut parsed = httparse::Response::new(slots);
-    let status = parsed.parse(bytes).map_err(malformed)?;
-    whole(bytes, status, parsed.version)?;
-    Ok(ResponseHead { status: parsed.code.unwrap_or(0), fields: Fields(parsed.headers) })
+    let status = parsed.parse(bytes).map_err(parse_error)?;
+    check_head(bytes, status, parsed.version)?;
+    Ok(ResponseHead { status: parsed.code.unwrap_or(0), fields: HeaderFields(parsed.headers) })
 }
--- a/crates/wire/src/http1.rs
+++ b/crates/wire/src/http1.rs
@@ -1,16 +1,16 @@
-//! HTTP/1.1 with bodies of a stated length, parsed by httparse.
+//! Codecs for HTTP/1.1 messages whose bodies have a `Content-Length`.
 
 use crate::body::{BodyReader, Framing};
-use crate::head::{self, Fields, HeadSearch, NO_HEADERS};
+use crate::head::{EMPTY_HEADERS, HeadSearch, HeaderFields, parse_request, parse_response};
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
 /// Most bytes of a head.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Most headers of a message.
-pub const MOST_HEADERS: usize = 64;
+pub const MAX_HEADERS: usize = 64;
 /// Most bytes of a body.
-pub const MOST_BODY: usize = 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// Why an HTTP connection ends.
 #[derive(Debug, thiserror::Error)]
@@ -19,21 +19,24 @@
     /// The connection failed.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    /// What came is no HTTP/1.1.
+    /// The head cannot be parsed.
     #[error("not HTTP/1.1: {0}")]
-    Malformed(String),
-    /// The head passes its bound.
-    #[error("a head of more than {MOST_HEAD} bytes or {MOST_HEADERS} headers")]
+    Head(httparse::Error),
+    /// What was received is not HTTP/1.1.
+    #[error("not HTTP/1.1: {0}")]
+    Malformed(&'static str),
+    /// The head is too long or has too many headers.
+    #[error("a head of more than {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
     HeadTooLarge,
-    /// The body passes its bound.
-    #[error("a body of more than {MOST_BODY} bytes")]
+    /// The body is longer than the reader accepts.
+    #[error("a body that is too long")]
     BodyTooLarge,
-    /// The body's length is given in a way that is not served, or in two ways.
-    #[error("a body whose length is told in no way that is served, or in two")]
-    Length,
+    /// The length of the body is given twice, as something other than a number, or by an unsupported encoding.
+    #[error("a body whose length is ambiguous or not supported")]
+    InvalidLength,
 }
 
-/// Headers in their order; names in lower case.
+/// Headers in order, with names in lower case.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<(String, String)>);
 
@@ -48,80 +51,80 @@
         self.0.push((name.to_string(), value.to_string()));
     }
 
-    fn parse(fields: Fields<'_, '_>) -> Result<Self, HttpError> {
+    fn parse(fields: HeaderFields<'_, '_>) -> Result<Self, HttpError> {
         let header = |(name, value): (&str, &[u8])| {
             let value =
-                std::str::from_utf8(value).map_err(|_| HttpError::Malformed("a header is no text".into()))?;
+                std::str::from_utf8(value).map_err(|_| HttpError::Malformed("a header is not UTF-8"))?;
             Ok((name.to_ascii_lowercase(), value.to_string()))
         };
-        fields.all().map(header).collect::<Result<_, _>>().map(Self)
+        fields.iter().map(header).collect::<Result<_, _>>().map(Self)
     }
 
-    fn write(&self, dst: &mut BytesMut, body: usize) {
+    fn write(&self, dst: &mut BytesMut, content_length: usize) {
         for (name, value) in self.0.iter().filter(|(n, _)| n != "content-length") {
-            // A value with a line break would begin a header of its own.
+            // A line break in a value would begin another header.
             let clean = |text: &str| text.replace(['\r', '\n'], " ");
             dst.put_slice(format!("{}: {}\r\n", clean(name), clean(value)).as_bytes());
         }
-        dst.put_slice(format!("content-length: {body}\r\n\r\n").as_bytes());
+        dst.put_slice(format!("content-length: {content_length}\r\n\r\n").as_bytes());
     }
 }
 
 /// A request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Its target.
+    /// The request target.
     pub path: String,
-    /// Its headers.
+    /// The headers.
     pub headers: Headers,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 /// A response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its headers.
+    /// The headers.
     pub headers: Headers,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A response with a text.
+    /// A response without headers.
     pub fn text(status: u16, body: impl Into<Bytes>) -> Self {
         Self { status, headers: Headers::default(), body: body.into() }
     }
 }
 
-/// A message being read: its head is parsed once, when all of it is there.
+/// Reads messages; the head of each is parsed once, when it is complete.
 #[derive(Debug)]
-struct Reader<M> {
+struct MessageReader<M> {
     head: Option<(M, BodyReader)>,
     search: HeadSearch,
 }
 
-impl<M> Default for Reader<M> {
+impl<M> Default for MessageReader<M> {
     fn default() -> Self {
         Self { head: None, search: HeadSearch::default() }
     }
 }
 
-impl<M> Reader<M> {
+impl<M> MessageReader<M> {
     fn read(
         &mut self,
         src: &mut BytesMut,
         parse: impl FnOnce(&[u8]) -> Result<(M, usize), HttpError>,
     ) -> Result<Option<(M, Bytes)>, HttpError> {
         if self.head.is_none() {
-            let Some(end) = self.search.end(src)? else { return Ok(None) };
+            let Some(end) = self.search.find_end(src)? else { return Ok(None) };
             let head = src.split_to(end);
             let (message, length) = parse(&head)?;
-            self.head = Some((message, BodyReader::new(Framing::Length(length), MOST_BODY)));
+            self.head = Some((message, BodyReader::new(Framing::Length(length), MAX_BODY_BYTES)));
         }
         let Some((_, body)) = &mut self.head else { return Ok(None) };
         let Some(body) = body.read(src)? else { return Ok(None) };
@@ -129,9 +132,9 @@
     }
 }
 
-/// The server's side: requests in, responses out.
+/// The server's side: decodes requests and encodes responses.
 #[derive(Debug, Default)]
-pub struct ServerCodec(Reader<Request>);
+pub struct ServerCodec(MessageReader<Request>);
 
 impl Decoder for ServerCodec {
     type Item = Request;
@@ -139,9 +142,9 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Request>, HttpError> {
         let read = self.0.read(src, |head| {
-            let mut slots = NO_HEADERS;
-            let parsed = head::request(head, &mut slots)?;
-            let length = parsed.fields.length(MOST_BODY)?.unwrap_or(0);
+            let mut slots = EMPTY_HEADERS;
+            let parsed = parse_request(head, &mut slots)?;
+            let length = parsed.fields.content_length(MAX_BODY_BYTES)?.unwrap_or(0);
             let (method, path) = (parsed.method.to_string(), parsed.target.to_string());
             let headers = Headers::parse(parsed.fields)?;
             Ok((Request { method, path, headers, body: Bytes::new() }, length))
@@ -161,9 +164,9 @@
     }
 }
 
-/// The client's side: requests out, responses in.
+/// The client's side: encodes requests and decodes responses.
 #[derive(Debug, Default)]
-pub struct ClientCodec(Reader<Response>);
+pub struct ClientCodec(MessageReader<Response>);
 
 impl Decoder for ClientCodec {
     type Item = Response;
@@ -171,9 +174,9 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Response>, HttpError> {
         let read = self.0.read(src, |head| {
-            let mut slots = NO_HEADERS;
-            let parsed = head::response(head, &mut slots)?;
-            let length = parsed.fields.length(MOST_BODY)?.unwrap_or(0);
+            let mut slots = EMPTY_HEADERS;
+            let parsed = parse_response(head, &mut slots)?;
+            let length = parsed.fields.content_length(MAX_BODY_BYTES)?.unwrap_or(0);
             let headers = Headers::parse(parsed.fields)?;
             Ok((Response { status: parsed.status, headers, body: Bytes::new() }, length))
         })?;
--- a/crates/wire/tests/body.rs
+++ b/crates/wire/tests/body.rs
@@ -1,25 +1,25 @@
-//! Bodies in each framing: the same however their bytes are split, and never past a bound.
+//! Bodies in each framing: read the same however their bytes are split, and never beyond the bound.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use weirusher_wire::body::{BodyReader, Framing};
-use weirusher_wire::head::{NO_HEADERS, request};
+use weirusher_wire::head::{EMPTY_HEADERS, parse_request};
 use weirusher_wire::http1::HttpError;
 
-const MOST: usize = 1000;
+const MAX: usize = 1000;
 
-/// What a reader gives for bytes that come in pieces, and what it leaves of them.
+/// What a reader returns for bytes that arrive in pieces, and what it leaves of them.
 fn read(framing: Framing, bytes: &[u8], piece: usize) -> Result<(Option<Bytes>, BytesMut), HttpError> {
-    let (mut reader, mut src) = (BodyReader::new(framing, MOST), BytesMut::new());
+    let (mut reader, mut src) = (BodyReader::new(framing, MAX), BytesMut::new());
     let mut body = reader.read(&mut src)?;
     for part in bytes.chunks(piece.max(1)) {
         src.extend_from_slice(part);
         if body.is_none() {
             body = reader.read(&mut src)?;
         }
-        assert!(reader.held() <= MOST);
+        assert!(reader.buffered() <= MAX);
     }
-    Ok((body.or_else(|| reader.ended()), src))
+    Ok((body.or_else(|| reader.finish()), src))
 }
 
 fn chunked(text: &str) -> Result<Option<Bytes>, HttpError> {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn chunks_are_put_together_and_their_trimmings_dropped() {
+fn chunks_are_joined_and_extensions_and_trailers_dropped() {
     for (text, body) in [
         ("0\r\n\r\n", Some("")),
         ("5\r\nessay\r\n0\r\n\r\n", Some("essay")),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn chunks_that_cannot_be_read_and_bodies_past_their_bound_are_refused() {
+fn malformed_chunks_and_bodies_beyond_the_bound_are_errors() {
     for bad in ["\r\n\r\n", "-1\r\n", "x\r\n", " 5\r\nessay", "5\nessay\r\n", "5\r\nessays\r\n0\r\n\r\n"] {
         assert!(matches!(chunked(bad), Err(HttpError::Malformed(_))), "{bad:?}");
     }
@@ -54,18 +54,22 @@
     for large in ["3e9\r\n", "ffffffffffffffff\r\n"] {
         assert!(matches!(chunked(large), Err(HttpError::BodyTooLarge)), "{large:?}");
     }
-    let two = format!("3e8\r\n{}\r\n1\r\n", "x".repeat(MOST));
+    let two = format!("3e8\r\n{}\r\n1\r\n", "x".repeat(MAX));
     assert!(matches!(chunked(&two), Err(HttpError::BodyTooLarge)), "the sum counts");
-    let endless = vec![b'x'; MOST + 1];
+    let endless = vec![b'x'; MAX + 1];
     assert!(matches!(read(Framing::UntilClose, &endless, 64), Err(HttpError::BodyTooLarge)));
 }
 
 #[test]
-fn a_head_tells_one_framing_or_none() {
+fn a_head_states_one_framing_or_none() {
     let framing = |fields: &str| {
         let head = format!("POST / HTTP/1.1\r\nHost: x\r\n{fields}\r\n");
-        let mut slots = NO_HEADERS;
-        request(head.as_bytes(), &mut slots).unwrap().fields.framing(MOST).map_err(|error| error.to_string())
+        let mut slots = EMPTY_HEADERS;
+        parse_request(head.as_bytes(), &mut slots)
+            .unwrap()
+            .fields
+            .framing(MAX)
+            .map_err(|error| error.to_string())
     };
     assert_eq!(framing(""), Ok(None));
     assert_eq!(framing("Content-Length: 7\r\n"), Ok(Some(Framing::Length(7))));
--- a/crates/wire/tests/http1.rs
+++ b/crates/wire/tests/http1.rs
@@ -1,20 +1,25 @@
-//! Messages with bodies of a stated length: read as they were written, never past a bound.
+//! Messages with bodies of a stated length: decoded as they were encoded, never beyond the bound.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
 use tokio_util::codec::{Decoder, Encoder};
-use weirusher_wire::http1::{ClientCodec, Headers, HttpError, MOST_HEAD, MOST_HEADERS, Request, ServerCodec};
+use weirusher_wire::http1::{
+    ClientCodec, Headers, HttpError, MAX_HEAD_BYTES, MAX_HEADERS, Request, ServerCodec,
+};
 
 fn decode(text: &str) -> Result<Option<Request>, HttpError> {
     ServerCodec::default().decode(&mut BytesMut::from(text))
 }
 
 #[test]
-fn bodies_of_two_lengths_or_none_that_is_a_number_are_refused() {
+fn ambiguous_and_invalid_lengths_are_errors() {
     for length in
         ["content-length: 3\r\ncontent-length: 4", "content-length: +3", "transfer-encoding: chunked"]
     {
-        assert!(matches!(decode(&format!("GET / HTTP/1.1\r\n{length}\r\n\r\n")), Err(HttpError::Length)));
+        assert!(matches!(
+            decode(&format!("GET / HTTP/1.1\r\n{length}\r\n\r\n")),
+            Err(HttpError::InvalidLength)
+        ));
     }
     assert!(matches!(
         decode("GET / HTTP/1.1\r\ncontent-length: 99999999\r\n\r\n"),
@@ -24,9 +29,9 @@
 
 #[test]
 fn heads_are_bounded_in_bytes_and_headers() {
-    let long = format!("GET / HTTP/1.1\r\nx: {}", "a".repeat(MOST_HEAD));
+    let long = format!("GET / HTTP/1.1\r\nx: {}", "a".repeat(MAX_HEAD_BYTES));
     assert!(matches!(decode(&long), Err(HttpError::HeadTooLarge)));
-    let many = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(MOST_HEADERS + 1));
+    let many = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(MAX_HEADERS + 1));
     assert!(matches!(decode(&many), Err(HttpError::HeadTooLarge)));
 }
 
--- a/fuzz/fuzz_targets/platform.rs
+++ b/fuzz/fuzz_targets/platform.rs
@@ -6,7 +6,7 @@
 use weirusher_platform::config::Config;
 use weirusher_platform::list::ListState;
 use weirusher_platform::response::ResponseReader;
-use weirusher_platform::worker;
+use weirusher_platform::backend;
 
 fn read(bytes: &[u8], piece: usize) -> Vec<Option<u16>> {
     let (mut reader, mut held, mut all) = (ResponseReader::new(1024), BytesMut::new(), Vec::new());
@@ -30,9 +30,9 @@
     if !bytes.is_empty() {
         assert_eq!(read(bytes, bytes.len()), read(bytes, 1 + bytes.len() / 3));
     }
-    let _ = ListState::default().take(bytes);
+    let _ = ListState::default().apply(bytes);
     let _ = Config::parse(bytes);
     if let Ok(text) = std::str::from_utf8(bytes) {
-        let _ = worker::load(text);
+        let _ = backend::parse_load_report(text);
     }
 });
