--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -1,15 +1,15 @@
-//! Connections that are opened.
+//! Opens connections.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Connects, without the system's delay of small writes.
+/// Connects to an address, with `TCP_NODELAY`.
 ///
 /// # Errors
-/// The connection does not come up.
+/// The connection cannot be established.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    let _ = stream.set_nodelay(true); // Without it what is written is merely later.
+    let _ = stream.set_nodelay(true); // Without it small writes are merely delayed.
     Ok(stream)
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,16 +1,16 @@
-//! TCP sockets under all that a system may say of them: listeners that come up late, connections that cannot be accepted
-//! for a moment, transfers that are shorter than was asked for, data that waited to be read.
+//! TCP sockets that tolerate what the operating system may do: addresses that are still in use, accepts that fail for a
+//! while, reads and writes that transfer less than requested, calls that are interrupted.
 #![deny(unsafe_op_in_unsafe_fn)]
 #![warn(missing_docs)]
 
 mod connect;
-mod info;
 mod listen;
 mod stream;
+mod tcp_info;
 mod transfer;
 
 pub use connect::connect;
-pub use info::since_last_received;
 pub use listen::{Listener, bind};
 pub use stream::Stream;
-pub use transfer::{is_momentary, read, write, write_all};
+pub use tcp_info::since_last_received;
+pub use transfer::{read, write, write_all};
--- a/crates/net/src/listen.rs
+++ b/crates/net/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners.
+//! Listening sockets that keep working when a call fails.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -6,98 +6,98 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// The longest that an address is tried for: the process before may still have it, and the system may be short of
-/// something for a moment.
-const BIND: Duration = Duration::from_secs(5);
-/// Pause between two tries.
+/// How long binding an address is retried: the previous process may still use it, and the system may lack a resource for a
+/// moment.
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two attempts to bind.
 const BIND_PAUSE: Duration = Duration::from_millis(50);
-/// Connections in a row that may go while they wait before each costs a pause.
-const MOST_ABORTED: u32 = 16;
-/// That pause.
+/// Aborted connections in a row after which each costs a pause.
+const MAX_ABORTED_WITHOUT_PAUSE: u32 = 16;
+/// The pause after an aborted connection.
 const ABORTED_PAUSE: Duration = Duration::from_millis(1);
-/// Pause after a connection that could not be accepted for want of something.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after an accept that failed because the system lacks a resource.
+const ACCEPT_FAILURE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens on an address, and goes on trying for some seconds.
+/// Listens on an address. Failures are retried for some seconds.
 ///
 /// # Errors
-/// It cannot, and did not come to in time.
+/// The last failure, if none of the attempts succeeded.
 pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
-    let end = Instant::now() + BIND;
-    let mut told = false;
+    let deadline = Instant::now() + BIND_TIMEOUT;
+    let mut is_logged = false;
     loop {
         let error = match TcpListener::bind(address).await {
             Ok(listener) => return Ok(Listener { listener, failed: 0, aborted: 0 }),
-            Err(error) if Instant::now() >= end => return Err(error),
+            Err(error) if Instant::now() >= deadline => return Err(error),
             Err(error) => error,
         };
-        if !std::mem::replace(&mut told, true) {
-            tracing::warn!(%error, %address, "cannot listen yet, and goes on trying");
+        if !std::mem::replace(&mut is_logged, true) {
+            tracing::warn!(%error, %address, "cannot listen yet, will retry");
         }
         tokio::time::sleep(BIND_PAUSE).await;
     }
 }
 
-/// Whether a call failed for a connection that went while it waited, and not for want of something.
-fn is_about_one_connection(error: &io::Error) -> bool {
+/// Whether an accept failed because of one connection that was aborted, and not because the system lacks a resource.
+fn is_aborted_connection(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted)
 }
 
-/// A listener that no failed call ends.
+/// A listening socket that no failed call ends.
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
-    /// Calls that failed since the last connection.
+    /// Accepts that failed since the last connection.
     failed: u64,
-    /// Connections in a row that went while they waited.
+    /// Aborted connections in a row.
     aborted: u32,
 }
 
 impl Listener {
-    /// Where it listens.
+    /// The address on which it listens.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// The system does not provide it.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The next connection. The log tells when none can be accepted, and when they are again. May be dropped at any time.
+    /// Accepts the next connection. Logs when none can be accepted and when they can again. Cancel safe.
     pub async fn accept(&mut self) -> TcpStream {
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => {
-                    self.note_accepted();
-                    let _ = stream.set_nodelay(true); // Without it what is written is merely later.
+                    self.count_accepted();
+                    let _ = stream.set_nodelay(true); // Without it small writes are merely delayed.
                     return stream;
                 }
-                Err(error) if is_about_one_connection(&error) => self.after_aborted().await,
+                Err(error) if is_aborted_connection(&error) => self.pause_after_aborted().await,
                 Err(error) => {
-                    self.note_failed(&error);
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    self.count_failed(&error);
+                    tokio::time::sleep(ACCEPT_FAILURE_PAUSE).await;
                 }
             }
         }
     }
 
-    /// One connection that went while it waited is no reason to let others wait; many in a row are none to be busy.
-    async fn after_aborted(&mut self) {
+    /// One aborted connection must not delay others; many in a row must not keep the process busy.
+    async fn pause_after_aborted(&mut self) {
         self.aborted += 1;
-        if self.aborted <= MOST_ABORTED {
+        if self.aborted <= MAX_ABORTED_WITHOUT_PAUSE {
             tokio::task::yield_now().await;
         } else {
             tokio::time::sleep(ABORTED_PAUSE).await;
         }
     }
 
-    fn note_failed(&mut self, error: &io::Error) {
+    fn count_failed(&mut self, error: &io::Error) {
         if self.failed == 0 {
             tracing::warn!(%error, "no connection can be accepted");
         }
         self.failed += 1;
     }
 
-    fn note_accepted(&mut self) {
+    fn count_accepted(&mut self) {
         self.aborted = 0;
         if self.failed > 0 {
             tracing::info!(failed = self.failed, "connections are accepted again");
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection for whatever works on the runtime's own traits.
+//! A connection that implements the runtime's I/O traits.
 
 use crate::connect::connect;
 use crate::transfer::{poll_read, poll_write};
@@ -9,15 +9,15 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection whose transfers may be shorter than asked for, for any reason.
+/// A connection whose reads and writes may transfer less than requested, for any reason.
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
 impl Stream {
-    /// [`connect()`].
+    /// Connects to an address, as [`connect()`].
     ///
     /// # Errors
-    /// The connection does not come up.
+    /// The connection cannot be established.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         connect(address).await.map(Self)
     }
--- a/crates/net/src/transfer.rs
+++ b/crates/net/src/transfer.rs
@@ -1,7 +1,7 @@
-//! Reads and writes that count on nothing but what the system says of this very call.
+//! Reads and writes that rely only on the result of the call itself.
 //!
-//! The runtime's own take a transfer that is shorter than was asked for as the end of what there is or fits, and wait
-//! for the system's next notice. Where a transfer is short for another reason no such notice comes.
+//! The runtime's own take a short transfer as a sign that the socket is drained or full, and wait for the system's next
+//! notification. If the transfer was short for another reason, there is no such notification.
 
 use bytes::{Buf, BytesMut};
 use std::io::{self, ErrorKind, IoSlice};
@@ -9,53 +9,53 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Pieces that are written at once: a head and a body.
-const PIECES: usize = 2;
+/// Slices of one vectored write: a head and a body.
+const MAX_SLICES: usize = 2;
 
-/// Whether a call is to be made again: it did nothing, and nothing is wrong.
-pub fn is_momentary(error: &io::Error) -> bool {
+/// Whether a failed call is to be repeated: it would have blocked or was interrupted.
+fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-/// Reads what has come; `Ok(0)`: the other end has finished.
+/// Reads the bytes that were received, and waits for some if there are none. `Ok(0)`: the peer has closed its side.
 ///
 /// # Errors
-/// The connection broke.
+/// The connection failed.
 pub async fn read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
         match stream.try_read_buf(buffer) {
-            Err(error) if is_momentary(&error) => {}
+            Err(error) if is_transient(&error) => {}
             read => return read,
         }
     }
 }
 
-/// Writes some of it, and takes that off.
+/// Writes some of the bytes and advances past them.
 ///
 /// # Errors
-/// The connection broke.
+/// The connection failed.
 pub async fn write(stream: &TcpStream, bytes: &mut impl Buf) -> io::Result<()> {
     loop {
         stream.writable().await?;
-        let mut pieces = [IoSlice::new(&[]); PIECES];
-        let many = bytes.chunks_vectored(&mut pieces);
-        match stream.try_write_vectored(&pieces[..many]) {
+        let mut slices = [IoSlice::new(&[]); MAX_SLICES];
+        let count = bytes.chunks_vectored(&mut slices);
+        match stream.try_write_vectored(&slices[..count]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
             Ok(written) => {
                 bytes.advance(written);
                 return Ok(());
             }
-            Err(error) if is_momentary(&error) => {}
+            Err(error) if is_transient(&error) => {}
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Writes all of it.
+/// Writes all bytes.
 ///
 /// # Errors
-/// The connection broke.
+/// The connection failed.
 pub async fn write_all(stream: &TcpStream, mut bytes: impl Buf) -> io::Result<()> {
     while bytes.has_remaining() {
         write(stream, &mut bytes).await?;
@@ -63,10 +63,10 @@
     Ok(())
 }
 
-/// [`read()`], for an implementation of the runtime's `AsyncRead`.
+/// [`read()`] in the form of the runtime's `AsyncRead`.
 ///
 /// # Errors
-/// The connection broke.
+/// The connection failed.
 pub(crate) fn poll_read(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -75,29 +75,29 @@
     loop {
         ready!(stream.poll_read_ready(cx))?;
         match stream.try_read(buffer.initialize_unfilled()) {
-            Ok(many) => {
-                buffer.advance(many);
+            Ok(count) => {
+                buffer.advance(count);
                 return Poll::Ready(Ok(()));
             }
-            Err(error) if is_momentary(&error) => {}
+            Err(error) if is_transient(&error) => {}
             Err(error) => return Poll::Ready(Err(error)),
         }
     }
 }
 
-/// [`write()`], for an implementation of the runtime's `AsyncWrite`.
+/// [`write()`] in the form of the runtime's `AsyncWrite`.
 ///
 /// # Errors
-/// The connection broke.
+/// The connection failed.
 pub(crate) fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
-    pieces: &[IoSlice<'_>],
+    slices: &[IoSlice<'_>],
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
-        match stream.try_write_vectored(pieces) {
-            Err(error) if is_momentary(&error) => {}
+        match stream.try_write_vectored(slices) {
+            Err(error) if is_transient(&error) => {}
             written => return Poll::Ready(written),
         }
     }
--- a/crates/net/tests/since.rs
+++ b/crates/net/tests/tcp_info.rs
@@ -1,4 +1,4 @@
-//! A socket whose data waits.
+//! The time since a socket received data.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -6,20 +6,20 @@
 use weirusher_net::since_last_received;
 
 #[test]
-fn data_that_waits_to_be_read_ages() {
+fn the_time_since_data_was_received_includes_the_wait_for_accept() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     client.write_all(b"x").unwrap();
     let wait = Duration::from_millis(120);
     std::thread::sleep(wait);
-    // It was not even accepted yet.
+    // The connection was not accepted before.
     let (server, _) = listener.accept().unwrap();
     let first = since_last_received(&server).unwrap();
-    // The system counts in ticks of some milliseconds.
+    // The system counts in ticks of a few milliseconds.
     assert!(first >= wait - Duration::from_millis(20), "{first:?}");
     client.write_all(b"y").unwrap();
     let second = since_last_received(&server).unwrap();
     assert!(second < first, "{second:?} after {first:?}");
     let file = std::fs::File::open("/dev/null").unwrap();
-    assert_eq!(since_last_received(&file), None, "no socket");
+    assert_eq!(since_last_received(&file), None, "not a socket");
 }
