--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -95,7 +95,7 @@
             status: head.status,
             body: Bytes::new(),
             not_executed: fields.single("X-Never-Ran") == Ok(Some("1")),
-            load_report: fields.single("Endpoint-LoadReport-Metrics").ok().flatten().map(str::to_string),
+            load_report: fields.single("Endpoint-Load-Metrics").ok().flatten().map(str::to_string),
             closes_connection: fields.closes_connection() || framing == Framing::UntilClose,
         };
         self.head = Some((response, BodyReader::new(framing, self.max_body)));
--- a/crates/platform/tests/parsers.rs
+++ b/crates/platform/tests/parsers.rs
@@ -207,6 +207,13 @@
     assert!(call.starts_with(b"POST /v2/numbers/abc?delta=-2.500000&life_ms=60000 HTTP/1.1\r\n"));
 }
 
+#[test]
+fn a_load_report_is_read_from_its_header() {
+    let text = "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT util=0.5\r\nContent-Length: 0\r\n\r\n";
+    let response = responses(text.as_bytes(), 7).unwrap().remove(0);
+    assert_eq!(response.load_report.as_deref(), Some("TEXT util=0.5"));
+}
+
 #[test]
 fn a_malformed_load_report_counts_as_empty() {
     let load = backend::parse_load_report("TEXT inflight=7, queue=2, util=0.61");
