--- a/crates/core/src/guard/attempt.rs
+++ b/crates/core/src/guard/attempt.rs
@@ -1,4 +1,4 @@
-//! What the guard is told of the attempts of a request.
+//! The attempts of a request, as the guard checks them.
 
 use weirusher::Time;
 
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -345,7 +345,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let checked = self.guard.check_attempt(now, request.class, &request.prior_attempts());
         let attempt = request.next_attempt();
-        // A shutdown may have brought the deadline forward since the decisions were told of it.
+        // A shutdown may have brought the deadline forward, which the decisions do not know.
         let timeout = timeout.min(request.deadline - now);
         let deadline = now + timeout;
         request.add_attempt(Attempt {
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use weirusher::{RequestId, Status};
-use weirusher_core::SendError;
+use weirusher_core::{SendError, SendLimits};
 use weirusher_platform::backend::{ForwardedRequest, MAX_RESPONSE_BYTES, attempt_status, parse_load_report};
 use weirusher_platform::response::{Response, ResponseReader};
 
@@ -77,17 +77,7 @@
         };
         let stream = connection.stream().ok_or(Status::NotSent)?;
         let mut buffer = BytesMut::with_capacity(BUFFER_CAPACITY);
-        self.forwarded.write_head(&mut buffer, limits.timeout);
-        self.write_started.set(true);
-        let request = Buf::chain(&buffer[..], self.forwarded.body());
-        let written = weirusher_net::write_all(stream, request);
-        match tokio::time::timeout(timeout_duration(limits.write_timeout), written).await {
-            Ok(Ok(())) => {}
-            Ok(Err(_)) => return Err(Status::ConnectFailed),
-            // Broken off before its last byte, it is not executed.
-            Err(_) => return Err(Status::NotSent),
-        }
-        buffer.clear();
+        self.write_request(stream, &mut buffer, &limits).await?;
         let mut permit = node.response_bodies.permit();
         // A response that is broken off, malformed or too long: the attempt may have been executed.
         let Ok(Some(response)) = read_response(stream, &mut buffer, &mut permit).await else {
@@ -102,6 +92,28 @@
             response: Some(CompleteResponse { body: response.body, _permit: permit }),
         })
     }
+
+    /// Writes the request. The buffer is empty before and after.
+    ///
+    /// # Errors
+    /// The connection failed, or the last byte was not written in time: the request is incomplete and not executed.
+    async fn write_request(
+        &self,
+        stream: &TcpStream,
+        buffer: &mut BytesMut,
+        limits: &SendLimits,
+    ) -> Result<(), Status> {
+        self.forwarded.write_head(buffer, limits.timeout);
+        self.write_started.set(true);
+        let written = weirusher_net::write_all(stream, Buf::chain(&buffer[..], self.forwarded.body()));
+        match tokio::time::timeout(timeout_duration(limits.write_timeout), written).await {
+            Ok(Ok(())) => {}
+            Ok(Err(_)) => return Err(Status::ConnectFailed),
+            Err(_) => return Err(Status::NotSent),
+        }
+        buffer.clear();
+        Ok(())
+    }
 }
 
 /// Reads a complete response; `None`: the connection was closed before its end. A reset is an error and ends no response.
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -80,7 +80,7 @@
     pub ttl: f64,
 }
 
-/// The part of the state that is borrowed as a whole.
+/// The mutable state, borrowed as one.
 pub struct NodeState {
     pub proxy: ProxyCore,
     pub pending: HashMap<RequestId, PendingRequest>,
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -77,10 +77,7 @@
     }
     // The customer is a number: its digits mean the same in either case.
     let customer = customer_in_target(head.target).ok_or(RequestError::Target)?.to_ascii_lowercase();
-    let id = required(fields, "X-Trace-Id")?;
-    if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(RequestError::Field("X-Trace-Id"));
-    }
+    let id = read_id(fields)?;
     let class = catalog.class(required(fields, "X-Qos")?).ok_or(RequestError::Field("X-Qos"))?;
     let plan = catalog.plan(required(fields, "Plan")?).ok_or(RequestError::Field("Plan"))?;
     let method_allowed =
@@ -92,14 +89,7 @@
         parse_time_budget(required(fields, "X-Expires-In")?).ok_or(RequestError::Field("X-Expires-In"))?;
     let quota = parse_quota_info(catalog, required(fields, "Quota-Info")?)
         .ok_or(RequestError::Field("Quota-Info"))?;
-    let is_retry = match fields.single("X-Second-Try") {
-        Ok(None | Some("0")) => false,
-        Ok(Some("1")) => true,
-        _ => return Err(RequestError::Field("X-Second-Try")),
-    };
-    let expects_continue = fields
-        .single("Expect")
-        .is_ok_and(|value| value.is_some_and(|value| value.eq_ignore_ascii_case("100-continue")));
+    let is_retry = read_retry_mark(fields)?;
     Ok(ClientMessage::Request(ClientRequest {
         id: id.into(),
         customer: customer.into(),
@@ -111,11 +101,31 @@
         time_budget,
         is_retry,
         framing,
-        expects_continue,
+        expects_continue: expects_continue(fields),
         closes_connection: fields.closes_connection(),
     }))
 }
 
+fn read_id<'b>(fields: &HeaderFields<'_, 'b>) -> Result<&'b str, RequestError> {
+    let id = required(fields, "X-Trace-Id")?;
+    let is_valid =
+        !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(|byte| byte.is_ascii_graphic());
+    if is_valid { Ok(id) } else { Err(RequestError::Field("X-Trace-Id")) }
+}
+
+fn read_retry_mark(fields: &HeaderFields<'_, '_>) -> Result<bool, RequestError> {
+    match fields.single("X-Second-Try") {
+        Ok(None | Some("0")) => Ok(false),
+        Ok(Some("1")) => Ok(true),
+        _ => Err(RequestError::Field("X-Second-Try")),
+    }
+}
+
+fn expects_continue(fields: &HeaderFields<'_, '_>) -> bool {
+    let value = fields.single("Expect").ok().flatten();
+    value.is_some_and(|value| value.eq_ignore_ascii_case("100-continue"))
+}
+
 fn required<'b>(fields: &HeaderFields<'_, 'b>, name: &'static str) -> Result<&'b str, RequestError> {
     fields.single(name).ok().flatten().ok_or(RequestError::Field(name))
 }
--- a/crates/platform/src/client/header_values.rs
+++ b/crates/platform/src/client/header_values.rs
@@ -38,7 +38,7 @@
     if is_plain && has_digits { text.parse().ok() } else { None }
 }
 
-/// A whole number: digits only.
+/// An integer without sign: digits only.
 fn parse_integer(text: &str) -> Option<u32> {
     if text.bytes().all(|byte| byte.is_ascii_digit()) { text.parse().ok() } else { None }
 }
