--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,45 +1,53 @@
-//! What a running gateway does between the sockets and the decisions, without I/O.
+//! The state machines between a gateway's sockets and its decisions, without I/O.
 //!
-//! [`Engine`] turns Checks, reports, counter answers and lists into the decision module's events and its
-//! actions into answers, tickets and calls; it keeps the ledger of requests and attempts. [`Ticket`]s bind a
-//! request to the backend chosen for it. [`Wheel`] holds the timers, [`Pipeline`] the counter calls on one
-//! connection, [`Backoff`] the pauses before a new one. Nothing here reads a clock: time comes in.
+//! [`Engine`] serves external authorisation: checks and reports go in, check outcomes and counter calls come out.
+//! [`ProxyCore`] does the same for requests that the gateway forwards itself. Both keep a table of their requests and drive the
+//! decisions ([`weirusher::Gateway`]). A [`Ticket`] binds a request to the backend chosen for it.
+//! [`TimerWheel`] holds timers, [`Pipeline`] the counter calls of one connection, [`Backoff`] the delays before a new one.
+//! Nothing here reads a clock: each call states the time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod calls;
-mod clock;
+mod backoff;
+mod clock_anchor;
+mod counter_connections;
 mod driver;
 mod engine;
 mod guard;
-mod overshoot;
+mod overshoot_bound;
+mod pipeline;
 mod pool;
 mod proxy;
+mod response_order;
 mod shutdown;
 mod slots;
 mod stall;
-mod starts;
+mod start_times;
 mod ticket;
+mod ticket_validator;
+mod timer_wheel;
 mod watch;
-mod wheel;
 
-pub use calls::{Backoff, CallEnd, CallOrder, GIVE_UP_CONNECTION, Lines, Pipeline, Route, Unasked};
-pub use clock::Anchor;
+pub use backoff::Backoff;
+pub use clock_anchor::ClockAnchor;
+pub use counter_connections::{CounterConnections, Route};
 pub use driver::Command;
 pub use engine::{
-    Allowed, Answer, Caller, Check, Delivery, Ending, Engine, EngineError, Failure, Output, Report, Tally,
-    Verdict,
+    AttemptId, CallerId, Check, CheckFailure, CheckOutcome, Completion, DeliveryId, Engine, EngineError,
+    EngineMetrics, Grant, InstanceRange, Output, Report, ReportOutcome,
 };
 pub use guard::{
     Execution, Guard, PriorAttempt, SendConditions, SendError, SendLimits, Violation, Violations,
 };
-pub use overshoot::Overshoot;
+pub use overshoot_bound::OvershootBound;
+pub use pipeline::{EndedCall, Pipeline, UNRESPONSIVE_TIMEOUTS, UnexpectedResponse};
 pub use pool::{ConnectionPool, Reservation};
 pub use proxy::{
     IncomingRequest, Outcome, ProxyCore, ProxyMetrics, ProxyOutput, ReasonCounts, RequestStatus,
 };
 pub use shutdown::{Shutdown, longest_deadline};
 pub use slots::{ConnectionSlots, REQUEST_READ_TIMEOUT, SlotCounts, SlotId};
-pub use ticket::{Gate, Key, Keyring, Ticket, TicketError, TurnedAway};
+pub use ticket::{Key, Keyring, Ticket, TicketError};
+pub use ticket_validator::{TicketRejection, TicketValidator};
+pub use timer_wheel::{TimerKey, TimerWheel};
 pub use watch::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
-pub use wheel::{TimerKey, Wheel};
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -14,7 +14,7 @@
 pub use output::{Outcome, ProxyOutput};
 pub use request::{IncomingRequest, RequestStatus};
 
-use crate::driver::{Command, DecisionDriver, Token};
+use crate::driver::{Command, DecisionDriver, DecisionTimer};
 use crate::engine::EngineError;
 use crate::guard::{Execution, Guard, SendError, SendLimits, Violations};
 use crate::shutdown::Shutdown;
@@ -35,8 +35,8 @@
     Deadline(RequestId),
 }
 
-impl From<Token> for Timer {
-    fn from(Token(token): Token) -> Self {
+impl From<DecisionTimer> for Timer {
+    fn from(DecisionTimer(token): DecisionTimer) -> Self {
         Self::Decision(token)
     }
 }
@@ -122,7 +122,7 @@
 
     /// When [`ProxyCore::handle_timeout`] has to be called next.
     pub fn next_timeout(&self) -> Option<Time> {
-        self.driver.wheel.next()
+        self.driver.timers.next_expiry()
     }
 
     /// Moves the pending outputs to the end of `into`, in order.
@@ -145,7 +145,7 @@
                 return RequestStatus::Accepted;
             }
         };
-        let timer = self.driver.wheel.set(deadline, Timer::Deadline(request.id.clone()));
+        let timer = self.driver.timers.set(deadline, Timer::Deadline(request.id.clone()));
         self.requests.insert(request.id.clone(), OpenRequest::new(request.class, deadline, timer));
         let request = Request {
             id: request.id,
@@ -185,7 +185,7 @@
         load: LoadReport,
     ) -> bool {
         let Some(ended) = self.requests.end_attempt(now, id, attempt, status) else { return false };
-        self.driver.wheel.cancel(ended.timer);
+        self.driver.timers.cancel(ended.timer);
         self.metrics.count_attempt_end(status);
         let serves = status == Status::Ok && self.complete(id);
         self.metrics.served += u64::from(serves);
@@ -213,25 +213,25 @@
         total: f64,
         elapsed: f64,
     ) {
-        for event in self.driver.counted(call, status, total, elapsed) {
+        for event in self.driver.counter_response(call, status, total, elapsed) {
             self.decide(now, event);
         }
     }
 
     /// A new endpoint list, or changes to it, arrived.
     pub fn handle_endpoint_list(&mut self, now: Time, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
-        let event = self.driver.list(now, kind, endpoints);
+        let event = self.driver.endpoint_list(now, kind, endpoints);
         self.decide(now, event);
     }
 
     /// Discovery confirmed that the endpoint list is unchanged.
     pub fn handle_endpoint_list_confirmed(&mut self, now: Time) {
-        self.driver.list_confirmed(now);
+        self.driver.endpoint_list_confirmed(now);
     }
 
     /// Runs the timers that are due.
     pub fn handle_timeout(&mut self, now: Time) {
-        for timer in self.driver.wheel.expire(now) {
+        for timer in self.driver.timers.expire(now) {
             match timer {
                 Timer::Decision(token) => self.decide(now, Event::Timer { token }),
                 Timer::Attempt(id, attempt) => {
@@ -249,10 +249,10 @@
     pub fn begin_shutdown(&mut self, now: Time) -> Shutdown {
         let shutdown = self.guard.begin_shutdown(now);
         let latest = shutdown.respond_by();
-        let wheel = &mut self.driver.wheel;
+        let timers = &mut self.driver.timers;
         self.requests.cap_deadlines(latest, |timer, id| {
-            wheel.cancel(timer);
-            wheel.set(latest, Timer::Deadline(id.clone()))
+            timers.cancel(timer);
+            timers.set(latest, Timer::Deadline(id.clone()))
         });
         shutdown
     }
@@ -301,7 +301,7 @@
     /// A request stops being pending; `true` the first time.
     fn complete(&mut self, id: &RequestId) -> bool {
         let Some(timer) = self.requests.complete(id) else { return false };
-        self.driver.wheel.cancel(timer);
+        self.driver.timers.cancel(timer);
         true
     }
 
@@ -313,7 +313,7 @@
         for action in actions.drain(..) {
             self.carry_out(now, action);
         }
-        self.driver.done(actions);
+        self.driver.recycle(actions);
     }
 
     fn carry_out(&mut self, now: Time, action: Action) {
@@ -354,7 +354,7 @@
             write_deadline: now + write_timeout,
             deadline,
             execution: Execution::InFlight,
-            timer: Some(self.driver.wheel.set(deadline, Timer::Attempt(id.clone(), attempt))),
+            timer: Some(self.driver.timers.set(deadline, Timer::Attempt(id.clone(), attempt))),
         });
         self.metrics.attempts += 1;
         match checked {
--- a/crates/core/src/proxy/table.rs
+++ b/crates/core/src/proxy/table.rs
@@ -1,7 +1,7 @@
 //! The table of open requests: each with its deadline and its attempts.
 
 use crate::guard::{Execution, PriorAttempt, SendConditions, SendError};
-use crate::wheel::TimerKey;
+use crate::timer_wheel::TimerKey;
 use std::collections::HashMap;
 use weirusher::{BackendId, RequestId, Status, Time};
 
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use weirusher::Status;
-use weirusher_core::{Lines, Route};
+use weirusher_core::{CounterConnections, EndedCall, Route};
 use weirusher_platform::counter::{MAX_RESPONSE_BYTES, parse_add_result, write_add};
 use weirusher_platform::response::{Response, ResponseReader};
 
@@ -25,7 +25,7 @@
     node: Rc<NodeContext>,
     address: SocketAddr,
     /// Decides which connection carries a call, and when calls time out.
-    connections: RefCell<Lines>,
+    connections: RefCell<CounterConnections>,
     /// What is to be written, by connection.
     outboxes: RefCell<Vec<Rc<Outbox>>>,
     /// The counter has another address: no further calls are taken.
@@ -42,7 +42,7 @@
 
 impl CounterClient {
     pub fn new(node: Rc<NodeContext>, address: SocketAddr, seed: u64) -> Rc<Self> {
-        let connections = RefCell::new(Lines::new(node.counter_timeout, seed));
+        let connections = RefCell::new(CounterConnections::new(node.counter_timeout, seed));
         Rc::new(Self {
             node,
             address,
@@ -79,13 +79,13 @@
     fn send(self: &Rc<Self>, CounterCall { call, counter, amount, ttl }: CounterCall) {
         let route = self.connections.borrow_mut().send(self.node.now(), call, counter);
         let connection = match route {
-            Route::On(connection) | Route::Open(connection) => connection,
+            Route::Existing(connection) | Route::New(connection) => connection,
             // The call fails at once, so that the decisions use their local fallback limit.
-            Route::Nowhere => {
+            Route::Unavailable => {
                 return self.node.handle_counter_response(call, Status::ConnectFailed, 0.0, 0.0);
             }
         };
-        if let Route::Open(_) = route {
+        if let Route::New(_) = route {
             self.open(connection);
         }
         let outbox = self.outboxes.borrow()[connection].clone();
@@ -116,7 +116,7 @@
             tracing::debug!(%error, connection, "the connection to the counter is closed");
         }
         let failed = self.connections.borrow_mut().closed(self.node.now(), connection);
-        for (call, elapsed) in failed {
+        for EndedCall { call, elapsed } in failed {
             self.node.handle_counter_response(call, status, 0.0, elapsed);
         }
     }
@@ -167,13 +167,13 @@
     /// started and does not end, the first of these calls was executed with an unknown total.
     fn handle_timeout(&self, connection: usize, response_started: bool) -> bool {
         let now = self.node.now();
-        let timed_out = self.connections.borrow_mut().give_up(now, connection);
+        let timed_out = self.connections.borrow_mut().take_timed_out(now, connection);
         let is_truncated = response_started && !timed_out.is_empty();
-        for (index, (call, elapsed)) in timed_out.into_iter().enumerate() {
+        for (index, EndedCall { call, elapsed }) in timed_out.into_iter().enumerate() {
             let status = if is_truncated && index == 0 { Status::Error } else { Status::Timeout };
             self.node.handle_counter_response(call, status, 0.0, elapsed);
         }
-        is_truncated || self.connections.borrow().dead(now, connection)
+        is_truncated || self.connections.borrow().is_unresponsive(now, connection)
     }
 
     /// Handles the responses that are complete. An error: the connection must not be used further.
@@ -188,7 +188,7 @@
                 Ok(Some(response)) => self.handle_response(connection, Some(response))?,
                 Ok(None) => {
                     if responses.has_started() {
-                        self.connections.borrow_mut().begun(self.node.now(), connection);
+                        self.connections.borrow_mut().response_started(self.node.now(), connection);
                     }
                     return Ok(());
                 }
@@ -201,9 +201,9 @@
     fn handle_response(&self, connection: usize, response: Option<Response>) -> io::Result<()> {
         let closes = response.as_ref().is_none_or(|response| response.closes_connection);
         let result = response.as_ref().and_then(parse_add_result);
-        let ended = self.connections.borrow_mut().answered(self.node.now(), connection);
+        let ended = self.connections.borrow_mut().response_completed(self.node.now(), connection);
         let ended = ended.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
-        if let Some((call, elapsed)) = ended {
+        if let Some(EndedCall { call, elapsed }) = ended {
             // Without a total the amount was added, but the new value is unknown.
             let (status, total) = result.map_or((Status::Error, 0.0), |result| (result.status, result.total));
             self.node.handle_counter_response(call, status, total, elapsed);
