--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use std::process::ExitCode;
 use std::time::Duration;
-use weirusher_fleet::{Counters, MemberView, State, View};
+use weirusher_fleet::{Counters, MemberState, MemberView, View};
 use weirusher_peers::page;
 
 /// Limit for the response of the admin page.
@@ -41,25 +41,27 @@
 }
 
 fn write_reachability(text: &mut String, view: &View) {
-    let hearing = view.hearing;
-    let last = hearing.age_ms.map_or_else(|| "none yet".to_string(), |ms| format!("{ms} ms ago"));
-    let superseded = if hearing.superseded { "; superseded by another process under its number" } else { "" };
+    let reachability = view.reachability;
+    let last =
+        reachability.last_received_ms.map_or_else(|| "none yet".to_string(), |ms| format!("{ms} ms ago"));
+    let superseded =
+        if reachability.superseded { "; superseded by another process under its number" } else { "" };
     let _ = writeln!(
         text,
         "  reachable  {:.0} % of the fleet; last heartbeat: {last}{superseded}",
-        100.0 * hearing.share(),
+        100.0 * reachability.fraction(),
     );
     let _ = writeln!(
         text,
         "  hears      {} of {} directly; {} of {} others alive",
-        hearing.heard, hearing.expected, hearing.alive, hearing.others
+        reachability.subjects_heard, reachability.subjects, reachability.alive, reachability.others
     );
     let _ = writeln!(
         text,
         "  heard by   {} of {} that it sends to; {} report that they do not hear it",
-        hearing.confirmed, hearing.watchers, hearing.denied
+        reachability.observers_confirming, reachability.observers, reachability.observers_denying
     );
-    let not_hearing = numbers(view.members.iter().filter(|member| member.denies));
+    let not_hearing = numbers(view.members.iter().filter(|member| member.reports_unheard));
     let not_heard = numbers(view.members.iter().filter(|member| is_not_heard(member)));
     for (label, members) in [("unheard by", not_hearing), ("not heard", not_heard)] {
         if !members.is_empty() {
@@ -70,7 +72,7 @@
 
 /// Whether a member is alive and was heard directly some time ago, but not since.
 fn is_not_heard(member: &MemberView) -> bool {
-    member.state == State::Alive && member.direct_ms.is_some_and(|ms| NOT_HEARD_MS.contains(&ms))
+    member.state == MemberState::Alive && member.last_received_ms.is_some_and(|ms| NOT_HEARD_MS.contains(&ms))
 }
 
 fn numbers<'a>(members: impl Iterator<Item = &'a MemberView>) -> Vec<String> {
@@ -79,14 +81,14 @@
 
 /// Counts of members by state, and which ones are in a state other than alive.
 fn write_members(text: &mut String, view: &View) {
-    for state in [State::Alive, State::Suspected, State::Gone, State::Unknown] {
+    for state in [MemberState::Alive, MemberState::Suspected, MemberState::Dead, MemberState::Unknown] {
         let members: Vec<_> = view.members.iter().filter(|member| member.state == state).collect();
-        let _ = writeln!(text, "  {:<10} {}", format!("{state:?}").to_lowercase(), members.len());
-        if state == State::Alive {
+        let _ = writeln!(text, "  {:<10} {}", state.as_str(), members.len());
+        if state == MemberState::Alive {
             continue;
         }
         for line in members.chunks(MEMBERS_PER_LINE) {
-            let since = |m: &&MemberView| format!("{} for {:.1} s", m.number, m.for_ms as f64 / 1000.0);
+            let since = |m: &&MemberView| format!("{} for {:.1} s", m.number, m.state_age_ms as f64 / 1000.0);
             let _ = writeln!(text, "    {}", line.iter().map(since).collect::<Vec<_>>().join(", "));
         }
     }
@@ -97,7 +99,7 @@
     let _ = writeln!(
         text,
         "  sent       {} datagrams, {} bytes; deferred {}; gossip updates waiting {}, dropped {}",
-        counters.sent, counters.sent_bytes, counters.put_off, view.rumors, counters.rumors_dropped
+        counters.sent, counters.sent_bytes, counters.deferred, view.gossip_queued, counters.gossip_dropped
     );
     let _ =
         writeln!(text, "  received   {} datagrams; rejected: {}", counters.received, rejections(counters));
@@ -107,16 +109,16 @@
 fn rejections(counters: &Counters) -> String {
     let causes = [
         ("oversized", counters.oversized),
-        ("from another address", counters.misplaced),
-        ("flood", counters.flooded),
-        ("other key or forged", counters.forged),
+        ("from another address", counters.wrong_sender),
+        ("flood", counters.rate_limited),
+        ("other key or forged", counters.unauthenticated),
         ("malformed", counters.malformed),
-        ("other fleet size", counters.other_size),
-        ("for another member", counters.misdelivered),
+        ("other fleet size", counters.wrong_fleet_size),
+        ("for another member", counters.wrong_recipient),
         ("replayed", counters.replayed),
-        ("from an ended incarnation", counters.stale),
-        ("to an ended incarnation", counters.unproven),
-        ("unreadable state", counters.unreadable),
+        ("from an ended incarnation", counters.stale_sender),
+        ("to an ended incarnation", counters.stale_recipient),
+        ("unreadable state", counters.malformed_state),
     ];
     let occurred = causes.iter().filter(|(_, count)| *count > 0);
     let listed: Vec<String> = occurred.map(|(cause, count)| format!("{cause} {count}")).collect();
--- a/crates/cli/src/commands/gateway.rs
+++ b/crates/cli/src/commands/gateway.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 use weirusher_config::{Config, FleetConfig, Problem, render};
-use weirusher_node::InFleet;
+use weirusher_node::FleetMembership;
 
 /// Parses a configuration file.
 fn parse_file<T>(file: &Path, parse: fn(&str) -> Result<T, Vec<Problem>>) -> Result<T, CommandError> {
@@ -40,9 +40,9 @@
 /// Runs the gateway on the platform until it is asked to stop, on one thread.
 pub fn node(config: &Path, fleet: Option<&Path>) -> Result<ExitCode, CommandError> {
     let fleet = fleet.map(|file| parse_file(file, FleetConfig::parse)).transpose()?;
-    let fleet = fleet.map(|config| InFleet {
+    let fleet = fleet.map(|config| FleetMembership {
         config,
-        listening: |fleet, admin| print_json(&json!({ "fleet": fleet, "admin": admin })),
+        on_listening: |fleet, admin| print_json(&json!({ "fleet": fleet, "admin": admin })),
     });
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CommandError::Runtime)?;
--- a/crates/scenarios/src/audit/membership.rs
+++ b/crates/scenarios/src/audit/membership.rs
@@ -11,13 +11,15 @@
 use serde::Serialize;
 use std::collections::HashSet;
 use weirusher_fakes::{DatagramFate, MembershipReport};
-use weirusher_fleet::{AWAY, BEAT, SILENCE, cut_known, life_known};
+use weirusher_fleet::{
+    HEARTBEAT_INTERVAL, PAUSE_THRESHOLD, SUSPECT_TIMEOUT, partition_known_within, recovery_known_within,
+};
 
 /// Milliseconds, in which the fleet's constants are given, in a second.
 const MS_PER_SECOND: f64 = 1000.0;
 /// Seconds that a busy machine may add to any bound, including the time that a report takes. A process that is delayed
 /// for longer has been away, and reports so.
-const BUSY_ALLOWANCE_SECONDS: f64 = AWAY as f64 / MS_PER_SECOND;
+const BUSY_ALLOWANCE_SECONDS: f64 = PAUSE_THRESHOLD as f64 / MS_PER_SECOND;
 /// Seconds for which a running gateway may report nothing: what is not reported cannot be checked.
 const MAX_SILENCE_SECONDS: f64 = 3.0;
 /// Seconds for which a new process may take a later incarnation of its number for that of an earlier process.
@@ -210,7 +212,7 @@
         requested: f64,
         report: &MembershipReport,
     ) -> Option<MembershipViolation> {
-        let detected = life_known(self.network.size as u16) as f64 / MS_PER_SECOND;
+        let detected = recovery_known_within(self.network.size as u16) as f64 / MS_PER_SECOND;
         let settled = requested > since_seconds + START_SECONDS + detected + BUSY_ALLOWANCE_SECONDS;
         // The later process holds the number.
         let correct = report.superseded != duplicate;
@@ -252,7 +254,7 @@
         report: &MembershipReport,
     ) -> Option<MembershipViolation> {
         let up_since = self.network.processes[gateway].since_seconds;
-        let silence = (SILENCE + BEAT) as f64 / MS_PER_SECOND;
+        let silence = (SUSPECT_TIMEOUT + HEARTBEAT_INTERVAL) as f64 / MS_PER_SECOND;
         let overdue = |since: Option<f64>, bound: f64| {
             since.filter(|since| requested > since.max(up_since) + bound + BUSY_ALLOWANCE_SECONDS)
         };
@@ -276,8 +278,8 @@
         report: &MembershipReport,
     ) -> Vec<MembershipViolation> {
         let size = self.network.size as u16;
-        let death_bound = cut_known(size) as f64 / MS_PER_SECOND + BUSY_ALLOWANCE_SECONDS;
-        let alive_bound = life_known(size) as f64 / MS_PER_SECOND + BUSY_ALLOWANCE_SECONDS;
+        let death_bound = partition_known_within(size) as f64 / MS_PER_SECOND + BUSY_ALLOWANCE_SECONDS;
+        let alive_bound = recovery_known_within(size) as f64 / MS_PER_SECOND + BUSY_ALLOWANCE_SECONDS;
         let alive: HashSet<usize> = report.alive.iter().copied().collect();
         let dead: HashSet<usize> = report.dead.iter().copied().collect();
         let up_since = self.network.processes[gateway].since_seconds;
--- a/crates/scenarios/src/peers.rs
+++ b/crates/scenarios/src/peers.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 use tokio::time::MissedTickBehavior;
 use weirusher_fakes::{CaptureEvent, MembershipReport, PeerNetwork, Recorder};
-use weirusher_fleet::Brief;
+use weirusher_fleet::ViewSummary;
 
 /// The key of the fleet. It is public: nothing outside a run accepts it.
 const FLEET_KEY: &str = "scenario-runs-only-0123456789abc";
@@ -123,14 +123,14 @@
 /// A gateway's membership report from its admin page; `None` where it cannot be read.
 async fn fetch_report(admin: SocketAddr) -> Option<MembershipReport> {
     let response = weirusher_peers::page::get(admin, "/fleet/brief").await.ok()?;
-    let brief: Brief = serde_json::from_slice(&response.body).ok()?;
+    let summary: ViewSummary = serde_json::from_slice(&response.body).ok()?;
     let numbers = |members: &[u16]| members.iter().map(|number| usize::from(*number)).collect();
     Some(MembershipReport {
-        incarnation: brief.incarnation,
-        alive: numbers(&brief.alive),
-        dead: numbers(&brief.gone),
-        reachable_share: brief.hearing.share(),
-        heard_directly: brief.hearing.heard,
-        superseded: brief.hearing.superseded,
+        incarnation: summary.incarnation,
+        alive: numbers(&summary.alive),
+        dead: numbers(&summary.dead),
+        reachable_share: summary.reachability.fraction(),
+        heard_directly: summary.reachability.subjects_heard,
+        superseded: summary.reachability.superseded,
     })
 }
