--- a/crates/cli/tests/gateway_kills.rs
+++ b/crates/cli/tests/gateway_kills.rs
@@ -161,7 +161,7 @@
     async fn until(&self, gateway: usize, pointer: &str, least: u64) {
         let end = Instant::now() + LIMIT;
         while self.figure(gateway, pointer).await < least {
-            assert!(Instant::now() < end, "{pointer} never came to {least}");
+            assert!(Instant::now() < end, "{pointer} did not reach {least}");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -181,7 +181,7 @@
     async fn until_runs(&self, least: usize) {
         let end = Instant::now() + LIMIT;
         while self.capture().matches("\"runs\"").count() < least {
-            assert!(Instant::now() < end, "never came to {least} runs");
+            assert!(Instant::now() < end, "there were fewer than {least} runs");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
--- a/crates/cli/tests/kept_list.rs
+++ b/crates/cli/tests/kept_list.rs
@@ -147,7 +147,7 @@
         let failed = tokio::time::timeout(LIMIT, failed).await;
         failed.unwrap_or_else(|_| panic!("{call:?} {errno}: it is tried, and the log says so"));
         assert!(site.log_text().contains(&site.list().display().to_string()), "{}", site.log_text());
-        assert_eq!(site.stored(), OLD, "{call:?} {errno}: the old list is whole");
+        assert_eq!(site.stored(), OLD, "{call:?} {errno}: the old list is complete");
         site.shim.end(fails);
         site.until_stored(&NEW).await;
         assert!(gateway.0.try_wait().unwrap().is_none(), "it goes on");
@@ -224,7 +224,7 @@
             site.log_text()
         );
         // A list that arrives replaces it.
-        let whole = async {
+        let complete = async {
             loop {
                 let text = std::fs::read(site.list()).unwrap();
                 if serde_json::from_slice::<Vec<Value>>(&text).is_ok_and(|list| list.len() == NEW.len()) {
@@ -233,7 +233,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(LIMIT, whole).await.expect("a complete list");
+        tokio::time::timeout(LIMIT, complete).await.expect("a complete list");
     }
 }
 
--- a/crates/cli/tests/node/backends.rs
+++ b/crates/cli/tests/node/backends.rs
@@ -1,7 +1,8 @@
 //! Backends and the counter: malformed responses, late connections, rejections before execution.
 
 use crate::support::{
-    LIMIT, REUSE_PAUSE, Site, delayed_echo, echo, id, list, request, slow_to_connect_backend, store,
+    ClientResponse, LIMIT, REUSE_PAUSE, Site, delayed_echo, echo, id, list, request, slow_to_connect_backend,
+    store,
 };
 use std::collections::HashSet;
 use std::time::Duration;
@@ -25,13 +26,13 @@
     let mut client = site.client().await;
     for _ in 0..4 {
         let id = id();
-        let (status, _, body) = client.exchange(&request(&id, "iso", 4000)).await.unwrap();
+        let ClientResponse { status, body, .. } = client.exchange(&request(&id, "iso", 4000)).await.unwrap();
         assert!(status != 200 || body == format!("done {id}"), "{status} {body}");
         assert!((1..=4).contains(&site.attempts(&id)));
     }
     // A request that is not idempotent and may have run is not retried, and not rejected either.
     let unsafe_id = id();
-    let (status, ..) = client.exchange(&store(&unsafe_id, "x")).await.unwrap();
+    let ClientResponse { status, .. } = client.exchange(&store(&unsafe_id, "x")).await.unwrap();
     assert!(status >= 500 && status != 503, "{status}");
     assert_eq!(site.attempts(&unsafe_id), 1);
 }
@@ -81,7 +82,7 @@
     site.backends[0].set_script(|request| Reply::BytesThenClose(without_a_length(request).into()));
     for n in 1..=3 {
         let id = id();
-        assert_eq!(client.exchange(&store(&id, "x")).await.unwrap().2, format!("done {id}"));
+        assert_eq!(client.exchange(&store(&id, "x")).await.unwrap().body, format!("done {id}"));
         assert_eq!((site.attempts(&id), site.backends[0].connections()), (1, n));
     }
 }
@@ -100,7 +101,7 @@
     });
     for _ in 0..3 {
         let id = id();
-        assert_eq!(client.exchange(&request(&id, "iso", 3000)).await.unwrap().2, format!("done {id}"));
+        assert_eq!(client.exchange(&request(&id, "iso", 3000)).await.unwrap().body, format!("done {id}"));
         tokio::time::sleep(REUSE_PAUSE).await;
     }
     assert_eq!((site.backends[0].connections(), site.counter.connections()), (1, 1));
@@ -117,17 +118,18 @@
         other => other,
     });
     let (deadline, mut client) = (1000, site.client().await);
-    let asked = tokio::time::Instant::now();
-    let (status, ..) = client.exchange(&store(&id(), "x").replace("3000m", "1000m")).await.unwrap();
+    let sent = tokio::time::Instant::now();
+    let ClientResponse { status, .. } =
+        client.exchange(&store(&id(), "x").replace("3000m", "1000m")).await.unwrap();
     assert!(status >= 500 && status != 503, "it may have run: {status}");
-    assert!(asked.elapsed() < 5 * Duration::from_millis(deadline), "{:?}", asked.elapsed());
+    assert!(sent.elapsed() < 5 * Duration::from_millis(deadline), "{:?}", sent.elapsed());
     // One that is complete in time, however slowly, is forwarded.
     site.backends[0].set_script(|request| match echo(request) {
         Reply::Bytes(bytes) => Reply::Trickle(Duration::from_millis(2), bytes),
         other => other,
     });
     let id = id();
-    assert_eq!(client.exchange(&request(&id, "iso", 20_000)).await.unwrap().2, format!("done {id}"));
+    assert_eq!(client.exchange(&request(&id, "iso", 20_000)).await.unwrap().body, format!("done {id}"));
 }
 
 #[tokio::test]
@@ -146,7 +148,7 @@
     let mut client = site.client().await;
     for n in 1..=5 {
         let id = id();
-        assert_eq!(client.exchange(&request(&id, "iso", 3000)).await.unwrap().2, format!("done {id}"));
+        assert_eq!(client.exchange(&request(&id, "iso", 3000)).await.unwrap().body, format!("done {id}"));
         assert_eq!(site.backends[0].connections(), n, "each on a connection of its own");
     }
 }
@@ -162,7 +164,7 @@
     // Each is sent as soon as the one before has its response: the second copy of that has not arrived yet.
     for _ in 0..20 {
         let id = id();
-        assert_eq!(client.exchange(&request(&id, "iso", 3000)).await.unwrap().2, format!("done {id}"));
+        assert_eq!(client.exchange(&request(&id, "iso", 3000)).await.unwrap().body, format!("done {id}"));
     }
 }
 
@@ -173,7 +175,7 @@
     let mut client = site.client().await;
     for _ in 0..6 {
         let id = id();
-        assert_eq!(client.exchange(&store(&id, "x")).await.unwrap().2, format!("done {id}"));
+        assert_eq!(client.exchange(&store(&id, "x")).await.unwrap().body, format!("done {id}"));
         assert!(site.attempts(&id) <= 2);
     }
 }
@@ -208,10 +210,10 @@
         }
     });
     for mut client in clients {
-        assert_eq!(client.response().await.unwrap().0, 200);
+        assert_eq!(client.response().await.unwrap().status, 200);
     }
     assert_eq!(site.backends[0].received().len(), 2, "each at the one that stays");
-    assert!(!received.is_finished(), "nothing received at the one that leaves");
+    assert!(!received.is_finished(), "the draining backend received nothing");
 }
 
 #[tokio::test]
@@ -225,7 +227,7 @@
     // Successful responses fill the hedging budget; the slow backend is listed from then on.
     let mut client = site.client().await;
     for _ in 0..60 {
-        assert_eq!(client.exchange(&request(&id(), "iso", 9000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 9000)).await.unwrap().status, 200);
     }
     site.discovery.set_list(3, list(3, &[("s-0", own, "SERVING"), ("s-late", address, "SERVING")]));
     site.discovery.wait_until_list_received(3).await;
@@ -239,7 +241,7 @@
         client.send(&request(id, "iso", 9000)).await;
     }
     for (id, client) in &mut clients {
-        assert_eq!(client.response().await.unwrap().2, format!("done {id}"));
+        assert_eq!(client.response().await.unwrap().body, format!("done {id}"));
     }
     let others: Vec<_> = waiting.iter().map(|stream| stream.local_addr().unwrap()).collect();
     drop(waiting);
@@ -318,7 +320,7 @@
         }
     };
     tokio::select! {
-        answer = client.response() => assert!(answer.unwrap().0 >= 500, "it may have run"),
+        answer = client.response() => assert!(answer.unwrap().status >= 500, "it may have run"),
         bytes = received => panic!("an effect twice: {bytes}"),
     }
 }
@@ -330,7 +332,7 @@
     let mut client = site.client().await;
     for _ in 0..5 {
         let began = tokio::time::Instant::now();
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
         assert!(began.elapsed() < Duration::from_secs(2));
     }
 }
@@ -342,18 +344,18 @@
     let site = Site::configured(1, 256, &[], patient).await;
     let (open, gate) = watch::channel(false);
     site.counter.set_script(move |_| {
-        let whole = frame(200, "", "1");
-        Reply::GatedRest(whole.slice(..12), gate.clone(), whole.slice(12..))
+        let response = frame(200, "", "1");
+        Reply::GatedRest(response.slice(..12), gate.clone(), response.slice(12..))
     });
     let mut client = site.client().await;
-    assert_eq!(client.exchange(&request(&id(), "iso", 20_000)).await.unwrap().0, 200);
+    assert_eq!(client.exchange(&request(&id(), "iso", 20_000)).await.unwrap().status, 200);
     site.counter.wait_for_requests(1).await;
     // After its limit, and well within the second one that a response gets once it has begun.
     tokio::time::sleep(limit * 5 / 4).await;
     open.send(true).unwrap();
     // A customer has one call in flight at a time: the second shows that the first has ended.
     while site.counter.received().len() < 2 {
-        assert_eq!(client.exchange(&request(&id(), "iso", 20_000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 20_000)).await.unwrap().status, 200);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert_eq!(site.counter.received()[1].connection, 1, "its line was kept");
--- a/crates/cli/tests/node/close_races.rs
+++ b/crates/cli/tests/node/close_races.rs
@@ -1,7 +1,7 @@
 //! Requests that race with the close of their connection, whatever closes it: each gets its response, or its bytes were not
 //! read, which a reset shows.
 
-use crate::support::{Client, READY, Site, id, parse_response, request};
+use crate::support::{Client, ClientResponse, READY, Site, id, parse_response, request};
 use nix::sys::signal::Signal;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -36,7 +36,7 @@
     loop {
         match client.0.read_buf(&mut bytes).await {
             Ok(1..) => {
-                if let Some((status, ..)) = parse_response(&bytes) {
+                if let Some(ClientResponse { status, .. }) = parse_response(&bytes) {
                     return Outcome::Response(status);
                 }
             }
@@ -59,14 +59,29 @@
     Outcome::Lost
 }
 
+/// A request whose rest is sent at a moment.
+struct RacingRequest {
+    client: Client,
+    id: String,
+    rest: String,
+    at: Instant,
+}
+
+/// A request that is sent as a whole at a moment.
+fn racing_request(client: Client, at: Instant) -> RacingRequest {
+    let id = id();
+    let rest = request(&id, "iso", 3000);
+    RacingRequest { client, id, rest, at }
+}
+
 /// The moments around one.
 fn around(moment: Instant) -> impl Iterator<Item = Instant> {
     (0..REQUESTS).map(move |nth| moment - INTERVAL * (REQUESTS / 2) + INTERVAL * nth)
 }
 
 /// Sends each request at its moment, and checks that none is lost.
-async fn send_all(site: &Site, requests: Vec<(Client, String, String, Instant)>) -> Vec<Outcome> {
-    let sent = requests.into_iter().map(async |(client, id, rest, at)| (id, send_at(client, rest, at).await));
+async fn send_all(site: &Site, requests: Vec<RacingRequest>) -> Vec<Outcome> {
+    let sent = requests.into_iter().map(async |r| (r.id, send_at(r.client, r.rest, r.at).await));
     let outcomes = futures::future::join_all(sent).await;
     for (id, outcome) in &outcomes {
         assert_ne!(*outcome, Outcome::Lost, "{id}");
@@ -87,23 +102,17 @@
 
 async fn idle_connection(site: &Site) -> Client {
     let mut client = site.client().await;
-    assert_eq!(client.exchange(READY).await.unwrap().0, 200);
+    assert_eq!(client.exchange(READY).await.unwrap().status, 200);
     client
 }
 
-fn asked(client: Client, at: Instant) -> (Client, String, String, Instant) {
-    let id = id();
-    let text = request(&id, "iso", 3000);
-    (client, id, text, at)
-}
-
 #[tokio::test]
 async fn on_a_new_connection_without_a_request_in_time() {
     let site = Site::start(2).await;
     let accepted = Instant::now();
     let mut requests = Vec::new();
     for at in around(accepted + FIRST_REQUEST + Duration::from_millis(3)) {
-        requests.push(asked(site.client().await, at));
+        requests.push(racing_request(site.client().await, at));
     }
     assert_both_sides(&send_all(&site, requests).await);
 }
@@ -114,10 +123,11 @@
     let began = Instant::now();
     let mut requests = Vec::new();
     for (nth, at) in around(began + FIRST_REQUEST + Duration::from_millis(8)).enumerate() {
-        let (mut client, id, text, at) =
-            asked(if nth % 2 == 0 { idle_connection(&site).await } else { site.client().await }, at);
-        client.send(&text[..40]).await;
-        requests.push((client, id, text[40..].to_string(), at));
+        let client = if nth % 2 == 0 { idle_connection(&site).await } else { site.client().await };
+        let mut racing = racing_request(client, at);
+        let rest = racing.rest.split_off(40);
+        racing.client.send(&racing.rest).await;
+        requests.push(RacingRequest { rest, ..racing });
     }
     let outcomes = send_all(&site, requests).await;
     // One that is completed too late gets a 408, or its rest is not read.
@@ -131,14 +141,14 @@
 async fn on_an_idle_connection_that_is_closed_for_others() {
     let site = Site::with(2, 96, &[]).await;
     // More connections than slots: each one that waits has an idle one closed.
-    let mut crowd = Vec::new();
+    let mut waiting = Vec::new();
     let mut requests = Vec::new();
     let idle = Instant::now();
     for at in around(idle + REUSABLE_AFTER + Duration::from_millis(10)).take(24) {
-        requests.push(asked(idle_connection(&site).await, at));
+        requests.push(racing_request(idle_connection(&site).await, at));
     }
     for _ in 0..60 {
-        crowd.push(site.client().await);
+        waiting.push(site.client().await);
     }
     send_all(&site, requests).await;
 }
@@ -153,16 +163,16 @@
     // Idle connections are closed with the signal.
     let signal = Instant::now() + Duration::from_millis(200);
     let requests: Vec<_> =
-        old.into_iter().zip(around(signal)).map(|(client, at)| asked(client, at)).collect();
+        old.into_iter().zip(around(signal)).map(|(client, at)| racing_request(client, at)).collect();
     let mut new = Vec::new();
     for at in around(signal + REUSABLE_AFTER) {
-        new.push(asked(site.client().await, at));
+        new.push(racing_request(site.client().await, at));
     }
-    let notified = async {
+    let shutdown = async {
         sleep_until(signal).await;
         site.signal(Signal::SIGTERM);
     };
-    let (old, new, ()) = tokio::join!(send_all(&site, requests), send_all(&site, new), notified);
+    let (old, new, ()) = tokio::join!(send_all(&site, requests), send_all(&site, new), shutdown);
     assert_both_sides(&old);
     assert_both_sides(&new);
 }
@@ -177,11 +187,10 @@
             let first = request(&id(), "iso", 3000);
             // A request right after the last response, before the end of the connection is seen.
             client.send(&first.replace("Plan: iso\r\n", &format!("Plan: iso\r\n{closing}"))).await;
-            assert!(matches!(client.response().await.expect("a response").0, 200 | 400));
-            requests.push(asked(client, Instant::now()));
+            assert!(matches!(client.response().await.expect("a response").status, 200 | 400));
+            requests.push(racing_request(client, Instant::now()));
         }
-        let sent =
-            requests.into_iter().map(async |(client, id, rest, at)| (id, send_at(client, rest, at).await));
+        let sent = requests.into_iter().map(async |r| (r.id, send_at(r.client, r.rest, r.at).await));
         for (id, outcome) in futures::future::join_all(sent).await {
             assert_eq!(site.attempts(&id), 0);
             // Bytes after an error are dropped: what they belong to is not known.
--- a/crates/cli/tests/node/discovery.rs
+++ b/crates/cli/tests/node/discovery.rs
@@ -2,8 +2,8 @@
 
 use crate::platform::{STOP_WITHIN, configuration};
 use crate::support::{
-    ANY_PORT, LIMIT, READY, REUSE_PAUSE, Site, delayed_echo, id, last_attempt_at_draining_backend, list,
-    request, store,
+    ANY_PORT, ClientResponse, LIMIT, READY, REUSE_PAUSE, Site, delayed_echo, id,
+    last_attempt_at_draining_backend, list, request, store,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -15,7 +15,7 @@
     let site = Site::start(2).await;
     let mut client = site.client().await;
     for _ in 0..8 {
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
         tokio::time::sleep(REUSE_PAUSE).await;
     }
     let before = site.backends[0].connections();
@@ -25,7 +25,7 @@
     site.discovery.wait_until_list_received(3).await;
     let drained = site.backends[1].received().len();
     for _ in 0..8 {
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
         tokio::time::sleep(REUSE_PAUSE).await;
     }
     assert_eq!(site.backends[1].received().len(), drained, "nothing new");
@@ -53,11 +53,11 @@
     // Each response ends its connection: by its head, by its end alone, and in chunks.
     let site = Site::start(2).await;
     let serving = site.backends[0].address;
-    let (asked, backends) = (Arc::new(AtomicUsize::new(0)), list(3, &[("s-0", serving, "SERVING")]));
+    let (polls, backends) = (Arc::new(AtomicUsize::new(0)), list(3, &[("s-0", serving, "SERVING")]));
     let lister = ScriptedServer::start(ANY_PORT, {
-        let asked = asked.clone();
+        let polls = polls.clone();
         move |_| {
-            let nth = asked.fetch_add(1, Ordering::Relaxed);
+            let nth = polls.fetch_add(1, Ordering::Relaxed);
             let chunks = format!("{:x}\r\n{backends}\r\n0\r\n\r\n", backends.len());
             Reply::BytesThenClose(match nth % 3 {
                 0 => frame(200, "Connection: close\r\n", &backends),
@@ -85,9 +85,9 @@
     let mut client = site.client().await;
     let before = site.backends[1].received().len();
     for _ in 0..8 {
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
     }
-    assert_eq!(site.backends[1].received().len(), before, "it is gone from the list");
+    assert_eq!(site.backends[1].received().len(), before, "it is not in the list any more");
 }
 
 #[tokio::test]
@@ -102,7 +102,7 @@
     let received = lister.received();
     let took = received[21].received_at - received[1].received_at;
     assert!(took >= 20 * Duration::from_millis(10), "20 calls in {took:?}");
-    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
 }
 
 #[tokio::test]
@@ -123,7 +123,7 @@
     // An invalid one changes nothing.
     std::fs::write(&site.file, "{").unwrap();
     site.signal(nix::sys::signal::Signal::SIGHUP);
-    assert_eq!(client.response().await.unwrap().2, format!("done {open}"));
+    assert_eq!(client.response().await.unwrap().body, format!("done {open}"));
     let counter = ScriptedServer::start(ANY_PORT, counting()).await.unwrap();
     let entries = [("s-0", site.backends[0].address, "SERVING")];
     let discovery = DiscoveryAgent::start(ANY_PORT, 2, list(2, &entries)).await.unwrap();
@@ -137,7 +137,7 @@
         while counter.received().is_empty() {
             let customer =
                 request(&id(), "iso", 3000).replace("b4d65521", &format!("{:08x}", fastrand::u32(1..)));
-            assert_eq!(client.exchange(&customer).await.unwrap().0, 200);
+            assert_eq!(client.exchange(&customer).await.unwrap().status, 200);
         }
     };
     tokio::time::timeout(LIMIT, moved).await.expect("the new counter is called");
@@ -154,22 +154,22 @@
     let of_customer = |number: u32| request(&id(), "iso", 3000).replace("b4d65521", &format!("{number:08x}"));
     // A response after the reload is decided by the new configuration.
     for number in 1..=20 {
-        assert_eq!(client.exchange(&of_customer(number)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&of_customer(number)).await.unwrap().status, 200);
     }
     let before = site.counter.received().len();
     site.reload(with).await;
     let called = async {
         let mut number = 100;
         while site.counter.received().len() == before {
-            assert_eq!(client.exchange(&of_customer(number)).await.unwrap().0, 200);
+            assert_eq!(client.exchange(&of_customer(number)).await.unwrap().status, 200);
             number += 1;
         }
         number - 100
     };
-    let asked = tokio::time::timeout(LIMIT, called).await.expect("the counter is called again");
+    let customers = tokio::time::timeout(LIMIT, called).await.expect("the counter is called again");
     // One call, and those that the first call of a window leads to, for each customer with requests since.
     let received = site.counter.received().len() - before;
-    assert!(received <= 3 * asked as usize, "{received} calls for {asked} customers");
+    assert!(received <= 3 * customers as usize, "{received} calls for {customers} customers");
 }
 
 /// Two zones, and a class whose idempotency keys are remembered within a zone.
@@ -209,15 +209,15 @@
     let mut client = site.client().await;
     // The class, the plan and its quota are those at the start of the process.
     for _ in 0..5 {
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
     }
-    assert_eq!(client.exchange(&store(&id(), "x")).await.unwrap().0, 200);
+    assert_eq!(client.exchange(&store(&id(), "x")).await.unwrap().status, 200);
     let unknown = store(&id(), "x").replace("X-Qos: store", "X-Qos: keep");
-    assert_eq!(site.client().await.exchange(&unknown).await.unwrap().0, 400);
+    assert_eq!(site.client().await.exchange(&unknown).await.unwrap().status, 400);
     // A request that may have run in one zone is not retried in the other, though the new file has one zone only.
     site.backends.iter().for_each(|backend| backend.set_script(|_| Reply::Close));
     let paid = id();
-    let (status, ..) =
+    let ClientResponse { status, .. } =
         client.exchange(&store(&paid, "x").replace("X-Qos: store", "X-Qos: pay")).await.unwrap();
     assert!(status >= 500 && status != 503, "{status}");
     assert_eq!(site.attempts(&paid), 1);
@@ -236,7 +236,7 @@
     site.reload(configuration(site.listen, own.address(), site.counter.address, 256)).await;
     tokio::time::timeout(LIMIT, own.wait_until_list_received(7)).await.expect("its own is followed");
     assert!(discovery.received().is_empty());
-    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
 }
 
 #[tokio::test]
@@ -244,7 +244,7 @@
     let spoil = |text: String| text.replace(r#""endpoints":[]"#, r#""endpoints":7"#);
     let site = Site::configured(1, 256, &[], spoil).await;
     assert!(std::fs::read_to_string(&site.file).unwrap().contains(r#""endpoints":7"#));
-    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
 }
 
 #[tokio::test]
@@ -256,7 +256,7 @@
         let mut clients = Vec::new();
         for _ in 0..4 {
             let mut client = site.client().await;
-            assert_eq!(client.exchange(&request(&id(), "iso", 60_000)).await.unwrap().0, 200);
+            assert_eq!(client.exchange(&request(&id(), "iso", 60_000)).await.unwrap().status, 200);
             clients.push(client);
         }
         let own: Vec<_> = site.backends.iter().map(|backend| backend.address).collect();
@@ -278,7 +278,7 @@
         let mut served = 0;
         for client in &mut clients {
             // So many requests at once may exceed the capacity of one backend.
-            served += u32::from(client.response().await.expect("an answer").0 == 200);
+            served += u32::from(client.response().await.expect("an answer").status == 200);
         }
         assert!(served > 0);
         assert_eq!(
@@ -327,7 +327,7 @@
     drained.store(true, Ordering::SeqCst);
     let (had, mut client) = (std::time::Instant::now(), site.client().await);
     while had.elapsed().as_secs_f64() < NOTIFIED_AFTER + STOP_WITHIN + 1.0 {
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let last =
@@ -341,13 +341,13 @@
     // Its first polls get no response.
     silent.wait_for_requests(2).await;
     let mut front = site.client().await;
-    assert_eq!(front.exchange(READY).await.unwrap().0, 503);
+    assert_eq!(front.exchange(READY).await.unwrap().status, 503);
     let backends = list(3, &[("s-0", site.backends[0].address, "SERVING")]);
     silent.set_script(move |_| Reply::ok(&backends));
     let back = std::time::Instant::now();
-    while front.exchange(READY).await.unwrap().0 != 200 {
+    while front.exchange(READY).await.unwrap().status != 200 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert!(back.elapsed() < Duration::from_secs(10), "{:?}", back.elapsed());
-    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
 }
--- a/crates/cli/tests/node/graceful_shutdown.rs
+++ b/crates/cli/tests/node/graceful_shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: on SIGTERM the gateway answers what is pending and ends.
 
 use crate::process::ended;
-use crate::support::{LIMIT, READY, Site, delayed_echo, id, request, store};
+use crate::support::{ClientResponse, LIMIT, READY, Site, delayed_echo, id, request, store};
 use std::time::Duration;
 use weirusher_fakes::Reply;
 
@@ -18,7 +18,7 @@
     }
     let (open, mut client) = (id(), site.client().await);
     let mut idle = site.client().await;
-    assert_eq!(idle.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(idle.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
     client.send(&request(&open, "iso", 3000)).await;
     while site.attempts(&open) == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -27,9 +27,10 @@
     idle.closed().await;
     // It still accepts requests, and closes after each response.
     let late = id();
-    let (status, head, _) = site.client().await.exchange(&request(&late, "iso", 3000)).await.unwrap();
+    let ClientResponse { status, head, .. } =
+        site.client().await.exchange(&request(&late, "iso", 3000)).await.unwrap();
     assert!(status == 200 && head.contains("connection: close"), "{head}");
-    let (_, head, body) = client.response().await.unwrap();
+    let ClientResponse { head, body, .. } = client.response().await.unwrap();
     assert_eq!(body, format!("done {open}"));
     assert!(head.contains("connection: close"), "{head}");
     ends_by_itself(&mut site).await;
@@ -44,11 +45,11 @@
     client.send(first).await;
     // The close of an idle connection shows that the signal was handled.
     let mut idle = site.client().await;
-    assert_eq!(idle.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(idle.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
     site.signal(nix::sys::signal::Signal::SIGTERM);
     idle.closed().await;
     client.send(rest).await;
-    assert_eq!(client.response().await.expect("a complete response").2, format!("done {request_id}"));
+    assert_eq!(client.response().await.expect("a complete response").body, format!("done {request_id}"));
 }
 
 #[tokio::test]
@@ -62,14 +63,14 @@
     let (request_id, mut last) = (id(), site.client().await);
     last.send(&request(&request_id, "iso", 20_000)).await;
     site.signal(nix::sys::signal::Signal::SIGTERM);
-    assert_eq!(last.response().await.expect("a complete response").2, format!("done {request_id}"));
+    assert_eq!(last.response().await.expect("a complete response").body, format!("done {request_id}"));
 }
 
 #[tokio::test]
 async fn a_second_sigterm_with_hanging_backends_changes_nothing() {
     let mut site = Site::start(2).await;
     let mut idle = site.client().await;
-    assert_eq!(idle.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(idle.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
     site.backends.iter().for_each(|backend| backend.set_script(|_| Reply::NoReply));
     let deadline = 1500;
     let mut clients = Vec::new();
@@ -89,7 +90,7 @@
     late.send(&request(&id(), "iso", deadline)).await;
     clients.push(late);
     for client in &mut clients {
-        let (status, head, _) = client.response().await.expect("a complete response");
+        let ClientResponse { status, head, .. } = client.response().await.expect("a complete response");
         assert!(status >= 400 && head.contains("connection: close"), "{status} {head}");
     }
     assert!(
@@ -105,12 +106,12 @@
     let (mut site, silent) = Site::without_a_list().await;
     silent.wait_for_requests(1).await;
     let mut front = site.client().await;
-    assert_eq!(front.exchange(READY).await.unwrap().0, 503);
+    assert_eq!(front.exchange(READY).await.unwrap().status, 503);
     let mut client = site.client().await;
     client.send(&request(&id(), "iso", 1500)).await;
     site.signal(nix::sys::signal::Signal::SIGTERM);
     front.closed().await;
-    let (status, ..) = client.response().await.expect("a complete response");
+    let ClientResponse { status, .. } = client.response().await.expect("a complete response");
     assert!(status >= 400, "{status}");
     ends_by_itself(&mut site).await;
 }
--- a/crates/cli/tests/node/main.rs
+++ b/crates/cli/tests/node/main.rs
@@ -8,6 +8,7 @@
 mod backends;
 mod clients;
 mod close_races;
+mod configuration;
 mod discovery;
 mod graceful_shutdown;
 mod idle_connections;
--- a/crates/cli/tests/node/resource_limits.rs
+++ b/crates/cli/tests/node/resource_limits.rs
@@ -16,7 +16,7 @@
     for _ in 0..60 {
         silent.push(site.client().await);
     }
-    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 10_000)).await.unwrap().0, 200);
+    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 10_000)).await.unwrap().status, 200);
 }
 
 /// Clients that send one request and keep their connections, more than there are descriptors: each gets its response in
@@ -26,9 +26,12 @@
     let mut idle = Vec::new();
     for nth in 0..many {
         let mut client = site.client().await;
-        let asked = request(&id(), "iso", deadline.as_millis() as u64);
-        let answer = tokio::time::timeout(deadline, client.exchange(&asked)).await;
-        assert_eq!(answer.unwrap_or_else(|_| panic!("client {nth} waits past its time")).unwrap().0, 200);
+        let text = request(&id(), "iso", deadline.as_millis() as u64);
+        let answer = tokio::time::timeout(deadline, client.exchange(&text)).await;
+        assert_eq!(
+            answer.unwrap_or_else(|_| panic!("client {nth} waits past its time")).unwrap().status,
+            200
+        );
         idle.push(client);
     }
     idle
@@ -90,7 +93,7 @@
         }
     }
     assert!(over_ipv4 >= 5, "listener, front, backend, counter, discovery: {over_ipv4}");
-    assert_eq!(client.response().await.unwrap().2, format!("done {id}"));
+    assert_eq!(client.response().await.unwrap().body, format!("done {id}"));
 }
 
 #[test]
--- a/crates/cli/tests/node/scheduling_delay.rs
+++ b/crates/cli/tests/node/scheduling_delay.rs
@@ -43,7 +43,7 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let delayed = delay_sends(&shim, &site);
-    assert!(client.response().await.expect("a complete response").0 >= 400);
+    assert!(client.response().await.expect("a complete response").status >= 400);
     let received = site.backends.iter().flat_map(|backend| backend.received());
     let mut arrived: Vec<Instant> = received.map(|received| received.received_at).collect();
     arrived.sort();
@@ -69,7 +69,7 @@
         let (id, mut client) = (id(), site.client().await);
         client.send(&store(&id, "x")).await;
         let sent = Instant::now();
-        assert_eq!(client.response().await.expect("a complete response").0, 200);
+        assert_eq!(client.response().await.expect("a complete response").status, 200);
         let received = site.backends.iter().flat_map(|backend| backend.received());
         let attempt = received
             .into_iter()
@@ -96,7 +96,7 @@
     let ask = async || {
         let mut client = site.client().await;
         while Instant::now() < end {
-            assert!(matches!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200 | 429));
+            assert!(matches!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200 | 429));
         }
     };
     let drain = async {
--- a/crates/cli/tests/node/shutdown_deadline.rs
+++ b/crates/cli/tests/node/shutdown_deadline.rs
@@ -1,7 +1,7 @@
 //! A shutdown that SIGKILL ends at the earliest moment that the platform allows: the longest deadline of the deployment (3 s
 //! at most) and 0.7 s after SIGTERM. Clients send on every connection that stays open.
 
-use crate::support::{Client, READY, Site, delayed_echo, id, parse_response, request, store};
+use crate::support::{Client, ClientResponse, READY, Site, delayed_echo, id, parse_response, request, store};
 use nix::sys::signal::Signal;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -76,7 +76,7 @@
         }
     };
     match timeout_at(kill, end).await {
-        Ok(Ok(1..)) => Outcome::Response(parse_response(&bytes).expect("read whole").0),
+        Ok(Ok(1..)) => Outcome::Response(parse_response(&bytes).expect("a complete response").status),
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => Outcome::Unread,
         _ => Outcome::Lost,
     }
@@ -111,7 +111,7 @@
     }
     // A response shows that the process has accepted the others.
     let mut front = site.client().await;
-    assert_eq!(front.exchange(READY).await.unwrap().0, 200);
+    assert_eq!(front.exchange(READY).await.unwrap().status, 200);
     let notified = Instant::now();
     site.signal(Signal::SIGTERM);
     let kill = notified + Duration::from_secs_f64(span);
@@ -144,7 +144,7 @@
         // Some may be rejected at once: the backends do not answer.
         tokio::select! {
             () = forwarded(&site, &id) => clients.push(client),
-            answer = client.response() => assert_eq!(answer.expect("a whole response").0, 429),
+            answer = client.response() => assert_eq!(answer.expect("a complete response").status, 429),
         }
     }
     assert!(!clients.is_empty());
@@ -175,7 +175,7 @@
     let kill = notified + Duration::from_secs_f64(1.5 + KILL_MARGIN);
     let answers = async {
         let mut statuses = Vec::new();
-        while let Some((status, head, _)) = client.response().await {
+        while let Some(ClientResponse { status, head, .. }) = client.response().await {
             statuses.push((status, head.contains("connection: close")));
         }
         statuses
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -192,7 +192,7 @@
                 };
                 client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await;
                 // Its first list may not have arrived yet.
-                if client.response().await.unwrap().0 == 200 && !self.discovery.received().is_empty() {
+                if client.response().await.unwrap().status == 200 && !self.discovery.received().is_empty() {
                     return;
                 }
             }
@@ -238,8 +238,14 @@
 
 pub struct Client(pub TcpStream);
 
-/// Status, head in lower case, and body of a response.
-pub type ClientResponse = (u16, String, String);
+/// A response as a client reads it.
+#[derive(Debug, PartialEq, Eq)]
+pub struct ClientResponse {
+    pub status: u16,
+    /// In lower case.
+    pub head: String,
+    pub body: String,
+}
 
 impl Client {
     pub async fn send(&mut self, bytes: &str) {
@@ -282,7 +288,11 @@
     let head = head.to_lowercase();
     let length: usize = head.split("content-length: ").nth(1)?.split("\r\n").next()?.parse().unwrap();
     let status = head.split(' ').nth(1)?.parse().unwrap();
-    (body.len() >= length).then(|| (status, head.clone(), body[..length].to_string()))
+    (body.len() >= length).then(|| ClientResponse {
+        status,
+        head: head.clone(),
+        body: body[..length].to_string(),
+    })
 }
 
 pub fn id() -> String {
@@ -326,7 +336,7 @@
     let notified = std::time::Instant::now();
     let mut client = site.client().await;
     while notified.elapsed().as_secs_f64() < 3.5 * STOP_WITHIN {
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     site.backends[0]
--- a/crates/cli/tests/node/system_calls.rs
+++ b/crates/cli/tests/node/system_calls.rs
@@ -1,6 +1,6 @@
 //! System calls that fail, or transfer less than requested, in the ways that Linux documents.
 
-use crate::support::{LIMIT, REUSE_PAUSE, Site, echo, id, list, request, store};
+use crate::support::{ClientResponse, LIMIT, REUSE_PAUSE, Site, echo, id, list, request, store};
 use bytes::Bytes;
 use std::time::{Duration, Instant};
 use weirusher_fakes::{Reply, counting};
@@ -14,7 +14,7 @@
         let (id, began) = (id(), Instant::now());
         let text =
             if nth.is_multiple_of(2) { store(&id, &"x".repeat(2000)) } else { request(&id, "iso", 3000) };
-        let (status, _, body) = client.exchange(&text).await.expect("a complete response");
+        let ClientResponse { status, body, .. } = client.exchange(&text).await.expect("a complete response");
         assert_eq!((status, body), (200, format!("done {id}")), "{nth}");
         assert!(began.elapsed() < Duration::from_secs(2), "{nth}: {:?}", began.elapsed());
         assert_eq!(site.attempts(&id), 1, "{nth}: one attempt");
@@ -41,7 +41,7 @@
             .expect("the list is read");
         let before = site.backends[0].received().len();
         all_served(&site, 4).await;
-        assert_eq!(site.backends[0].received().len(), before, "nothing new at one that leaves");
+        assert_eq!(site.backends[0].received().len(), before, "nothing new at a draining backend");
         assert!(short.into_iter().all(|fault| shim.end(fault) > 100));
     }
 }
@@ -56,7 +56,7 @@
     let sent = Instant::now();
     tokio::time::sleep(Duration::from_millis(800)).await;
     assert!(shim.end(fails) > 0);
-    assert_eq!(client.response().await.expect("a complete response").0, 200);
+    assert_eq!(client.response().await.expect("a complete response").status, 200);
     let received = site.backends[0].received();
     let attempt =
         received.iter().find(|received| received.request.headers.get("x-trace-id") == Some(&id)).unwrap();
@@ -139,7 +139,7 @@
 /// Clients send requests on new and kept connections until `stop`; each gets its response in time.
 async fn ask_until(site: &Site, stop: &std::sync::atomic::AtomicBool, deadline: u64) -> usize {
     let ask = async |nth: usize| {
-        let mut asked = 0;
+        let mut sent = 0;
         let mut kept = site.client().await;
         while !stop.load(std::sync::atomic::Ordering::Relaxed) {
             let (id, began) = (id(), Instant::now());
@@ -148,11 +148,11 @@
             } else {
                 request(&id, "iso", deadline)
             };
-            if asked % 2 == 0 {
+            if sent % 2 == 0 {
                 kept = site.client().await;
             }
             let answer = kept.exchange(&text).await;
-            let (status, _, body) = answer.expect("a complete response");
+            let ClientResponse { status, body, .. } = answer.expect("a complete response");
             assert!(matches!(status, 200 | 429 | 502 | 503), "{status}");
             assert!(status != 200 || body == format!("done {id}"), "{body}");
             let took = began.elapsed().as_millis() as u64;
@@ -160,10 +160,10 @@
             if nth.is_multiple_of(2) {
                 assert!(site.attempts(&id) <= 1, "an unsafe request is sent once");
             }
-            asked += 1;
+            sent += 1;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        asked
+        sent
     };
     futures::future::join_all((0..6).map(ask)).await.into_iter().sum()
 }
@@ -183,7 +183,7 @@
     }
     let stop = std::sync::atomic::AtomicBool::new(false);
     let load = ask_until(&site, &stop, 3500);
-    let trouble = async {
+    let fault_under_load = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         let (descriptors, cpu, began) = (descriptors(&site), cpu_seconds(&site), Instant::now());
         let faults = fault(&site, call, errno, way).into_iter();
@@ -218,9 +218,10 @@
         (descriptors, Instant::now())
     };
     let again = async {
-        let (descriptors, ended) = trouble.await;
+        let (descriptors, ended) = fault_under_load.await;
         let mut client = site.client().await;
-        while client.exchange(&request(&id(), "iso", 3000)).await.expect("a complete response").0 != 200 {
+        while client.exchange(&request(&id(), "iso", 3000)).await.expect("a complete response").status != 200
+        {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let took = ended.elapsed();
@@ -228,9 +229,9 @@
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
         (descriptors, took)
     };
-    let ((before, took), asked) = tokio::join!(again, load);
+    let ((before, took), sent) = tokio::join!(again, load);
     assert!(took <= SERVING_AGAIN, "served again after {took:?}: {call:?} {errno:?} {way:?}");
-    assert!(asked > 20, "{asked} requests");
+    assert!(sent > 20, "{sent} requests");
     // The clients have closed: what is left is the process's own, and its connections to the servers.
     let settled = async {
         while descriptors(&site) > before {
@@ -276,7 +277,7 @@
         for _ in 0..3 {
             let (unsafe_id, began) = (id(), Instant::now());
             let text = store(&unsafe_id, "x").replace("3000m", "1000m");
-            let (status, ..) = client.exchange(&text).await.expect("a complete response");
+            let ClientResponse { status, .. } = client.exchange(&text).await.expect("a complete response");
             assert!(status == 502 && began.elapsed() < Duration::from_millis(1500), "{status} {errno}");
             assert_eq!(site.attempts(&unsafe_id), 1, "{errno}");
         }
@@ -287,7 +288,7 @@
         site.backends[2].set_script(echo);
         let (safe_id, customer) = (id(), "00000000b4d65999");
         let text = request(&safe_id, "iso", 3000).replace("00000000b4d65521", customer);
-        assert_eq!(client.exchange(&text).await.expect("a complete response").0, 200, "{errno}");
+        assert_eq!(client.exchange(&text).await.expect("a complete response").status, 200, "{errno}");
         let hit: u64 = dying.into_iter().map(|fault| shim.end(fault)).sum();
         assert!(hit >= 3 && shim.end(counter) > 0, "{hit}");
     }
--- a/crates/cli/tests/node/wall_clock.rs
+++ b/crates/cli/tests/node/wall_clock.rs
@@ -4,7 +4,8 @@
 use crate::platform::{STOP_WITHIN, configuration};
 use crate::process::ended;
 use crate::support::{
-    Client, Site, delayed_echo, id, last_attempt_at_draining_backend, list, request, store, with_starts,
+    Client, ClientResponse, Site, delayed_echo, id, last_attempt_at_draining_backend, list, request, store,
+    with_starts,
 };
 use nix::sys::signal::Signal;
 use serde_json::Value;
@@ -58,7 +59,7 @@
     let ask = async || {
         let mut client = site.client().await;
         while Instant::now() < end {
-            let (status, ..) = client.exchange(&request(&id(), "iso", 3000)).await.unwrap();
+            let ClientResponse { status, .. } = client.exchange(&request(&id(), "iso", 3000)).await.unwrap();
             assert!(status == 200 || status == 429, "{status}");
             tokio::time::sleep(Duration::from_millis(3)).await;
         }
@@ -150,7 +151,7 @@
 async fn use_up(client: &mut Client) {
     let mut last = 0;
     for _ in 0..5 {
-        last = client.exchange(&request(&id(), "tiny", 3000)).await.unwrap().0;
+        last = client.exchange(&request(&id(), "tiny", 3000)).await.unwrap().status;
     }
     assert_eq!(last, 429);
 }
@@ -169,7 +170,7 @@
     use_up(&mut client).await;
     step_clock();
     for _ in 0..3 {
-        let status = client.exchange(&request(&id(), "tiny", 3000)).await.unwrap().0;
+        let status = client.exchange(&request(&id(), "tiny", 3000)).await.unwrap().status;
         assert_eq!(status, 429, "the window goes on, stepped by {step} s");
     }
 
@@ -177,7 +178,7 @@
     let reload = site.reload(again);
     step_clock();
     reload.await;
-    assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().0, 200);
+    assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
 
     let stepping = async {
         tokio::time::sleep(STEP_INTO_THE_DRAIN).await;
@@ -194,7 +195,7 @@
     }
     site.signal(Signal::SIGTERM);
     step_clock();
-    assert_eq!(client.response().await.expect("a complete response").0, 200, "stepped by {step} s");
+    assert_eq!(client.response().await.expect("a complete response").status, 200, "stepped by {step} s");
     assert!(ended(&mut site.child).await.success());
 }
 
--- a/crates/cli/tests/run_process.rs
+++ b/crates/cli/tests/run_process.rs
@@ -190,8 +190,8 @@
 
 /// One of the process's figures on the admin page.
 async fn figure(gateway: &Gateway, name: &str) -> u64 {
-    let asked = weirusher_peers::page::get(gateway.admin, "/stats");
-    let page = tokio::time::timeout(LIMIT, asked).await.expect("an answer").unwrap();
+    let stats = weirusher_peers::page::get(gateway.admin, "/stats");
+    let page = tokio::time::timeout(LIMIT, stats).await.expect("an answer").unwrap();
     let stats: serde_json::Value = serde_json::from_slice(&page.body).unwrap();
     stats["process"][name].as_u64().unwrap_or_else(|| panic!("no {name} in {stats}"))
 }
--- a/crates/scenarios/benches/ext_authz.rs
+++ b/crates/scenarios/benches/ext_authz.rs
@@ -1,8 +1,8 @@
-//! External authorisation on loopback, beside a bare tonic server that answers every Check with OK.
+//! External authorisation on loopback, compared with a bare tonic server that answers every check with OK.
 //!
-//! `cargo bench -p weirusher-scenarios --bench ext_authz`. Both servers run in this process on a runtime of
-//! their own, of one worker and of as many as there are cores; clients run on another. Each server gets the same
-//! Checks in turns, so that what else the machine does falls on both. The ratios are the figures.
+//! `cargo bench -p weirusher-scenarios --bench ext_authz`. Both servers run in this process on a runtime of their own, first with
+//! one worker thread and then with one for each core; clients run on another runtime. The servers get the same checks in turns,
+//! so that other load on the machine affects both. The ratios are the result.
 
 use envoy_types::pb::envoy::data::accesslog::v3::HttpResponseProperties;
 use envoy_types::pb::envoy::data::accesslog::v3::{
@@ -35,23 +35,26 @@
 use weirusher_config::Config;
 use weirusher_fakes::{Counter, Discovery, Recorder};
 
-/// Checks of one turn at full speed.
+/// Checks of one turn at full rate.
 const CHECKS: usize = 20_000;
-/// Seconds of one turn at half speed.
-const HALF: f64 = 2.0;
+/// Seconds of one turn at half of the full rate.
+const HALF_RATE_SECONDS: f64 = 2.0;
 /// Turns of each server.
 const TURNS: usize = 5;
-/// Connections, and Checks out on each at full speed.
+/// Connections of a client.
 const CONNECTIONS: usize = 4;
-const DEPTH: usize = 16;
-/// Customers and checkers.
+/// Checks in flight on each connection at full rate.
+const IN_FLIGHT: usize = 16;
+/// Customers of the checks.
 const CUSTOMERS: usize = 1_000;
-const CHECKERS: usize = 50;
+/// Backends of the endpoint list.
+const BACKENDS: usize = 50;
 
-struct Bare;
+/// A service that allows every check.
+struct BareService;
 
 #[tonic::async_trait]
-impl Authorization for Bare {
+impl Authorization for BareService {
     async fn check(&self, _: Request<CheckRequest>) -> Result<Response<CheckResponse>, Status> {
         Ok(Response::new(CheckResponse {
             status: Some(RpcStatus::default()),
@@ -69,22 +72,22 @@
         .expect("a runtime")
 }
 
-async fn bare() -> SocketAddr {
+async fn start_bare_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let incoming = tonic::transport::server::TcpIncoming::from(listener).with_nodelay(Some(true));
-    let server = tonic::transport::Server::builder().add_service(AuthorizationServer::new(Bare));
+    let server = tonic::transport::Server::builder().add_service(AuthorizationServer::new(BareService));
     tokio::spawn(server.serve_with_incoming(incoming));
     address
 }
 
-/// A gatekeeper with its counter and its list; what holds them lives as long as the process.
-async fn gatekeeper() -> SocketAddr {
+/// Starts a gateway with its counter and discovery, which run until the process ends.
+async fn start_gateway() -> SocketAddr {
     let any = "127.0.0.1:0".parse().expect("an address");
     let counter = Counter::start(any, Recorder::new(None)).await.expect("a counter");
     let discovery = Discovery::start(any, Duration::ZERO, Recorder::new(None)).await.expect("discovery");
     let entry = |n: usize| Endpoint::warm(format!("127.0.0.1:{}", 10_000 + n));
-    discovery.set((0..CHECKERS).map(entry).collect());
+    discovery.set((0..BACKENDS).map(entry).collect());
     let text = format!(
         "default_plan = \"p\"\n[instance]\nnumber = 0\ngateways = 1\n[listen]\next_authz = \"127.0.0.1:0\"\n\
          [[tickets.keys]]\nid = 1\nsecret = \"0123456789abcdef0123456789abcdef\"\n[counter]\naddress = \"{}\"\n\
@@ -153,8 +156,8 @@
         Self { check: AuthorizationClient::new(channel), reports }
     }
 
-    /// One Check, its time, and its report; tells whether it was allowed.
-    async fn once(&mut self, n: usize) -> (Duration, bool) {
+    /// Sends one check and the report on its attempt: how long the check took, and whether it was allowed.
+    async fn check_once(&mut self, n: usize) -> (Duration, bool) {
         let request = request(n);
         let began = Instant::now();
         let response = self.check.check(request).await.expect("an answer").into_inner();
@@ -167,18 +170,18 @@
     }
 }
 
-/// Checks a second with many out, and the share that was allowed.
-async fn full(clients: &[Client]) -> (f64, f64) {
+/// Runs a turn at full rate: checks a second, and the share of them that was allowed.
+async fn run_full_rate(clients: &[Client]) -> (f64, f64) {
     let began = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
-    let each = CHECKS / (clients.len() * DEPTH);
+    let each = CHECKS / (clients.len() * IN_FLIGHT);
     for (c, client) in clients.iter().enumerate() {
-        for d in 0..DEPTH {
+        for d in 0..IN_FLIGHT {
             let mut client = client.clone();
             tasks.spawn(async move {
                 let mut allowed = 0;
                 for n in 0..each {
-                    allowed += usize::from(client.once((c * DEPTH + d) * each + n).await.1);
+                    allowed += usize::from(client.check_once((c * IN_FLIGHT + d) * each + n).await.1);
                 }
                 allowed
             });
@@ -188,32 +191,32 @@
     while let Some(done) = tasks.join_next().await {
         allowed += done.expect("no client panics");
     }
-    let made = each * clients.len() * DEPTH;
-    (made as f64 / began.elapsed().as_secs_f64(), allowed as f64 / made as f64)
+    let sent = each * clients.len() * IN_FLIGHT;
+    (sent as f64 / began.elapsed().as_secs_f64(), allowed as f64 / sent as f64)
 }
 
-/// Delays at `rate` Checks a second, in microseconds.
-async fn paced(clients: &[Client], rate: f64, delays: &mut Histogram<u64>) {
+/// Runs a turn at `rate` checks a second, and records the latencies in microseconds.
+async fn run_paced(clients: &[Client], rate: f64, latencies: &mut Histogram<u64>) {
     let mut tasks = tokio::task::JoinSet::new();
     let each = rate / clients.len() as f64;
     for client in clients {
         let client = client.clone();
         tasks.spawn(async move {
             let (began, mut calls) = (tokio::time::Instant::now(), tokio::task::JoinSet::new());
-            for n in 0..(each * HALF) as usize {
+            for n in 0..(each * HALF_RATE_SECONDS) as usize {
                 tokio::time::sleep_until(began + Duration::from_secs_f64(n as f64 / each)).await;
                 let mut client = client.clone();
-                calls.spawn(async move { client.once(n).await.0 });
+                calls.spawn(async move { client.check_once(n).await.0 });
             }
             calls.join_all().await
         });
     }
     for took in tasks.join_all().await.into_iter().flatten() {
-        delays.record(took.as_micros() as u64).expect("it grows");
+        latencies.record(took.as_micros() as u64).expect("it grows");
     }
 }
 
-fn middle(mut values: Vec<f64>) -> f64 {
+fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values[values.len() / 2]
 }
@@ -228,34 +231,35 @@
 
 fn measure(workers: usize) {
     let (server, outside) = (runtime(workers), runtime(2));
-    let addresses = server.block_on(async { [tokio::spawn(bare()).await, tokio::spawn(gatekeeper()).await] });
+    let addresses = server
+        .block_on(async { [tokio::spawn(start_bare_server()).await, tokio::spawn(start_gateway()).await] });
     let addresses = addresses.map(|a| a.expect("it starts"));
     outside.block_on(async {
         let both = [clients(addresses[0]).await, clients(addresses[1]).await];
         let (mut rates, mut allowed) = ([Vec::new(), Vec::new()], Vec::new());
         for _ in 0..TURNS {
             for (which, clients) in both.iter().enumerate() {
-                let (rate, share) = full(clients).await;
+                let (rate, share) = run_full_rate(clients).await;
                 rates[which].push(rate);
                 if which == 1 {
                     allowed.push(share);
                 }
             }
         }
-        let [bare, ours] = rates.map(middle);
+        let [bare, ours] = rates.map(median);
         println!(
             "{workers} workers: bare {bare:.0}/s, weirusher {ours:.0}/s, ratio {:.2}; allowed {:.3}",
             ours / bare,
-            middle(allowed)
+            median(allowed)
         );
-        let mut delays = [(); 2].map(|()| Histogram::<u64>::new(3).expect("three digits are allowed"));
+        let mut latencies = [(); 2].map(|()| Histogram::<u64>::new(3).expect("three digits are allowed"));
         for _ in 0..2 {
             for (which, clients) in both.iter().enumerate() {
-                paced(clients, ours / 2.0, &mut delays[which]).await;
+                run_paced(clients, ours / 2.0, &mut latencies[which]).await;
             }
         }
-        for (name, d) in ["bare", "weirusher"].iter().zip(&delays) {
-            let at = |share| d.value_at_quantile(share);
+        for (name, latencies) in ["bare", "weirusher"].iter().zip(&latencies) {
+            let at = |quantile| latencies.value_at_quantile(quantile);
             println!(
                 "  at {:.0}/s {name:<10} p50 {} us, p99 {} us, p99.9 {} us",
                 ours / 2.0,
