--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -72,7 +72,7 @@
             },
             ..Customer::default()
         };
-        let customer = self.customers.entry(request.customer.clone()).or_insert_with(new_customer);
+        let customer = self.customers.find_or_insert_with(&request.customer, new_customer);
         customer.plan = request.plan;
         customer.instances = customer_instances;
         customer.position = (instance + instances - request.first_instance % instances) % instances;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -64,7 +64,7 @@
         backend.in_flight += 1.0;
         backend.slow_start.level -= request.units.max(1.0);
         self.concurrency.attempt_started();
-        if let Some(customer) = self.customers.get_mut(&request.customer) {
+        if let Some(customer) = self.customers.find(&request.customer) {
             customer.open_attempts += 1;
         }
         self.load.record_sent(self.now, request.units);
@@ -130,7 +130,7 @@
                 Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
                 _ => Progress::MayHaveRun,
             };
-            if let Some(customer) = self.customers.get_mut(&open.request.customer) {
+            if let Some(customer) = self.customers.find(&open.request.customer) {
                 customer.open_attempts = customer.open_attempts.saturating_sub(1);
                 if let Some(units) = outcome.settled_units {
                     customer.uncounted.add(self.now, units - open.request.units);
--- a/src/policy/call_pacing.rs
+++ b/src/policy/call_pacing.rs
@@ -14,7 +14,7 @@
 };
 use crate::interface::{Status, Time};
 
-/// Least priority that a call's cost is reckoned with.
+/// Lower bound of a priority, against divisions by zero.
 const MIN_PRIORITY: f64 = 1e-9;
 
 /// The budget of calls.
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -12,19 +12,19 @@
 use super::window::phase;
 use crate::interface::{CustomerId, Plan, Time};
 
-/// Least rate of a headroom that is reckoned with.
+/// Lower bound of the rate of a headroom, against divisions by zero.
 const MIN_HEADROOM_RATE: f64 = 1e-9;
 
 impl Gateway {
     /// Whether this gateway's part of the headroom covers a request of `units`.
     pub(super) fn ceiling_covers(&mut self, key: &CustomerId, plan: &Plan, units: f64) -> bool {
         let request_units = self.settings.max_request_units.max(1.0);
-        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let customer = self.customers.known(key);
         let rate =
             plan.rate.min(CEILING_HEADROOM_FRACTION * (plan.ceiling_rate - plan.rate)).max(MIN_HEADROOM_RATE);
         let burst = plan.burst.min(CEILING_HEADROOM_FRACTION * (plan.ceiling_burst - plan.burst)).max(0.0);
         let seconds_per_request = request_units / rate;
-        let instances = customer.instances_f64();
+        let instances = f64::from(customer.instances);
         let phase = f64::from(customer.position % customer.instances) + phase(key);
         // Units assigned to this gateway since the origin of time.
         let assigned = |at: Time| ((at / seconds_per_request - phase) / instances).floor() * request_units;
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -135,7 +135,7 @@
         purpose: Purpose,
         plan: &Plan,
     ) {
-        let counter = counter_name(customer, self.customers[customer].plan, window);
+        let counter = counter_name(customer, self.customers.known(customer).plan, window);
         let call = Call { customer: customer.clone(), window, amount, purpose };
         self.counter.in_flight.entry(counter).or_default().push_back(call);
         self.counter.pacer.withdraw();
--- a/src/policy/customer.rs
+++ b/src/policy/customer.rs
@@ -1,10 +1,10 @@
 //! A customer's quota as this gateway knows it. Quantities are quota units.
 
+use super::count_reading::CountHistory;
 use super::lease::PendingCall;
-use super::settlement::CountHistory;
 use super::token_bucket::{DecayingSum, TokenBucket};
-use crate::interface::{RequestId, Time};
-use std::collections::VecDeque;
+use crate::interface::{CustomerId, RequestId, Time};
+use std::collections::{HashMap, VecDeque};
 
 /// What a gateway knows of a customer.
 #[derive(Debug, Default)]
@@ -45,13 +45,43 @@
 
 impl Customer {
     /// Whether nothing of it is in flight.
-    pub(super) fn is_idle(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.open_attempts == 0 && self.pending_call.is_none()
     }
 
-    /// The number of gateways that serve the customer, for calculations.
-    pub(super) fn instances_f64(&self) -> f64 {
-        f64::from(self.instances)
+    /// This gateway's even share of `units` among the gateways that serve the customer.
+    pub(super) fn even_share(&self, units: f64) -> f64 {
+        units / f64::from(self.instances)
+    }
+}
+
+/// The customers that have sent requests recently.
+#[derive(Debug, Default)]
+pub(super) struct CustomerTable(HashMap<CustomerId, Customer>);
+
+impl CustomerTable {
+    /// A customer that may have been forgotten.
+    pub(super) fn find(&mut self, id: &CustomerId) -> Option<&mut Customer> {
+        self.0.get_mut(id)
+    }
+
+    /// A customer that has a request at hand or a call in flight: it is not forgotten.
+    pub(super) fn known(&mut self, id: &CustomerId) -> &mut Customer {
+        self.0.get_mut(id).expect("a customer with a request or a call is kept")
+    }
+
+    /// The customer, or the new one that is made by `new`.
+    pub(super) fn find_or_insert_with(
+        &mut self,
+        id: &CustomerId,
+        new: impl FnOnce() -> Customer,
+    ) -> &mut Customer {
+        self.0.entry(id.clone()).or_insert_with(new)
+    }
+
+    /// Forgets the customers that have been idle for `idle_seconds` at `now`.
+    pub(super) fn forget_idle(&mut self, now: Time, idle_seconds: f64) {
+        self.0.retain(|_, customer| now - customer.last_used < idle_seconds || !customer.is_idle());
     }
 }
 
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -13,33 +13,33 @@
 impl Customer {
     /// Units that the fallback limit holds for a request of `units`.
     fn fallback_level(&mut self, now: Time, plan: &Plan, units: f64) -> f64 {
-        let instances = self.instances_f64();
-        let (rate, burst) = (plan.rate / instances, (plan.burst / instances).max(units));
+        let rate = self.even_share(plan.rate);
+        let burst = self.even_share(plan.burst).max(units);
         let unreported = (self.uncounted.units - rate * (now - self.uncounted.since)).max(0.0);
         self.fallback.refill(now, rate, burst - unreported)
     }
 
     /// Refills the fallback limit without a bound, before it is set from a known level.
     pub(super) fn refill_fallback(&mut self, now: Time, plan: &Plan) {
-        self.fallback.refill(now, plan.rate / self.instances_f64(), f64::INFINITY);
+        self.fallback.refill(now, self.even_share(plan.rate), f64::INFINITY);
     }
 
     /// Lowers the fallback limit to this gateway's share of a level that others may not have reported to yet.
     pub(super) fn cap_fallback(&mut self, level: f64) {
-        self.fallback.level = self.fallback.level.min(level / self.instances_f64());
+        self.fallback.level = self.fallback.level.min(self.even_share(level));
     }
 
     /// Sets the fallback limit to this gateway's share of a known level. What was spent during the call is
     /// not in it.
     pub(super) fn set_fallback(&mut self, level: f64) {
-        self.fallback.level = level / self.instances_f64() - self.uncounted.units.max(0.0);
+        self.fallback.level = self.even_share(level) - self.uncounted.units.max(0.0);
     }
 }
 
 impl Gateway {
     /// Whether the fallback limit covers a request of `units`.
     pub(super) fn fallback_covers(&mut self, key: &CustomerId, plan: &Plan, units: f64) -> bool {
-        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let customer = self.customers.known(key);
         let covers = customer.fallback_level(self.now, plan, units) >= units;
         if plan.ceiling_rate > 0.0 {
             let fractional = is_fractional(plan, customer.instances, units);
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -48,7 +48,7 @@
     fn lease_units(&self, now: Time, needed: f64, plan: &Plan) -> f64 {
         let demand = self.demand.sum / DEMAND_MEMORY_SECONDS;
         let level = self.level.map_or(plan.burst, |mut level| level.refill(now, plan.rate, plan.burst));
-        let spare = (demand * LEASE_DEMAND_SECONDS).min(level / self.instances_f64());
+        let spare = (demand * LEASE_DEMAND_SECONDS).min(self.even_share(level));
         ((needed - self.lease).ceil() + spare.floor()).max(0.0)
     }
 }
@@ -57,7 +57,7 @@
     /// Calls for a lease that covers the waiting requests.
     pub(super) fn request_lease(&mut self, key: &CustomerId, plan: &Plan) {
         let window = Window::at(self.now, key, plan).index;
-        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let customer = self.customers.known(key);
         let needed: f64 = customer.waiting.iter().map(|id| self.requests[id].request.units).sum();
         let requested = customer.lease_units(self.now, needed, plan);
         let shares = &mut self.fractional_shares[customer.plan];
@@ -72,7 +72,7 @@
         self.add_to_count(key, window, requested + uncounted + estimate, purpose, plan);
         let wait = COUNTER_WAIT_FRACTION * self.settings.counter_timeout;
         let token = self.set_timer(self.now + wait, Timer::LeaseWait(key.clone()));
-        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let customer = self.customers.known(key);
         customer.lease_window = window;
         customer.pending_call = Some(PendingCall { token, overdue: false });
     }
@@ -81,7 +81,7 @@
     /// fail, to try whether it responds. No request waits for this call.
     pub(super) fn report_uncounted(&mut self, key: &CustomerId, plan: &Plan) {
         let window = Window::at(self.now, key, plan).index;
-        let customer = &self.customers[key];
+        let customer = self.customers.known(key);
         let nothing_to_report = !self.counter.is_failing() && customer.uncounted.units <= 0.0;
         if nothing_to_report || customer.pending_call.is_some() {
             return;
@@ -90,7 +90,7 @@
         let purpose = Purpose::Lease(LeaseRequest { requested: 0.0, uncounted });
         self.add_to_count(key, window, uncounted, purpose, plan);
         let token = self.timers.next_token();
-        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let customer = self.customers.known(key);
         customer.pending_call = Some(PendingCall { token, overdue: true });
     }
 
@@ -98,14 +98,14 @@
     /// outage: the count does not know of that refill, as it holds no more than the burst. Nothing while
     /// calls fail: a call that was counted without a response would be paid twice.
     fn take_uncounted(&mut self, key: &CustomerId, plan: &Plan) -> f64 {
-        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let customer = self.customers.known(key);
         if self.counter.is_failing() {
             return 0.0;
         }
         let uncounted = std::mem::take(&mut customer.uncounted);
         let outage_end = self.counter.returned_at() - LEVEL_REFRESH_SECONDS;
         let refilled = plan.rate * (outage_end - uncounted.since) - plan.burst;
-        (uncounted.units - refilled.max(0.0) / customer.instances_f64()).max(0.0)
+        (uncounted.units - customer.even_share(refilled.max(0.0))).max(0.0)
     }
 
     /// Takes the end of a call to the counter: settles its total, and decides the requests that waited for
@@ -113,7 +113,7 @@
     pub(super) fn counter_response(&mut self, counter: u64, status: Status, total: f64, elapsed: f64) {
         let Some(call) = self.counter.finish(counter) else { return };
         self.counter.observe(self.now, status, elapsed);
-        let Some(customer) = self.customers.get_mut(&call.customer) else { return };
+        let Some(customer) = self.customers.find(&call.customer) else { return };
         let plan = self.settings.plans[customer.plan].clone();
         match call.purpose {
             _ if status == Status::Ok => self.apply_total(&call, total, &plan),
@@ -124,7 +124,7 @@
             _ => {}
         }
         if let Purpose::Lease(_) = call.purpose {
-            let customer = self.customers.get_mut(&call.customer).expect("looked up above");
+            let customer = self.customers.known(&call.customer);
             customer.pending_call = None;
             let waiting = std::mem::take(&mut customer.waiting);
             self.admit_waiting(waiting, status == Status::Ok, &plan);
@@ -134,7 +134,7 @@
     /// Ends the wait for a lease that was requested with this token. Guards against a slow counter that holds
     /// requests.
     pub(super) fn end_lease_wait(&mut self, key: &CustomerId, token: u64) {
-        let Some(customer) = self.customers.get_mut(key) else { return };
+        let Some(customer) = self.customers.find(key) else { return };
         let Some(call) = customer.pending_call.as_mut().filter(|call| call.token == token) else { return };
         call.overdue = true;
         let plan = self.settings.plans[customer.plan].clone();
@@ -147,7 +147,7 @@
         for id in waiting {
             let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { continue };
             let units = open.request.units;
-            if self.customers[&open.request.customer].lease >= units {
+            if self.customers.known(&open.request.customer).lease >= units {
                 self.spend(&id, units, Funding::Lease);
             } else if settled {
                 self.over_quota(&id, plan);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,6 +15,7 @@
 mod call_pacing;
 mod ceiling;
 mod concurrency_limit;
+mod count_reading;
 mod counter;
 mod customer;
 mod endpoint_list;
@@ -39,13 +40,13 @@
 mod tuning;
 mod window;
 
-use crate::interface::{Action, CustomerId, Event, RequestId, Settings, SettingsError, Time};
+use crate::interface::{Action, Event, RequestId, Settings, SettingsError, Time};
 use crate::validation::validate;
 use attempts::AttemptOutcome;
 use backend::BackendTable;
 use concurrency_limit::ConcurrencyLimit;
 use counter::CounterCalls;
-use customer::Customer;
+use customer::CustomerTable;
 use fractional_share::FractionalShares;
 use latency::LatencyEstimate;
 use request::OpenRequest;
@@ -66,7 +67,7 @@
     actions: Vec<Action>,
     timers: Timers,
     requests: HashMap<RequestId, OpenRequest>,
-    customers: HashMap<CustomerId, Customer>,
+    customers: CustomerTable,
     counter: CounterCalls,
     /// By plan.
     fractional_shares: Vec<FractionalShares>,
@@ -92,7 +93,7 @@
             actions: Vec::new(),
             timers: Timers::default(),
             requests: HashMap::new(),
-            customers: HashMap::new(),
+            customers: CustomerTable::default(),
             counter: CounterCalls::new(&settings),
             fractional_shares: vec![FractionalShares::default(); settings.plans.len()],
             backends: BackendTable::default(),
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -27,7 +27,8 @@
     fn level_exhausted(&self, now: Time, plan: &Plan, units: f64) -> bool {
         let recent = self.level.filter(|level| now - level.at < LEVEL_REFRESH_SECONDS);
         let Some(mut level) = recent else { return false };
-        let requests = if self.partly_granted { self.instances_f64().min(plan.burst / 2.0) } else { 1.0 };
+        let requests =
+            if self.partly_granted { f64::from(self.instances).min(plan.burst / 2.0) } else { 1.0 };
         let needed = requests.max(1.0) * units;
         level.refill(now, plan.rate, plan.burst) + self.lease + UNIT_TOLERANCE < needed
     }
@@ -45,7 +46,7 @@
         let request = &self.requests[id].request;
         let (units, key) = (request.units, request.customer.clone());
         let call_allowed = self.counter.allows_call(self.now, units * plan.priority_weight);
-        let customer = self.customers.get_mut(&key).expect("a customer with requests is known");
+        let customer = self.customers.known(&key);
         if customer.lease_window != Window::at(self.now, &key, plan).index {
             customer.lease = 0.0; // It expires with its window.
         }
@@ -73,12 +74,12 @@
     /// Calls for a lease. The request waits for it, but the first one of a customer is admitted by the
     /// fallback limit where that covers it.
     fn admit_by_new_lease(&mut self, id: &RequestId, key: &CustomerId, plan: &Plan, units: f64) {
-        let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+        let customer = self.customers.known(key);
         let unknown_level = customer.level.is_none() && !is_fractional(plan, customer.instances, units);
         customer.waiting.push_back(id.clone());
         self.request_lease(key, plan);
         if unknown_level && self.fallback_covers(key, plan, units) {
-            let customer = self.customers.get_mut(key).expect("a customer with requests is known");
+            let customer = self.customers.known(key);
             customer.waiting.pop_back();
             self.spend(id, units, Funding::Fallback);
         }
@@ -103,7 +104,7 @@
         let admitted = worthwhile
             && self.has_capacity(SPARE_CAPACITY_FRACTION)
             && (plan.ceiling_rate <= 0.0 || self.ceiling_covers(&key, plan, units));
-        let customer = self.customers.get_mut(&key).expect("a customer with requests is known");
+        let customer = self.customers.known(&key);
         if admitted {
             customer.ceiling_headroom.take(units);
             self.send_first_attempt(id);
@@ -118,7 +119,7 @@
         let request = &self.requests[id].request;
         let plan = &self.settings.plans[request.plan];
         let failing = self.counter.is_failing() || self.counter.is_unavailable(self.now);
-        let customer = self.customers.get_mut(&request.customer).expect("a customer with requests is known");
+        let customer = self.customers.known(&request.customer);
         match funding {
             Funding::Lease => customer.lease -= units,
             Funding::Fallback => {
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -13,66 +13,42 @@
 //! what the new window has to carry over. Quantities are quota units, times are in seconds.
 
 use super::Gateway;
+use super::count_reading::CountReading;
 use super::counter::{Call, Purpose};
 use super::customer::Customer;
 use super::fractional_share::is_fractional;
 use super::lease::LeaseRequest;
 use super::token_bucket::TokenBucket;
 use super::tuning::{
-    CARRYOVER_SLACK_FRACTION, COUNT_RESET_FRACTION, EXPIRY_SLACK_FRACTION, LEVEL_REFRESH_SECONDS,
-    RESTORE_AFTER_TIMEOUTS, UNIT_TOLERANCE,
+    CARRYOVER_SLACK_FRACTION, EXPIRY_SLACK_FRACTION, LEVEL_REFRESH_SECONDS, RESTORE_AFTER_TIMEOUTS,
+    UNIT_TOLERANCE,
 };
 use super::window::{Window, window_seconds};
 use crate::interface::{Plan, Time};
 
-/// What a customer's count has shown to this gateway.
-#[derive(Debug, Default)]
-pub(super) struct CountHistory {
-    /// The window of the last total.
-    window: u64,
-    /// That total, with the correction that followed.
-    total: f64,
-    /// Units missing from the burst when the window began, as the first call in it found.
-    carryover: f64,
-    /// When the counter was first seen to have lost its data; 0: it has not.
-    reset_since: Time,
-}
-
-/// What a total says of the quota as it was before the call.
+/// What a settlement depends on besides the call and its total.
 #[derive(Debug, Clone, Copy)]
-struct CountReading {
-    /// Seconds since the present window began.
-    window_age: f64,
-    /// Units that remain of the window's limit, more than the burst where some have expired.
-    remaining: f64,
-    /// Nothing had been counted before.
-    first: bool,
-    /// Units by which the count has fallen since the last total in the same window.
-    lost: f64,
-    /// The counter has lost its data: a count only grows, but for small corrections.
-    reset: bool,
+struct Conditions<'a> {
+    now: Time,
+    plan: &'a Plan,
+    /// The counter was unavailable of late: what others spent meanwhile is not on the count yet.
+    unavailable: bool,
+    /// Seconds after which a lost count that is not restored yet is restored by this gateway.
+    restore_after_seconds: f64,
+    /// Largest number of units of a request.
+    max_request_units: f64,
 }
 
-impl CountReading {
-    fn new(call: &Call, total: f64, plan: &Plan, now: Time, history: &CountHistory) -> Self {
-        let window = Window::at(now, &call.customer, plan);
-        let limit = plan.burst + plan.rate * window.age;
-        let windows_passed = (window.index - call.window.min(window.index)) as f64;
-        let refilled_since = windows_passed * plan.rate * window_seconds(plan);
-        let before = total - call.amount;
-        let first = before.abs() < UNIT_TOLERANCE;
-        let lost = if history.window == call.window { history.total - before } else { 0.0 };
-        Self {
-            window_age: window.age,
-            remaining: limit + refilled_since - before,
-            first,
-            lost,
-            reset: lost > COUNT_RESET_FRACTION * plan.burst || first && lost > 0.0,
-        }
-    }
+/// The calls that follow a settlement.
+#[derive(Debug, Clone, Copy)]
+struct FollowUp {
+    /// Units to add to the count, mostly negative.
+    correction: f64,
+    /// The previous window's count is to be read.
+    reads_previous: bool,
 }
 
-/// How a call for a lease is settled.
+/// How much of a call for a lease is granted.
 #[derive(Debug, Clone, Copy)]
 struct Grant {
     /// Units leased.
@@ -84,6 +60,7 @@
 }
 
 impl Grant {
+    /// Grants what `call` has requested out of the `remaining` units.
     fn new(call: &Call, lease: LeaseRequest, remaining: f64, plan: &Plan) -> Self {
         let LeaseRequest { requested, uncounted } = lease;
         let granted = requested.min((remaining - uncounted + UNIT_TOLERANCE).floor().max(0.0));
@@ -101,17 +78,50 @@
 }
 
 impl Customer {
-    /// Rule 1: units that remain, of which the count shows `remaining`. Where the count began anew they are
-    /// bounded by the level known before. `unavailable`: what others spent in an outage is not on the count
-    /// yet.
-    fn reconcile(
+    /// Settles a call for a lease by the four rules.
+    fn settle(
         &mut self,
-        reading: &CountReading,
-        remaining: f64,
-        unavailable: bool,
-        now: Time,
-        plan: &Plan,
-    ) -> f64 {
+        call: &Call,
+        lease: LeaseRequest,
+        total: f64,
+        conditions: &Conditions<'_>,
+    ) -> FollowUp {
+        let Conditions { now, plan, unavailable, .. } = *conditions;
+        let reading = CountReading::new(call, total, plan, now, &self.count);
+        // The gateway's own debt comes off before anything expires; others report theirs after that.
+        let debt = if unavailable { lease.uncounted + self.uncounted.units.max(0.0) } else { 0.0 };
+        let unexpired = reading.remaining.min(plan.burst + debt);
+        let remaining = self.reconcile(&reading, unexpired, conditions);
+        let restores = self.count.restores(&reading, now, conditions.restore_after_seconds);
+
+        let grant = Grant::new(call, lease, remaining, plan);
+        self.lease += grant.granted;
+        self.partly_granted = grant.granted < lease.requested;
+        self.level = Some(TokenBucket { level: grant.level, at: now });
+
+        self.refill_fallback(now, plan);
+        if unavailable {
+            self.cap_fallback(grant.level + lease.uncounted - debt);
+        } else if !is_fractional(plan, self.instances, conditions.max_request_units) {
+            self.set_fallback(grant.level);
+        }
+
+        let mut correction = grant.correction;
+        let expired = reading.remaining - if restores { remaining } else { unexpired };
+        // Exact where others rely on it: at the start of a window, and while debts are still to come off.
+        let slack = if reading.first || unavailable { 0.0 } else { EXPIRY_SLACK_FRACTION * plan.burst };
+        if expired > slack || restores {
+            correction += expired;
+        }
+        let unrestored = if reading.reset && !restores { reading.lost } else { 0.0 };
+        self.count.record(call.window, total + correction + unrestored);
+        FollowUp { correction, reads_previous: reading.first && !reading.reset && call.window > 0 }
+    }
+
+    /// Rule 1: the units that remain, of which the count shows `remaining`. Where the count began anew they
+    /// are bounded by the level known before.
+    fn reconcile(&mut self, reading: &CountReading, remaining: f64, conditions: &Conditions<'_>) -> f64 {
+        let Conditions { now, plan, unavailable, .. } = *conditions;
         let max_age = reading.window_age.max(LEVEL_REFRESH_SECONDS);
         let known = self.level.filter(|level| now - level.at < max_age);
         let Some(mut known) = known.filter(|_| reading.first || reading.reset) else { return remaining };
@@ -128,15 +138,6 @@
         self.count.carryover = reading.remaining.min(plan.burst) - reconciled;
         reconciled
     }
-
-    /// Whether this gateway restores a count that was lost: the first one to find it so does, others only
-    /// where it stays so for `grace_seconds`.
-    fn restores_count(&mut self, reading: &CountReading, now: Time, grace_seconds: f64) -> bool {
-        let since = if self.count.reset_since > 0.0 { self.count.reset_since } else { now };
-        let restores = reading.reset && (reading.first || now - since > grace_seconds);
-        self.count.reset_since = if reading.reset && !restores { since } else { 0.0 };
-        restores
-    }
 }
 
 impl Gateway {
@@ -150,42 +151,18 @@
     }
 
     fn settle_lease(&mut self, call: &Call, lease: LeaseRequest, total: f64, plan: &Plan) {
-        let (now, unavailable) = (self.now, self.counter_unavailable());
-        let grace_seconds = RESTORE_AFTER_TIMEOUTS * self.settings.counter_timeout;
-        let max_request_units = self.settings.max_request_units.max(1.0);
-        let customer = self.customers.get_mut(&call.customer).expect("looked up by the caller");
-        let reading = CountReading::new(call, total, plan, now, &customer.count);
-        // The gateway's own debt comes off before anything expires; others report theirs after that.
-        let debt = if unavailable { lease.uncounted + customer.uncounted.units.max(0.0) } else { 0.0 };
-        let unexpired = reading.remaining.min(plan.burst + debt);
-        let remaining = customer.reconcile(&reading, unexpired, unavailable, now, plan);
-        let restores = customer.restores_count(&reading, now, grace_seconds);
-        let expired = reading.remaining - if restores { remaining } else { unexpired };
-
-        let grant = Grant::new(call, lease, remaining, plan);
-        customer.lease += grant.granted;
-        customer.partly_granted = grant.granted < lease.requested;
-        customer.level = Some(TokenBucket { level: grant.level, at: now });
-
-        customer.refill_fallback(now, plan);
-        if unavailable {
-            customer.cap_fallback(grant.level + lease.uncounted - debt);
-        } else if !is_fractional(plan, customer.instances, max_request_units) {
-            customer.set_fallback(grant.level);
-        }
-
-        // Exact where others rely on it: at the start of a window, and while debts are still to come off.
-        let slack = if reading.first || unavailable { 0.0 } else { EXPIRY_SLACK_FRACTION * plan.burst };
-        let mut correction = grant.correction;
-        if expired > slack || restores {
-            correction += expired;
-        }
-        let unrestored = if reading.reset && !restores { reading.lost } else { 0.0 };
-        (customer.count.window, customer.count.total) = (call.window, total + correction + unrestored);
-        if correction.abs() > UNIT_TOLERANCE {
-            self.add_to_count(&call.customer, call.window, correction, Purpose::Correct, plan);
+        let conditions = Conditions {
+            now: self.now,
+            plan,
+            unavailable: self.counter_unavailable(),
+            restore_after_seconds: RESTORE_AFTER_TIMEOUTS * self.settings.counter_timeout,
+            max_request_units: self.settings.max_request_units.max(1.0),
+        };
+        let follow_up = self.customers.known(&call.customer).settle(call, lease, total, &conditions);
+        if follow_up.correction.abs() > UNIT_TOLERANCE {
+            self.add_to_count(&call.customer, call.window, follow_up.correction, Purpose::Correct, plan);
         }
-        if reading.first && !reading.reset && call.window > 0 {
+        if follow_up.reads_previous {
             self.add_to_count(&call.customer, call.window - 1, 0.0, Purpose::ReadPrevious, plan);
         }
     }
@@ -196,7 +173,7 @@
         if call.window + 1 != window.index {
             return;
         }
-        let customer = self.customers.get_mut(&call.customer).expect("looked up by the caller");
+        let customer = self.customers.known(&call.customer);
         let carryover = if total - call.amount > UNIT_TOLERANCE {
             let remaining_at_turn = plan.burst + plan.rate * window_seconds(plan) - total;
             plan.burst - (remaining_at_turn + plan.rate * window.age).min(plan.burst)
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,7 +1,6 @@
 //! The timers of a gateway: what each is set for, by the token that comes back when it is due.
 
 use super::Gateway;
-use super::customer::Customer;
 use super::tuning::IDLE_CUSTOMER_SECONDS;
 use crate::interface::{Action, CustomerId, RequestId, Time};
 use std::collections::HashMap;
@@ -52,9 +51,7 @@
     }
 
     fn forget_idle_customers(&mut self) {
-        let now = self.now;
-        let in_use = |c: &Customer| now - c.last_used < IDLE_CUSTOMER_SECONDS || !c.is_idle();
-        self.customers.retain(|_, customer| in_use(customer));
+        self.customers.forget_idle(self.now, IDLE_CUSTOMER_SECONDS);
         self.set_timer(self.now + IDLE_CUSTOMER_SECONDS, Timer::Sweep);
     }
 }
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -29,7 +29,7 @@
 /// Fraction of a customer's gateways at which a share under one request admits a first one: at all of them
 /// together the customer would have many times its burst.
 pub(super) const FRACTIONAL_SHARE_START_FRACTION: f64 = 0.85;
-/// Units under which a difference is rounding.
+/// Differences of units below this are rounding errors.
 pub(super) const UNIT_TOLERANCE: f64 = 1e-6;
 
 // Settlement of a count's total.
@@ -98,7 +98,7 @@
 pub(super) const EWMA_GAIN: f64 = 0.15;
 /// Fraction of attempts that time out from which on timeouts count as slow responses and not as lost ones.
 pub(super) const OVERLOAD_TIMEOUT_FRACTION: f64 = 0.5;
-/// Least latency and latency objective that is reckoned with.
+/// Lower bound of latencies and latency objectives, against divisions by zero.
 pub(super) const MIN_LATENCY_SECONDS: f64 = 1e-3;
 
 // Attempts.
