--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -17,15 +17,15 @@
 
 impl Gateway {
     /// Whether this gateway's part of the headroom covers a request of `units`.
-    pub(super) fn ceiling_covers(&mut self, key: &CustomerId, plan: &Plan, units: f64) -> bool {
+    pub(super) fn ceiling_covers(&mut self, customer_id: &CustomerId, plan: &Plan, units: f64) -> bool {
         let request_units = self.settings.max_request_units.max(1.0);
-        let customer = self.customers.known(key);
+        let customer = self.customers.known(customer_id);
         let rate =
             plan.rate.min(CEILING_HEADROOM_FRACTION * (plan.ceiling_rate - plan.rate)).max(MIN_HEADROOM_RATE);
         let burst = plan.burst.min(CEILING_HEADROOM_FRACTION * (plan.ceiling_burst - plan.burst)).max(0.0);
         let seconds_per_request = request_units / rate;
         let instances = f64::from(customer.instances);
-        let phase = f64::from(customer.position % customer.instances) + phase(key);
+        let phase = f64::from(customer.position % customer.instances) + phase(customer_id);
         // Units assigned to this gateway since the origin of time.
         let assigned = |at: Time| ((at / seconds_per_request - phase) / instances).floor() * request_units;
         let new = assigned(self.now) - assigned(customer.ceiling_headroom.at);
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -38,12 +38,12 @@
 
 impl Gateway {
     /// Whether the fallback limit covers a request of `units`.
-    pub(super) fn fallback_covers(&mut self, key: &CustomerId, plan: &Plan, units: f64) -> bool {
-        let customer = self.customers.known(key);
+    pub(super) fn fallback_covers(&mut self, customer_id: &CustomerId, plan: &Plan, units: f64) -> bool {
+        let customer = self.customers.known(customer_id);
         let covers = customer.fallback_level(self.now, plan, units) >= units;
         if plan.ceiling_rate > 0.0 {
             let fractional = is_fractional(plan, customer.instances, units);
-            (fractional || covers) && self.ceiling_covers(key, plan, units)
+            (fractional || covers) && self.ceiling_covers(customer_id, plan, units)
         } else {
             covers
         }
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -55,9 +55,9 @@
 
 impl Gateway {
     /// Calls for a lease that covers the waiting requests.
-    pub(super) fn request_lease(&mut self, key: &CustomerId, plan: &Plan) {
-        let window = Window::at(self.now, key, plan).index;
-        let customer = self.customers.known(key);
+    pub(super) fn request_lease(&mut self, customer_id: &CustomerId, plan: &Plan) {
+        let window = Window::at(self.now, customer_id, plan).index;
+        let customer = self.customers.known(customer_id);
         let needed: f64 = customer.waiting.iter().map(|id| self.requests[id].request.units).sum();
         let requested = customer.lease_units(self.now, needed, plan);
         let shares = &mut self.fractional_shares[customer.plan];
@@ -67,38 +67,38 @@
             shares.age(self.now, 0.0, plan);
             0.0
         };
-        let uncounted = self.take_uncounted(key, plan);
+        let uncounted = self.take_uncounted(customer_id, plan);
         let purpose = Purpose::Lease(LeaseRequest { requested, uncounted });
-        self.add_to_count(key, window, requested + uncounted + estimate, purpose, plan);
+        self.add_to_count(customer_id, window, requested + uncounted + estimate, purpose, plan);
         let wait = COUNTER_WAIT_FRACTION * self.settings.counter_timeout;
-        let token = self.set_timer(self.now + wait, Timer::LeaseWait(key.clone()));
-        let customer = self.customers.known(key);
+        let token = self.set_timer(self.now + wait, Timer::LeaseWait(customer_id.clone()));
+        let customer = self.customers.known(customer_id);
         customer.lease_window = window;
         customer.pending_call = Some(PendingCall { token, overdue: false });
     }
 
     /// While the counter is unavailable: calls it to report what was spent without a lease, or, while calls
     /// fail, to try whether it responds. No request waits for this call.
-    pub(super) fn report_uncounted(&mut self, key: &CustomerId, plan: &Plan) {
-        let window = Window::at(self.now, key, plan).index;
-        let customer = self.customers.known(key);
+    pub(super) fn report_uncounted(&mut self, customer_id: &CustomerId, plan: &Plan) {
+        let window = Window::at(self.now, customer_id, plan).index;
+        let customer = self.customers.known(customer_id);
         let nothing_to_report = !self.counter.is_failing() && customer.uncounted.units <= 0.0;
         if nothing_to_report || customer.pending_call.is_some() {
             return;
         }
-        let uncounted = self.take_uncounted(key, plan);
+        let uncounted = self.take_uncounted(customer_id, plan);
         let purpose = Purpose::Lease(LeaseRequest { requested: 0.0, uncounted });
-        self.add_to_count(key, window, uncounted, purpose, plan);
+        self.add_to_count(customer_id, window, uncounted, purpose, plan);
         let token = self.timers.next_token();
-        let customer = self.customers.known(key);
+        let customer = self.customers.known(customer_id);
         customer.pending_call = Some(PendingCall { token, overdue: true });
     }
 
     /// Takes the units that the next call has to report, without those that the refill has paid for during an
     /// outage: the count does not know of that refill, as it holds no more than the burst. Nothing while
     /// calls fail: a call that was counted without a response would be paid twice.
-    fn take_uncounted(&mut self, key: &CustomerId, plan: &Plan) -> f64 {
-        let customer = self.customers.known(key);
+    fn take_uncounted(&mut self, customer_id: &CustomerId, plan: &Plan) -> f64 {
+        let customer = self.customers.known(customer_id);
         if self.counter.is_failing() {
             return 0.0;
         }
@@ -133,8 +133,8 @@
 
     /// Ends the wait for a lease that was requested with this token. Guards against a slow counter that holds
     /// requests.
-    pub(super) fn end_lease_wait(&mut self, key: &CustomerId, token: u64) {
-        let Some(customer) = self.customers.find(key) else { return };
+    pub(super) fn end_lease_wait(&mut self, customer_id: &CustomerId, token: u64) {
+        let Some(customer) = self.customers.find(customer_id) else { return };
         let Some(call) = customer.pending_call.as_mut().filter(|call| call.token == token) else { return };
         call.overdue = true;
         let plan = self.settings.plans[customer.plan].clone();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,6 +7,15 @@
 //! and `retry_budget` allow. `observation` learns from the outcome of each attempt. `response` is the
 //! gateway's own response.
 //!
+//! Terms:
+//! - *count*: the units of a customer's quota that are used or leased in one window; kept by the counter
+//!   service.
+//! - *lease*: units that a gateway has added to the count before it spends them.
+//! - *level*: what remains of the quota, as a count showed it.
+//! - *uncounted*: spent without a lease, not on the count yet.
+//! - *fallback limit*: what a gateway spends without a lease while the count is not known.
+//! - *ceiling headroom*: what stands between a plan's quota and its hard ceiling.
+//!
 //! Times are seconds on the caller's clock, quantities quota units.
 
 mod admission;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -44,10 +44,10 @@
     /// Admits a request by the quota, lets it wait for a lease, or rejects it.
     pub(super) fn admit(&mut self, id: &RequestId, plan: &Plan) {
         let request = &self.requests[id].request;
-        let (units, key) = (request.units, request.customer.clone());
+        let (units, customer_id) = (request.units, request.customer.clone());
         let call_allowed = self.counter.allows_call(self.now, units * plan.priority_weight);
-        let customer = self.customers.known(&key);
-        if customer.lease_window != Window::at(self.now, &key, plan).index {
+        let customer = self.customers.known(&customer_id);
+        if customer.lease_window != Window::at(self.now, &customer_id, plan).index {
             customer.lease = 0.0; // It expires with its window.
         }
         if customer.lease >= units {
@@ -58,7 +58,7 @@
         }
         if self.counter.is_failing() || self.counter.is_unavailable(self.now) {
             if call_allowed {
-                self.report_uncounted(&key, plan);
+                self.report_uncounted(&customer_id, plan);
             }
             return self.admit_by_fallback(id, plan);
         }
@@ -66,20 +66,20 @@
             return self.over_quota(id, plan);
         }
         if customer.pending_call.is_none() && call_allowed {
-            return self.admit_by_new_lease(id, &key, plan, units);
+            return self.admit_by_new_lease(id, &customer_id, plan, units);
         }
         self.admit_by_fallback(id, plan);
     }
 
     /// Calls for a lease. The request waits for it, but the first one of a customer is admitted by the
     /// fallback limit where that covers it.
-    fn admit_by_new_lease(&mut self, id: &RequestId, key: &CustomerId, plan: &Plan, units: f64) {
-        let customer = self.customers.known(key);
+    fn admit_by_new_lease(&mut self, id: &RequestId, customer_id: &CustomerId, plan: &Plan, units: f64) {
+        let customer = self.customers.known(customer_id);
         let unknown_level = customer.level.is_none() && !is_fractional(plan, customer.instances, units);
         customer.waiting.push_back(id.clone());
-        self.request_lease(key, plan);
-        if unknown_level && self.fallback_covers(key, plan, units) {
-            let customer = self.customers.known(key);
+        self.request_lease(customer_id, plan);
+        if unknown_level && self.fallback_covers(customer_id, plan, units) {
+            let customer = self.customers.known(customer_id);
             customer.waiting.pop_back();
             self.spend(id, units, Funding::Fallback);
         }
@@ -88,8 +88,8 @@
     /// Admits a request by the fallback limit, or treats it as beyond the quota.
     pub(super) fn admit_by_fallback(&mut self, id: &RequestId, plan: &Plan) {
         let request = &self.requests[id].request;
-        let (units, key) = (request.units, request.customer.clone());
-        if self.fallback_covers(&key, plan, units) {
+        let (units, customer_id) = (request.units, request.customer.clone());
+        if self.fallback_covers(&customer_id, plan, units) {
             self.spend(id, units, Funding::Fallback);
         } else {
             self.over_quota(id, plan);
@@ -99,12 +99,12 @@
     /// Rejects a request beyond the quota, or sends it where it is worth more than it costs.
     pub(super) fn over_quota(&mut self, id: &RequestId, plan: &Plan) {
         let request = &self.requests[id].request;
-        let (units, key) = (request.units, request.customer.clone());
+        let (units, customer_id) = (request.units, request.customer.clone());
         let worthwhile = plan.over_quota_weight > plan.over_quota_cost && plan.max_concurrent == 0;
         let admitted = worthwhile
             && self.has_capacity(SPARE_CAPACITY_FRACTION)
-            && (plan.ceiling_rate <= 0.0 || self.ceiling_covers(&key, plan, units));
-        let customer = self.customers.known(&key);
+            && (plan.ceiling_rate <= 0.0 || self.ceiling_covers(&customer_id, plan, units));
+        let customer = self.customers.known(&customer_id);
         if admitted {
             customer.ceiling_headroom.take(units);
             self.send_first_attempt(id);
