--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -116,7 +116,6 @@
                 Command::AddToCounter { call: self.counter_calls.start_call(counter), counter, amount, ttl }
             }
             Action::WatchEndpoints => Command::WatchEndpoints,
-            Action::Log(ref text) => Command::Log(text.clone()),
             _ => return false,
         };
         outputs.push(O::from(command));
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -196,8 +196,6 @@
             Action::Fail { request, .. } => {
                 self.decided(&request, CheckOutcome::Failed(CheckFailure::RequestFailed))
             }
-            // A proxy cannot be made to cancel an attempt, and health checks are its own.
-            Action::CancelAttempt { .. } | Action::HealthCheck { .. } => {}
             _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
         }
     }
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -325,9 +325,6 @@
                 self.finish(request, Outcome::Rejected { retry_after, reason });
             }
             Action::Fail { request, reason } => self.finish(request, Outcome::Failed { reason }),
-            Action::CancelAttempt { request, attempt } => self.cancel_attempt(now, &request, attempt),
-            // The settings of this proxy ask for none: attempts report enough.
-            Action::HealthCheck { .. } => {}
             _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
         }
     }
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -109,12 +109,9 @@
             format!("refuse {request} {retry_after:?} {reason}")
         }
         Action::Fail { request, reason } => format!("fail {request} {reason}"),
-        Action::CancelAttempt { request, attempt } => format!("cancel {request} {attempt}"),
         Action::SetTimer { token, at } => format!("timer {token} {at:?}"),
-        Action::HealthCheck { backend } => format!("probe {backend}"),
         Action::AddToCounter { counter, amount, ttl } => format!("count {counter} {amount:?} {ttl:?}"),
         Action::WatchEndpoints => "watch".to_string(),
-        Action::Log(text) => format!("log {text}"),
         _ => unreachable!("every action has its text"),
     }
 }
--- a/src/bin/weirusher-benchlink/decode.rs
+++ b/src/bin/weirusher-benchlink/decode.rs
@@ -21,9 +21,9 @@
         "DONE" => attempt_ended(&Fields::new("DONE", values))?,
         "LEFT" => client_gone(&Fields::new("LEFT", values))?,
         "ELAPSED" => timer(&Fields::new("ELAPSED", values))?,
-        "HEALTH_RESULT" => health_checked(&Fields::new("HEALTH_RESULT", values))?,
         "TALLIED" => counter_response(&Fields::new("TALLIED", values))?,
-        "NOTE_FROM" => return Ok(None),
+        // Results of health checks and notes of other gateways: the decisions ask for neither.
+        "HEALTH_RESULT" | "NOTE_FROM" => return Ok(None),
         _ => return Err(MessageError::UnknownEvent(name.to_string())),
     };
     Ok(Some(event))
@@ -110,14 +110,6 @@
     Ok(Event::Timer { token: fields.whole_number(0, "Name")? })
 }
 
-fn health_checked(fields: &Fields<'_>) -> Result<Event, MessageError> {
-    Ok(Event::HealthChecked {
-        backend: fields.text(0, "Worker")?.into(),
-        status: status(fields, 1)?,
-        load: load_report(fields, 3),
-    })
-}
-
 fn counter_response(fields: &Fields<'_>) -> Result<Event, MessageError> {
     Ok(Event::CounterResponse {
         counter: fields.whole_number(0, "Counter")?,
--- a/src/bin/weirusher-benchlink/encode.rs
+++ b/src/bin/weirusher-benchlink/encode.rs
@@ -11,12 +11,9 @@
         }
         Action::Reject { request, retry_after, .. } => json!(["PUSH_BACK", &*request, retry_after]),
         Action::Fail { request, .. } => json!(["SURRENDER", &*request]),
-        Action::CancelAttempt { request, attempt } => json!(["REVOKE", &*request, attempt]),
         Action::SetTimer { token, at } => json!(["DEFER", token, at]),
-        Action::HealthCheck { backend } => json!(["POLL", &*backend]),
         Action::AddToCounter { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
         Action::WatchEndpoints => json!(["SUBSCRIBE", true]),
-        Action::Log(text) => json!(["DEBUG", text]),
         other => json!(["PANIC", format!("no wire form for {other:?}")]),
     }
 }
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -101,13 +101,6 @@
         /// Why.
         reason: Reason,
     },
-    /// Cancel an attempt.
-    CancelAttempt {
-        /// The request.
-        request: RequestId,
-        /// The attempt.
-        attempt: u32,
-    },
     /// Set a timer, which comes back as [`Event::Timer`](super::Event::Timer).
     SetTimer {
         /// Its token.
@@ -115,11 +108,6 @@
         /// When it is due.
         at: Time,
     },
-    /// Check the health of a backend.
-    HealthCheck {
-        /// The backend.
-        backend: BackendId,
-    },
     /// Add to a count and get its total.
     AddToCounter {
         /// The name of the count, below 2^63.
@@ -131,6 +119,4 @@
     },
     /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// Write a line to the operators' log.
-    Log(String),
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -2,7 +2,7 @@
 
 use super::{BackendId, Endpoint, EndpointListKind, Request, RequestId};
 
-/// How an attempt, a health check or a counter call ended.
+/// How an attempt or a counter call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// Served.
@@ -80,15 +80,6 @@
         /// Its token.
         token: u64,
     },
-    /// A health check ended.
-    HealthChecked {
-        /// The backend.
-        backend: BackendId,
-        /// How it ended.
-        status: Status,
-        /// The load report that came with the response.
-        load: LoadReport,
-    },
     /// A counter call ended. The calls to one count end in the order in which they were made.
     CounterResponse {
         /// The name of the count.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -145,8 +145,6 @@
             Event::CounterResponse { counter, status, total, elapsed } => {
                 self.counter_response(counter, status, total, elapsed);
             }
-            // No health check is asked for.
-            Event::HealthChecked { .. } => {}
         }
         actions.append(&mut self.actions);
     }
