--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,7 +11,7 @@
 use super::request::OpenRequest;
 use super::token_bucket::TokenBucket;
 use super::tuning::{
-    ADMISSION_COUNTER_WAITS, ADMISSION_EVENT_INTERVALS, COUNTER_WAIT_FRACTION, DEMAND_MEMORY_SECONDS,
+    ADMISSION_EVENT_INTERVALS, ADMISSION_LEASE_WAITS, COUNTER_WAIT_FRACTION, DEMAND_MEMORY_SECONDS,
 };
 use crate::interface::{Plan, Reason, Request};
 
@@ -46,7 +46,7 @@
             && request.units.is_finite()
             && request.units >= 0.0;
         let decided_by = self.now
-            + ADMISSION_COUNTER_WAITS * COUNTER_WAIT_FRACTION * settings.counter_timeout
+            + ADMISSION_LEASE_WAITS * COUNTER_WAIT_FRACTION * settings.counter_timeout
             + ADMISSION_EVENT_INTERVALS * settings.event_interval;
         let in_time = request.deadline > decided_by;
         if !valid {
--- a/src/policy/backend.rs
+++ b/src/policy/backend.rs
@@ -11,7 +11,9 @@
     pub(super) id: BackendId,
     pub(super) zone: u32,
     pub(super) cell: u32,
-    /// It is listed and takes new requests.
+    /// It has been in the list.
+    listed: bool,
+    /// The list shows it as running: it takes new requests.
     pub(super) running: bool,
     /// When it started, or may have restarted.
     pub(super) started: Time,
@@ -26,7 +28,7 @@
     /// It could not be connected to.
     pub(super) unreachable: bool,
     pub(super) ejected_until: Time,
-    /// How long its next ejection lasts; 0 for a backend that was never listed.
+    /// How long its next ejection lasts.
     pub(super) next_ejection_seconds: f64,
     /// Units that it may be sent in its slow start.
     pub(super) slow_start: TokenBucket,
@@ -37,11 +39,12 @@
     /// restarted: nothing learned before holds, but the attempts in flight remain.
     pub(super) fn update(&mut self, entry: &Endpoint, initial: Initial) {
         (self.zone, self.cell) = (entry.zone, entry.cell);
-        if self.next_ejection_seconds == 0.0 || entry.started > self.started {
+        if !self.listed || entry.started > self.started {
             *self = Self {
                 id: self.id.clone(),
                 zone: self.zone,
                 cell: self.cell,
+                listed: true,
                 in_flight: self.in_flight,
                 started: entry.started,
                 latency: initial.latency,
--- a/src/policy/call_pacing.rs
+++ b/src/policy/call_pacing.rs
@@ -36,7 +36,8 @@
         Self { budget: TokenBucket::default(), rate, lowered_at: 0.0, mean_priority: 0.0 }
     }
 
-    /// Whether a request of this priority may make a call: one below the mean must find more calls saved up.
+    /// Whether a request of this priority may make a call. One below the mean must find more calls saved up,
+    /// by the square of the ratio.
     pub(super) fn allows(&mut self, now: Time, priority: f64) -> bool {
         self.mean_priority += EWMA_GAIN * (priority - self.mean_priority);
         let relative_cost = (self.mean_priority / priority.max(MIN_PRIORITY)).powi(2);
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -8,8 +8,8 @@
 
 use super::Gateway;
 use super::tuning::{
-    CONCURRENCY_DEVIATIONS, EWMA_GAIN, LATENCY_TARGET_FRACTION, MAX_LIMIT_GROWTH, MIN_ATTEMPTS_PER_BACKEND,
-    MIN_LATENCY_SECONDS,
+    CONCURRENCY_DEVIATIONS, EWMA_GAIN, IN_FLIGHT_GAIN, LATENCY_TARGET_FRACTION, MAX_LIMIT_GROWTH,
+    MIN_ATTEMPTS_PER_BACKEND, MIN_LATENCY_SECONDS,
 };
 
 /// Attempts of this gateway that are in flight.
@@ -40,7 +40,7 @@
     /// The weight of one response: an average spans the same number of response times whether many attempts
     /// are in flight or few.
     pub(super) fn response_gain(&self) -> f64 {
-        2.0 * EWMA_GAIN / (1.0 + self.mean_in_flight)
+        IN_FLIGHT_GAIN / (1.0 + self.mean_in_flight)
     }
 
     /// Learns from an attempt that ended while `in_flight` were, with the weight `gain`.
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -8,8 +8,8 @@
 use super::Gateway;
 use super::backend::Backend;
 use super::tuning::{
-    EJECT_AFTER_FAILURES, INITIAL_EJECTION_SECONDS, MAX_EJECTED_FRACTION, MAX_EJECTION_SECONDS,
-    REFUSED_CONNECT_FRACTION,
+    EJECT_AFTER_FAILURES, EJECTION_GROWTH, INITIAL_EJECTION_SECONDS, MAX_EJECTED_FRACTION,
+    MAX_EJECTION_SECONDS, REFUSED_CONNECT_FRACTION,
 };
 use crate::interface::{Status, Time};
 
@@ -56,7 +56,8 @@
         if ejected < table.running.len() as f64 * MAX_EJECTED_FRACTION {
             let backend = &mut table.all[index];
             backend.ejected_until = self.now + backend.next_ejection_seconds;
-            backend.next_ejection_seconds = (backend.next_ejection_seconds * 2.0).min(MAX_EJECTION_SECONDS);
+            backend.next_ejection_seconds =
+                (backend.next_ejection_seconds * EJECTION_GROWTH).min(MAX_EJECTION_SECONDS);
         }
     }
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -23,7 +23,8 @@
 
 impl Customer {
     /// Whether a recently known level shows that a call for a lease of `units` would come back empty. Where
-    /// the last lease was granted in part, all gateways wait until the refill is worth a request for each.
+    /// the last lease was granted in part, all gateways wait until the refill is worth
+    /// a request for each, or half a burst.
     fn level_exhausted(&self, now: Time, plan: &Plan, units: f64) -> bool {
         let recent = self.level.filter(|level| now - level.at < LEVEL_REFRESH_SECONDS);
         let Some(mut level) = recent else { return false };
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -8,6 +8,7 @@
 use super::Gateway;
 use super::backend::Backend;
 use super::request::OpenRequest;
+use super::retry_scope::RetryScope;
 use super::tuning::{MIN_LATENCY_SECONDS, OBSERVATION_MEMORY_SECONDS, SLOW_BACKEND_FACTOR};
 
 /// Where an attempt goes.
@@ -36,28 +37,22 @@
     /// sent to.
     pub(super) fn choose_backend(&mut self, open: &OpenRequest) -> Option<Placement> {
         let scope = self.retry_scope(open)?;
-        let (running, subset) = (self.backends.running.len(), self.subset_size());
-        let subset_start = (self.subset_start * running as f64) as usize;
-        let first = (self.draw() * subset as f64) as usize;
+        let order = self.search_order();
         let mut best: Option<Candidate> = None;
-        for i in 0..running {
+        for step in 0..order.running {
+            let in_subset = step < order.subset;
             let best_score = best.map_or(f64::INFINITY, |candidate| candidate.score);
-            if best_score <= LEAST_SCORE || i >= subset && best.is_some() {
+            if best_score <= LEAST_SCORE || !in_subset && best.is_some() {
                 break;
             }
-            let offset = if i >= subset { i } else { (first + i) % subset };
-            let index = self.backends.running[(subset_start + offset) % running];
+            let index = self.backends.running[order.place(step)];
             let backend = &self.backends.all[index];
             // A score is no less than this: most backends are passed over here.
-            if LEAST_SCORE + backend.in_flight >= best_score {
-                continue;
-            }
-            let tried = || open.attempts.iter().any(|attempt| attempt.backend == index);
-            if self.now < backend.ejected_until || !scope.includes(backend) || tried() {
+            if LEAST_SCORE + backend.in_flight >= best_score || !self.is_eligible(index, open, &scope) {
                 continue;
             }
             let score = self.score(backend, best_score);
-            let candidates = if i < subset { subset } else { running };
+            let candidates = if in_subset { order.subset } else { order.running };
             if score < best_score && self.slow_start_budget(index, candidates) >= 1.0 {
                 best = Some(Candidate { score, backend: index });
             }
@@ -65,6 +60,14 @@
         best.map(|candidate| Placement { backend: candidate.backend, start_within: scope.start_within })
     }
 
+    /// Whether the backend with this index is not ejected, is in the retry scope, and was not tried before.
+    fn is_eligible(&self, index: usize, open: &OpenRequest, scope: &RetryScope) -> bool {
+        let backend = &self.backends.all[index];
+        self.now >= backend.ejected_until
+            && scope.includes(backend)
+            && open.attempts.iter().all(|attempt| attempt.backend != index)
+    }
+
     /// How loaded a backend is. Slow ones score higher, by observations that fade with time; fast ones are
     /// not told apart. Infinity may stand for a score that is not below `best_score`.
     fn score(&self, backend: &Backend, best_score: f64) -> f64 {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,7 +8,9 @@
 
 use super::Gateway;
 use super::token_bucket::{DecayingPeak, DecayingSum};
-use super::tuning::{PEAK_MEMORY_SECONDS, RATE_MEMORY_SECONDS, SLOW_START_FRACTION};
+use super::tuning::{
+    PEAK_MEMORY_SECONDS, RATE_MEMORY_SECONDS, SLOW_START_BURST_FRACTION, SLOW_START_FRACTION,
+};
 use crate::interface::{Settings, Time};
 
 /// The recent load of this gateway, which the budgets of backends in slow start are derived from.
@@ -50,6 +52,7 @@
     /// `candidates` is the number of backends that this gateway's load is spread over.
     pub(super) fn slow_start_budget(&mut self, index: usize, candidates: usize) -> f64 {
         let running = self.backends.running.len();
+        // The peaks are observed for warmed-up backends too, or they would fade while none is in slow start.
         let mean_rate =
             self.load.peak_rate(self.now) / candidates as f64 * self.load.running_fraction(self.now, running);
         let settings = &self.settings;
@@ -60,6 +63,10 @@
         }
         let rate =
             warm_up_fraction(settings, age) * settings.overload_multiple * SLOW_START_FRACTION * mean_rate;
-        backend.slow_start.refill(self.now, rate, (rate * settings.overload_seconds / 2.0).max(1.0))
+        backend.slow_start.refill(
+            self.now,
+            rate,
+            (rate * settings.overload_seconds * SLOW_START_BURST_FRACTION).max(1.0),
+        )
     }
 }
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -17,10 +17,40 @@
     (f64::from(gateway) * GOLDEN_RATIO_FRACTION).fract()
 }
 
+/// The order in which a search passes through the running backends: the subset first, from a random place in
+/// it, then the others.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct SearchOrder {
+    /// Number of running backends.
+    pub(super) running: usize,
+    /// Number of backends in the subset.
+    pub(super) subset: usize,
+    /// Where the subset begins.
+    start: usize,
+    /// Where in the subset the search begins.
+    first: usize,
+}
+
+impl SearchOrder {
+    /// The place in the list of running backends that the search visits as number `step`, from 0.
+    pub(super) fn place(&self, step: usize) -> usize {
+        let offset = if step < self.subset { (self.first + step) % self.subset } else { step };
+        (self.start + offset) % self.running
+    }
+}
+
 impl Gateway {
+    /// A new search, with a random place to begin at.
+    pub(super) fn search_order(&mut self) -> SearchOrder {
+        let (running, subset) = (self.backends.running.len(), self.subset_size());
+        let start = (self.subset_start * running as f64) as usize;
+        let first = (self.draw() * subset as f64) as usize;
+        SearchOrder { running, subset, start, first }
+    }
+
     /// Backends in the subset: enough for [`GATEWAYS_PER_BACKEND`] to share each, but no more than
     /// [`MAX_SUBSET_SIZE`] while [`MIN_GATEWAYS_PER_BACKEND`] still do.
-    pub(super) fn subset_size(&self) -> usize {
+    fn subset_size(&self) -> usize {
         let (running, gateways) = (self.backends.running.len(), self.settings.instances as usize);
         let limit = MAX_SUBSET_SIZE.max(MIN_GATEWAYS_PER_BACKEND * running / gateways);
         let shared = (GATEWAYS_PER_BACKEND * running / gateways).min(limit);
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -96,6 +96,8 @@
 pub(super) const CONCURRENCY_DEVIATIONS: f64 = 2.0;
 /// Weight of a new value in a moving average.
 pub(super) const EWMA_GAIN: f64 = 0.15;
+/// Weight of a new value in the moving averages that span several attempts in flight, with one in flight.
+pub(super) const IN_FLIGHT_GAIN: f64 = 2.0 * EWMA_GAIN;
 /// Fraction of attempts that time out from which on timeouts count as slow responses and not as lost ones.
 pub(super) const OVERLOAD_TIMEOUT_FRACTION: f64 = 0.5;
 /// Lower bound of latencies and latency objectives, against divisions by zero.
@@ -113,16 +115,17 @@
 pub(super) const MAX_RETRY_BUDGET: f64 = 10.0;
 /// Event intervals that the response to a request takes to reach the client.
 pub(super) const RESPONSE_EVENT_INTERVALS: f64 = 2.0;
-/// Counter waits and event intervals that must be left until a request's deadline for it to be decided in
-/// time.
-pub(super) const ADMISSION_COUNTER_WAITS: f64 = 2.0;
-/// See [`ADMISSION_COUNTER_WAITS`].
+/// Waits for a lease that must be left until the deadline of a new request, so that it is decided in time ...
+pub(super) const ADMISSION_LEASE_WAITS: f64 = 2.0;
+/// ... and event intervals besides.
 pub(super) const ADMISSION_EVENT_INTERVALS: f64 = 4.0;
 
 // Slow start.
 
 /// Fraction of the load that a backend in slow start can bear which all gateways together plan to send.
 pub(super) const SLOW_START_FRACTION: f64 = 0.4;
+/// Units that may be saved up for a backend in slow start, as a fraction of those in the time to overload.
+pub(super) const SLOW_START_BURST_FRACTION: f64 = 0.5;
 /// Memory of the rate of units sent.
 pub(super) const RATE_MEMORY_SECONDS: f64 = 3.0;
 /// Memory of the peaks of that rate and of the number of running backends: a warm-up.
@@ -151,6 +154,8 @@
 pub(super) const REFUSED_CONNECT_FRACTION: f64 = 0.5;
 /// Length of a first ejection.
 pub(super) const INITIAL_EJECTION_SECONDS: f64 = 1.0;
+/// Factor from one ejection to the next.
+pub(super) const EJECTION_GROWTH: f64 = 2.0;
 /// Longest ejection.
 pub(super) const MAX_EJECTION_SECONDS: f64 = 8.0;
 /// Fraction of the backends from which on none is ejected: so many failing together have a common cause.
