--- a/benches/module.rs
+++ b/benches/module.rs
@@ -34,7 +34,7 @@
         kind: EndpointListKind::Snapshot,
         endpoints: (0..backends).map(endpoint).collect(),
     };
-    gateway.handle(now, list, &mut actions);
+    gateway.handle_event(now, list, &mut actions);
     actions.clear();
     let names = names(customers);
     let ids: Vec<RequestId> = (0..ROUNDS).map(|i| format!("{i:x}").into()).collect();
@@ -44,7 +44,7 @@
     for id in &ids {
         now += 0.0001;
         let customer = names[rng.usize(..customers)].clone();
-        gateway.handle(
+        gateway.handle_event(
             now,
             Event::Request(Request {
                 id: id.clone(),
@@ -76,7 +76,7 @@
                 settled_units: None,
                 load: LoadReport::default(),
             };
-            gateway.handle(now, end, &mut actions);
+            gateway.handle_event(now, end, &mut actions);
             actions.clear();
         }
     }
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -62,7 +62,7 @@
     /// vector to be handed back by [`DecisionDriver::recycle`].
     pub fn handle<O: From<Command>>(&mut self, now: Time, event: Event, outputs: &mut Vec<O>) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.spare_actions);
-        self.gateway.handle(now, event, &mut actions);
+        self.gateway.handle_event(now, event, &mut actions);
         actions.retain(|action| !self.carry_out(action, outputs));
         actions
     }
--- a/examples/fleet_load.rs
+++ b/examples/fleet_load.rs
@@ -242,7 +242,7 @@
 
     fn handle(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
-        self.gateways[gateway].handle(self.now, event, &mut actions);
+        self.gateways[gateway].handle_event(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Forward { request, backend, timeout, .. } => {
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -251,7 +251,7 @@
         };
         world.now += world.rng.f64() * 0.004;
         for event in world.take_due().into_iter().chain([event]) {
-            gateway.handle(world.now, event, &mut actions);
+            gateway.handle_event(world.now, event, &mut actions);
             for action in actions.drain(..) {
                 world.perform(&action);
             }
--- a/src/bin/weirusher-benchlink/host.rs
+++ b/src/bin/weirusher-benchlink/host.rs
@@ -81,7 +81,7 @@
                 let event = event(name, values, &self.pages)?;
                 let gateway = self.gateways.get_mut(&id).ok_or_else(|| unknown_instance(name, id))?;
                 if let Some(event) = event {
-                    gateway.handle(now, event, actions);
+                    gateway.handle_event(now, event, actions);
                 }
             }
         }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,9 @@
 //!
 //! A request is rejected at once when it is invalid, too close to its deadline to be decided in time, or
 //! beyond the number of open requests; then when the concurrency limit is reached. After that its customer's
-//! quota decides (`quota`). Inputs: the request, its deadline (seconds on the caller's clock), the settings.
+//! quota decides (`quota`).
+//!
+//! Inputs: the request, its deadline (seconds on the caller's clock), the settings.
 
 use super::Gateway;
 use super::customer::Customer;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,10 @@
 //! Attempts: the first one of a request, its retries and its hedged requests.
 //!
 //! A retry follows a failed attempt, a hedged request an attempt that takes long. Both need the retry budget,
-//! the concurrency limit and the retry scope. A timed-out attempt is not retried: its time was the request's.
+//! the concurrency limit and the retry scope. A timed-out attempt is not retried: no useful time is left.
+//!
+//! Inputs: the class of the request (latency objective, deadline), the settings' limits, the status of
+//! attempts.
 
 use super::Gateway;
 use super::request::{Attempt, OpenRequest, Progress};
--- a/src/policy/call_pacing.rs
+++ b/src/policy/call_pacing.rs
@@ -2,9 +2,10 @@
 //!
 //! Calls are paid from a token bucket. Its rate rises by each quick response and falls by slow and failed
 //! ones, as a congestion window does, since a crowded counter works in vain on calls that nobody waits for
-//! any more. Where calls are scarce they go to the requests with the highest priority. Inputs: status and
-//! seconds of each call, the counter's timeout in seconds, the priority of a request (units times the
-//! priority weight of the plan).
+//! any more. Where calls are scarce they go to the requests with the highest priority.
+//!
+//! Inputs: status and seconds of each call, the counter's timeout in seconds, the priority of a request
+//! (units times the priority weight of the plan).
 
 use super::token_bucket::TokenBucket;
 use super::tuning::{
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -3,8 +3,10 @@
 //! The count may have granted all of the quota already, so only the headroom between quota and ceiling may be
 //! used without it. The headroom is dealt in whole requests: each is assigned to the next of the customer's
 //! gateways in turn and expires after the time of the headroom's own burst, so that all gateways together
-//! stay within it even where a share is under one request. Inputs: the plan's rates (units a second) and
-//! bursts (units), the position of this gateway among those that serve the customer.
+//! stay within it even where a share is under one request.
+//!
+//! Inputs: the plan's rates (units a second) and bursts (units), the position of this gateway among those
+//! that serve the customer.
 
 use super::Gateway;
 use super::token_bucket::TokenBucket;
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -3,8 +3,10 @@
 //! By Little's law the recent mean number in flight, scaled by the ratio of the wanted latency to the median
 //! latency, is the number that keeps responses within a fraction of the latency objective, whoever else loads
 //! the backends. Room for random arrivals is added, and fades as responses slow down, later where few
-//! attempts are in flight. Inputs: attempts that begin and end, their latency in seconds, the number of
-//! running backends and of gateways.
+//! attempts are in flight.
+//!
+//! Inputs: attempts that begin and end, their latency in seconds, the number of running backends and of
+//! gateways.
 
 use super::Gateway;
 use super::tuning::{
--- a/src/policy/count_reading.rs
+++ b/src/policy/count_reading.rs
@@ -2,8 +2,9 @@
 //! has lost its data.
 //!
 //! A count begins at nothing in each window and only grows, but for small corrections. One that has fallen
-//! much within a window was lost, and has to be restored by one gateway. Inputs: the total and the units that
-//! the call added, the plan, the totals before.
+//! much within a window was lost, and has to be restored by one gateway.
+//!
+//! Inputs: the total and the units that the call added, the plan, the totals before.
 
 use super::counter::Call;
 use super::tuning::{COUNT_RESET_FRACTION, UNIT_TOLERANCE};
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -2,8 +2,9 @@
 //!
 //! The counter is unavailable after several calls in a row that failed over several timeouts, and for a while
 //! after its return: until then other gateways may not have reported what they spent meanwhile, so no lease
-//! is granted from its total. Fallback limits decide instead. Inputs: status and seconds of each call, the
-//! counter's timeout in seconds.
+//! is granted from its total. Fallback limits decide instead.
+//!
+//! Inputs: status and seconds of each call, the counter's timeout in seconds.
 
 use super::Gateway;
 use super::call_pacing::CallPacer;
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -2,6 +2,8 @@
 //!
 //! A snapshot replaces the list, a delta changes the entries that it names. A stale snapshot is the first
 //! event of a gateway that has just started: from it on the list is watched, and idle customers are swept.
+//!
+//! Inputs: the kind of the list and its entries.
 
 use super::Gateway;
 use super::backend::Initial;
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -2,8 +2,9 @@
 //!
 //! It is an even share of rate and burst, less what the gateway has spent without a lease: that stays taken
 //! until the count knows of it. A share under one request holds one, else too few would be served; but not
-//! under a ceiling, where the headroom decides. Inputs: the plan, the number of gateways that serve the
-//! customer, the units of the request.
+//! under a ceiling, where the headroom decides.
+//!
+//! Inputs: the plan, the number of gateways that serve the customer, the units of the request.
 
 use super::Gateway;
 use super::customer::Customer;
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -4,6 +4,9 @@
 //! A call adds to the customer's count what the waiting requests need, a second of recent demand on top, and
 //! what the gateway has spent without a lease. The total in the response decides how much of that is granted
 //! (`settlement`). Requests wait a few milliseconds at most; then the fallback limit decides.
+//!
+//! Inputs: the customer's recent demand and last known level (units), the status of counter calls, the
+//! counter's timeout in seconds.
 
 use super::Gateway;
 use super::counter::Purpose;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -116,7 +116,7 @@
     }
 
     /// Takes one event at `now` and appends the actions to be carried out, in order.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle_event(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
             Event::EndpointList { kind, endpoints } => self.update_endpoints(kind, &endpoints),
--- a/src/policy/observation.rs
+++ b/src/policy/observation.rs
@@ -1,7 +1,9 @@
 //! Passive observation: what the end of an attempt shows of its backend and of all backends together.
 //!
 //! Slow, failing and vanished backends all show in the attempts, whatever the cause, so no health checks are
-//! made. Inputs: the status of the attempt and the seconds since it was sent.
+//! made.
+//!
+//! Inputs: the status of the attempt and the seconds since it was sent.
 
 use super::Gateway;
 use crate::interface::{BackendId, Status};
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,9 +1,10 @@
-//! Outlier ejection: when a backend gets no attempts for a while because its own fail.
+//! Outlier ejection: when a backend gets no attempts for a while because those sent to it have failed.
 //!
 //! [`EJECT_AFTER_FAILURES`] failures in a row eject a backend, a refused connection at once: its process is
-//! gone. Each further ejection is twice as long, until an attempt is served. Nothing is ejected while many
-//! backends are: failures at so many have a common cause, and the rest could not carry the load. Inputs: the
-//! status of each attempt, the seconds since it was sent, the connect timeout in seconds.
+//! gone. Each further ejection is twice as long, until an attempt is served. No backend is ejected while many
+//! others are: failures at so many have a common cause, and the rest could not carry the load.
+//!
+//! Inputs: the status of each attempt, the seconds since it was sent, the connect timeout in seconds.
 
 use super::Gateway;
 use super::backend::Backend;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -2,8 +2,9 @@
 //!
 //! In this order: the lease; a call for a lease in flight or a new one; the fallback limit where no call can
 //! be made. A request beyond the quota is rejected at once with a Retry-After, unless the settings value it
-//! above its cost and there is capacity to spare. Under a ceiling it must also fit into the headroom. Inputs:
-//! the plan, the units of the request, the customer's level as last known.
+//! above its cost and there is capacity to spare. Under a ceiling it must also fit into the headroom.
+//!
+//! Inputs: the plan, the units of the request, the customer's level as last known.
 
 use super::Gateway;
 use super::customer::Customer;
--- a/src/policy/response.rs
+++ b/src/policy/response.rs
@@ -2,6 +2,9 @@
 //!
 //! A request is rejected where a retry by the client is known to do no harm, and fails otherwise: the client
 //! must then assume that it may have run.
+//!
+//! Inputs: the idempotency of the request's class, the progress of its attempts, the longest Retry-After in
+//! seconds.
 
 use super::Gateway;
 use super::request::OpenRequest;
--- a/src/policy/retry_scope.rs
+++ b/src/policy/retry_scope.rs
@@ -2,8 +2,9 @@
 //!
 //! An attempt that may have run is repeated only where the repeat cannot take effect twice: an idempotent
 //! request anywhere, a keyed one at the backends that deduplicate it and before they forget the key, any
-//! other one nowhere. Inputs: the idempotency of the request's class, its window in seconds, the attempts so
-//! far.
+//! other one nowhere.
+//!
+//! Inputs: the idempotency of the request's class, its window in seconds, the attempts so far.
 
 use super::Gateway;
 use super::backend::Backend;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -4,6 +4,9 @@
 //! the mean. The gateway's subset comes first, from a random place in it; other backends only where none of
 //! the subset may be sent to. Ejected backends, those outside the retry scope, those tried before and those
 //! whose slow-start budget is spent are passed over.
+//!
+//! Inputs: for each backend the attempts in flight, the mean latency (seconds) and the time since it was
+//! observed.
 
 use super::Gateway;
 use super::backend::Backend;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -3,8 +3,9 @@
 //! A backend in slow start has a token bucket of units. Its rate follows from what backends carry on average,
 //! the capacity that a backend of its age surely has, and the multiple of that at which it would be
 //! overloaded. As every gateway derives the budget from its own part of the load, the sum over all of them
-//! stays under the multiple. Inputs: units sent, the age of the backend in seconds, the settings' slow-start
-//! figures.
+//! stays under the multiple.
+//!
+//! Inputs: units sent, the age of the backend in seconds, the settings' slow-start figures.
 
 use super::Gateway;
 use super::token_bucket::{DecayingPeak, DecayingSum};
--- a/src/policy/stable_hash.rs
+++ b/src/policy/stable_hash.rs
@@ -4,7 +4,7 @@
 
 /// Steps of [`hash_fraction`].
 const STEPS: u64 = 1024;
-/// The golden ratio times 2^64, for the last mixing round.
+/// 2^64 over the golden ratio, for the last mixing round.
 const MIXER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// A hash below 2^63.
--- a/src/policy/subset.rs
+++ b/src/policy/subset.rs
@@ -2,7 +2,9 @@
 //!
 //! A gateway then observes a few backends often rather than all of them rarely, and opens few connections.
 //! Subsets are runs of the sorted list of running backends; those of a fleet together cover all backends
-//! evenly. Inputs: the number of this gateway, of gateways and of running backends.
+//! evenly.
+//!
+//! Inputs: the number of this gateway, of gateways and of running backends.
 
 use super::Gateway;
 use super::tuning::{GATEWAYS_PER_BACKEND, MAX_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND, MIN_SUBSET_SIZE};
--- a/tests/decisions/harness.rs
+++ b/tests/decisions/harness.rs
@@ -79,7 +79,7 @@
     /// Handles one event and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.gateway.handle_event(self.now, event, &mut actions);
         self.actions.extend(actions.iter().cloned());
         actions
     }
