--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use tokio::io::AsyncReadExt;
 use tokio::signal::unix::{SignalKind, signal};
-use weirusher_config::{Config, FleetConfig, Problem, render};
+use weirusher_config::{Config, ConfigError, FleetConfig};
 use weirusher_node::FleetMembership;
 use weirusher_scenarios::{Options, Scenario, audit as judge};
 
@@ -30,11 +30,11 @@
 }
 
 /// A file as `parse` reads it, or all that is wrong in it, shown.
-fn parsed<T>(file: &Path, parse: fn(&str) -> Result<T, Vec<Problem>>) -> Result<T, ExitCode> {
+fn parsed<T>(file: &Path, parse: fn(&str) -> Result<T, ConfigError>) -> Result<T, ExitCode> {
     let text = read(file)?;
-    parse(&text).map_err(|problems| {
-        eprint!("{}", render(&file.display().to_string(), &text, &problems));
-        let many = problems.len();
+    parse(&text).map_err(|error| {
+        eprint!("{}", error.render(&file.display().to_string(), &text));
+        let many = error.problems().len();
         fail(WRONG, &format!("{many} problem{} in {}", if many == 1 { "" } else { "s" }, file.display()))
     })
 }
--- /dev/null
+++ b/crates/config/src/address.rs
@@ -0,0 +1,42 @@
+//! Addresses. Only loopback is accepted: gateways of a site talk on one machine.
+
+use crate::table::{Located, Table};
+use std::net::SocketAddr;
+
+/// The address under a key. Without the key it is the default, or a problem where there is none.
+pub(crate) fn address(
+    table: &mut Table<'_, '_>,
+    key: &'static str,
+    default: Option<&str>,
+) -> Option<SocketAddr> {
+    match table.text(key) {
+        Some(text) => loopback_address(table, key, &text),
+        None if default.is_none() => {
+            table.missing(key, "an address such as \"127.0.0.1:9000\"");
+            None
+        }
+        None => default.and_then(|default| default.parse().ok()),
+    }
+}
+
+/// An address on loopback from a text.
+pub(crate) fn loopback_address(
+    table: &Table<'_, '_>,
+    key: &str,
+    text: &Located<String>,
+) -> Option<SocketAddr> {
+    match text.value.parse::<SocketAddr>() {
+        Ok(address) if address.ip().is_loopback() => return Some(address),
+        Ok(address) => {
+            let message = format!("`{key}` names {}, which is not loopback", address.ip());
+            let hint = "only loopback is served: 127.0.0.1 or [::1]".to_string();
+            table.problems.add(text.offset, message, hint);
+        }
+        Err(_) => {
+            let message = format!("`{key}` is no address: \"{}\"", text.value);
+            let hint = "an IP address and a port, such as \"127.0.0.1:9000\"".to_string();
+            table.problems.add(text.offset, message, hint);
+        }
+    }
+    None
+}
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,33 +1,35 @@
-//! The other gateways: `[fleet]`, in the configuration of `run` or in a file of its own for `node`.
+//! `[fleet]`: the other gateways. It stands in the configuration of `run`, or in a file of its own for `node`.
 
-use crate::reader::{self, Problem, Table};
-use crate::schema::{address, loopback};
+use crate::address::{address, loopback_address};
+use crate::listen::ANY_ADMIN_ADDRESS;
+use crate::problem::ConfigError;
+use crate::table::{self, Table};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use weirusher_fleet::{MAX_MEMBERS, MIN_KEY_BYTES, Settings};
 
-/// A year, in seconds: no clock is taken for further off.
-const MOST_SHIFT: f64 = 366.0 * 86_400.0;
+/// Seconds of a year: no clock is assumed to be further off.
+const MAX_CLOCK_SHIFT_SECONDS: f64 = 366.0 * 86_400.0;
 
 /// How a gateway takes part in its fleet.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
     /// Where datagrams are received and sent from.
     pub listen: SocketAddr,
-    /// Where the admin page of a `node` listens; that of `run` is the gateway's own.
+    /// Where the admin page of a `node` listens. That of `run` is the gateway's own.
     pub admin: Option<SocketAddr>,
     /// Its number, the members and the key.
     pub settings: Settings,
-    /// Seconds by which it is made to take the wall clock for ahead, or behind: rehearsals ask for it.
+    /// Seconds by which its wall clock is taken to stand ahead. Fault-injection runs set it.
     pub clock_shift_seconds: f64,
 }
 
-/// Whose `[fleet]` it is.
+/// The file that `[fleet]` stands in.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Member {
-    /// Of a configuration that has `[instance]`: its number, and how many gateways there are.
-    Instance(u32, u32),
-    /// Of a file that holds nothing else.
+pub(crate) enum FleetFile {
+    /// A configuration with `[instance]`, which says the gateway's number and how many there are.
+    WithInstance { number: u32, gateways: u32 },
+    /// A file that holds nothing else.
     Alone,
 }
 
@@ -35,158 +37,99 @@
     /// Reads and checks a file that holds `[fleet]` only.
     ///
     /// # Errors
-    /// All that is wrong in it, by place.
-    pub fn parse(source: &str) -> Result<Self, Vec<Problem>> {
-        reader::parse(source, "the file", |root| {
-            let config = read(root, Member::Alone);
+    /// Everything that is wrong in it, by place.
+    pub fn parse(source: &str) -> Result<Self, ConfigError> {
+        table::parse(source, "the file", |root| {
+            let config = Self::read(root, FleetFile::Alone);
             if config.is_none() {
                 root.missing("[fleet]", "a table with `number`, `members` and `key`");
             }
             config
         })
     }
-}
 
-pub(crate) fn read(root: &mut Table<'_, '_>, whose: Member) -> Option<FleetConfig> {
-    let mut table = root.table("fleet")?;
-    let members = members(&mut table, whose);
-    let (me, admin) = match whose {
-        Member::Instance(number, _) => (number, None),
-        Member::Alone => {
-            let admin = address(&mut table, "admin", Some("127.0.0.1:0"));
-            (number(&mut table, members.len()), admin)
-        }
-    };
-    let own = members.get(me as usize).copied();
-    let listen = own.and_then(|own| address(&mut table, "listen", Some(&own.to_string())));
-    let key = key(&mut table);
-    let clock_shift_seconds = table.number("clock_shift_seconds", 0.0, -MOST_SHIFT, MOST_SHIFT);
-    table.finish();
-    let me = u16::try_from(me).unwrap_or(u16::MAX);
-    // What lacks was told; the table itself is there.
-    let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let settings = Settings { instance: me, members, key };
-    Some(FleetConfig { listen: listen.unwrap_or(anywhere), admin, settings, clock_shift_seconds })
+    pub(crate) fn read(root: &mut Table<'_, '_>, file: FleetFile) -> Option<Self> {
+        let mut table = root.table("fleet")?;
+        let members = read_members(&mut table, file);
+        let (number, admin) = match file {
+            FleetFile::WithInstance { number, .. } => (number, None),
+            FleetFile::Alone => {
+                let admin = address(&mut table, "admin", Some(ANY_ADMIN_ADDRESS));
+                (read_number(&mut table, members.len()), admin)
+            }
+        };
+        let own = members.get(number as usize).copied();
+        let listen = own.and_then(|own| address(&mut table, "listen", Some(&own.to_string())));
+        let key = read_key(&mut table);
+        let shift = -MAX_CLOCK_SHIFT_SECONDS..=MAX_CLOCK_SHIFT_SECONDS;
+        let clock_shift_seconds = table.number("clock_shift_seconds", 0.0, shift);
+        table.finish();
+        let instance = u16::try_from(number).unwrap_or(u16::MAX);
+        // An address that is missing was reported as a problem: this one is not used.
+        let unused = SocketAddr::from(([127, 0, 0, 1], 0));
+        let settings = Settings { instance, members, key };
+        Some(Self { listen: listen.unwrap_or(unused), admin, settings, clock_shift_seconds })
+    }
 }
 
-fn members(table: &mut Table<'_, '_>, whose: Member) -> Vec<SocketAddr> {
-    let Some(texts) = table.list("members") else {
+fn read_members(table: &mut Table<'_, '_>, file: FleetFile) -> Vec<SocketAddr> {
+    let Some(texts) = table.texts("members") else {
         table.missing("members", "the address of each gateway, in the order of their numbers");
         return Vec::new();
     };
     let mut members: Vec<SocketAddr> = Vec::with_capacity(texts.len().min(MAX_MEMBERS));
-    let mut seen = HashMap::new();
-    for (number, (text, at)) in texts.iter().enumerate() {
-        let Some(address) = loopback(table, "members", text, *at) else { continue };
+    let mut first_at = HashMap::new();
+    for (number, text) in texts.iter().enumerate() {
+        let Some(address) = loopback_address(table, "members", text) else { continue };
         if address.port() == 0 {
             let hint = "the others must know it before it listens".to_string();
-            table.problems.add(*at, format!("member {number} has no port: \"{text}\""), hint);
-        } else if let Some(first) = seen.insert(address, number) {
+            let message = format!("member {number} has no port: \"{}\"", text.value);
+            table.problems.add(text.offset, message, hint);
+        } else if let Some(first) = first_at.insert(address, number) {
             let hint = "each member has an address of its own".to_string();
-            table.problems.add(*at, format!("member {number} is at {address}, as member {first} is"), hint);
+            let message = format!("member {number} is at {address}, as member {first} is");
+            table.problems.add(text.offset, message, hint);
         }
         members.push(address);
     }
-    let count = texts.len();
-    if let Member::Instance(_, gateways) = whose
+    check_member_count(table, texts.len(), file);
+    members
+}
+
+fn check_member_count(table: &Table<'_, '_>, count: usize, file: FleetFile) {
+    if let FleetFile::WithInstance { gateways, .. } = file
         && count != gateways as usize
     {
         let message = format!("{count} members, where `gateways` in [instance] is {gateways}");
         let hint = "one for each gateway of the fleet, those that do not run yet included".to_string();
-        table.problems.add(table.at(), message, hint);
+        table.add_problem(message, hint);
     }
     if !(2..=MAX_MEMBERS).contains(&count) {
-        let message = format!("a fleet of {count} members");
-        table.problems.add(table.at(), message, format!("2 to {MAX_MEMBERS}; without [fleet] it is off"));
+        let hint = format!("2 to {MAX_MEMBERS}; without [fleet] it is off");
+        table.add_problem(format!("a fleet of {count} members"), hint);
     }
-    members
 }
 
-fn number(table: &mut Table<'_, '_>, members: usize) -> u32 {
-    let Some((number, at)) = table.number_at("number", 0.0, (MAX_MEMBERS - 1) as f64) else {
+fn read_number(table: &mut Table<'_, '_>, members: usize) -> u32 {
+    let Some(number) = table.optional_number("number", 0.0..=(MAX_MEMBERS - 1) as f64) else {
         table.missing("number", "which of `members` this gateway is, from 0");
         return 0;
     };
-    if number.fract() != 0.0 || number as usize >= members {
-        let message = format!("`number` in [fleet] is {number}, of {members} members");
-        let hint = format!("a whole number below {members}");
-        table.problems.add(at, message, hint);
+    if number.value.fract() != 0.0 || number.value as usize >= members {
+        let message = format!("`number` in [fleet] is {}, of {members} members", number.value);
+        table.problems.add(number.offset, message, format!("a whole number below {members}"));
     }
-    number as u32
+    number.value as u32
 }
 
-fn key(table: &mut Table<'_, '_>) -> Vec<u8> {
+fn read_key(table: &mut Table<'_, '_>) -> Vec<u8> {
     match table.text("key") {
         None => table.missing("key", "a text that only this fleet's gateways know"),
-        Some((key, at)) if key.len() < MIN_KEY_BYTES => {
-            let message = format!("a key of {} bytes can be guessed", key.len());
-            table.problems.add(at, message, format!("{MIN_KEY_BYTES} bytes or more, at random"));
+        Some(key) if key.value.len() < MIN_KEY_BYTES => {
+            let message = format!("a key of {} bytes can be guessed", key.value.len());
+            table.problems.add(key.offset, message, format!("{MIN_KEY_BYTES} bytes or more, at random"));
         }
-        Some((key, _)) => return key.into_bytes(),
+        Some(key) => return key.value.into_bytes(),
     }
     Vec::new()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = r#"
-[fleet]
-number = 1
-members = ["127.0.0.1:7400", "127.0.0.1:7401", "127.0.0.1:7402"]
-key = "0123456789abcdef0123456789abcdef"
-"#;
-
-    fn wrong(from: &str, to: &str) -> String {
-        assert!(GOOD.contains(from));
-        let text = GOOD.replace(from, to);
-        crate::render("fleet.toml", &text, &FleetConfig::parse(&text).expect_err("a broken file passes"))
-    }
-
-    #[test]
-    fn a_good_file_is_read_and_listens_at_its_own_address() {
-        let config = FleetConfig::parse(GOOD).unwrap();
-        assert_eq!((config.settings.instance, config.settings.members.len()), (1, 3));
-        assert_eq!(config.listen, config.settings.members[1]);
-        let elsewhere = GOOD.replace("number", "listen = \"127.0.0.2:1\"\nnumber");
-        assert_eq!(FleetConfig::parse(&elsewhere).unwrap().listen.to_string(), "127.0.0.2:1");
-    }
-
-    #[test]
-    fn each_problem_has_its_line_and_what_is_meant() {
-        for (from, to, said) in [
-            (
-                "127.0.0.1:7401",
-                "127.0.0.1:7400",
-                "fleet.toml:4:30: member 1 is at 127.0.0.1:7400, as member 0 is",
-            ),
-            (
-                "127.0.0.1:7401",
-                "10.0.0.1:7401",
-                "fleet.toml:4:30: `members` names 10.0.0.1, which is not loopback",
-            ),
-            ("127.0.0.1:7401", "127.0.0.1:0", "fleet.toml:4:30: member 1 has no port"),
-            ("127.0.0.1:7401", "here", "fleet.toml:4:30: `members` is no address"),
-            ("number = 1", "number = 3", "fleet.toml:3:10: `number` in [fleet] is 3, of 3 members"),
-            ("number = 1", "number = 0.5", "a whole number below 3"),
-            ("number = 1", "", "fleet.toml:2:1: [fleet] lacks `number`"),
-            ("key = \"0123456789abcdef0123456789abcdef\"", "", "[fleet] lacks `key`"),
-            ("0123456789abcdef0123456789abcdef", "short", "fleet.toml:5:7: a key of 5 bytes can be guessed"),
-            (", \"127.0.0.1:7401\", \"127.0.0.1:7402\"", "", "a fleet of 1 members"),
-            ("members =", "member =", "`members` is meant?"),
-            ("[fleet]", "[flete]", "the file lacks `[fleet]`"),
-        ] {
-            let text = wrong(from, to);
-            assert!(text.contains(said), "{to}: {text}");
-        }
-    }
-
-    #[test]
-    fn all_problems_come_in_one_go() {
-        let text =
-            "[fleet]\nnumber = 9\nmembers = [\"127.0.0.1:1\", \"127.0.0.1:1\", 3]\nkey = \"x\"\ncolour = 1\n";
-        let found = FleetConfig::parse(text).unwrap_err();
-        assert_eq!(found.len(), 5, "{found:?}");
-    }
-}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,30 +1,27 @@
-//! The gateway's configuration: TOML, read with places, checked as a whole.
+//! The gateway's configuration: TOML, read key by key with places, and checked as a whole.
 //!
-//! [`Config::parse`] reports all that is wrong in one go, each problem with its line, its column and what is
-//! meant instead. docs/configuration.md lists every key with its unit and default.
+//! [`Config::parse`] reports everything that is wrong at once, each problem with its line, its column and a hint.
+//! docs/configuration.md lists every key with its unit and default. Each module maps the keys of one table to the fields
+//! that the code uses.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod address;
+mod classes;
+mod config;
 mod fleet;
-mod reader;
-mod schema;
+mod listen;
+mod plans;
+mod problem;
+mod request_rules;
+mod settings;
+mod table;
+mod ticket_keys;
+mod upstream;
 
+pub use config::Config;
 pub use fleet::FleetConfig;
-pub use reader::Problem;
-pub use schema::{Config, CounterConfig, DiscoveryConfig, RequestRules, parse_effect};
-
-/// Shows problems as a compiler would: the place, the line, a caret.
-pub fn render(file: &str, source: &str, problems: &[Problem]) -> String {
-    let mut out = String::new();
-    for problem in problems {
-        let line = source.lines().nth(problem.line - 1).unwrap_or("");
-        let gutter = problem.line.to_string();
-        let pad = " ".repeat(gutter.len());
-        out += &format!("{file}:{}:{}: {}\n", problem.line, problem.column, problem.message);
-        out += &format!("{pad} |\n{gutter} | {line}\n{pad} | {}^\n", " ".repeat(problem.column - 1));
-        if let Some(hint) = &problem.hint {
-            out += &format!("{pad} = {hint}\n");
-        }
-    }
-    out
-}
+pub use listen::ConnectionLimits;
+pub use problem::{ConfigError, Problem};
+pub use request_rules::{RequestRules, Route, UnitsRule};
+pub use upstream::{CounterConfig, DiscoveryConfig};
--- /dev/null
+++ b/crates/config/src/upstream.rs
@@ -0,0 +1,63 @@
+//! `[counter]` and `[discovery]`: the services that a gateway depends on.
+
+use crate::address::address;
+use crate::table::Table;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use weirusher::Settings;
+
+const DEFAULT_COUNTER_TIMEOUT_MS: f64 = 50.0;
+const MAX_COUNTER_TIMEOUT_MS: f64 = 10_000.0;
+const MILLIS_PER_SECOND: f64 = 1000.0;
+const DEFAULT_CLUSTER: &str = "checkers";
+
+/// The counter that all gateways share.
+#[derive(Debug, Clone)]
+pub struct CounterConfig {
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+impl CounterConfig {
+    pub(crate) fn read(root: &mut Table<'_, '_>, settings: &mut Settings) -> Option<Self> {
+        let mut table = root.table("counter")?;
+        settings.has_counter = true;
+        let bounds = 1.0..=MAX_COUNTER_TIMEOUT_MS;
+        settings.counter_timeout =
+            table.number("limit_ms", DEFAULT_COUNTER_TIMEOUT_MS, bounds) / MILLIS_PER_SECOND;
+        let address = address(&mut table, "address", None);
+        table.finish();
+        Some(Self { address: address? })
+    }
+}
+
+/// Discovery of endpoints, by EDS.
+#[derive(Debug, Clone)]
+pub struct DiscoveryConfig {
+    /// The address of the EDS server.
+    pub address: SocketAddr,
+    /// The cluster that is asked for.
+    pub cluster: String,
+    /// The file that keeps the last endpoint list over restarts.
+    pub cache_file: Option<PathBuf>,
+    /// Zones by name; a zone's place in the list is its number.
+    pub zones: Vec<String>,
+}
+
+impl DiscoveryConfig {
+    pub(crate) fn read(root: &mut Table<'_, '_>, settings: &mut Settings) -> Option<Self> {
+        let Some(mut table) = root.table("discovery") else {
+            root.missing("[discovery]", "a table with `address`, where EDS is served");
+            return None;
+        };
+        settings.polls_endpoints = true;
+        let address = address(&mut table, "address", None);
+        let cluster = table.text("cluster").map_or_else(|| DEFAULT_CLUSTER.to_string(), |name| name.value);
+        let cache_file = table.text("keep").map(|path| PathBuf::from(path.value));
+        let zones = table.text("zones").map_or_else(Vec::new, |names| {
+            names.value.split(',').map(|name| name.trim().to_string()).collect()
+        });
+        table.finish();
+        Some(Self { address: address?, cluster, cache_file, zones })
+    }
+}
--- a/crates/ext-authz/src/attributes.rs
+++ b/crates/ext-authz/src/attributes.rs
@@ -62,15 +62,15 @@
     let customer = customer(rules, &headers)?;
     let class = class(rules, http);
     let plan = rules.plans.get(customer).copied().or(rules.default_plan).ok_or(BadCheck::NoPlan)?;
-    let units = match &rules.units.0 {
+    let units = match &rules.units.header {
         Some(name) => headers.number(name, 0.0, rules.max_units)?,
         None => None,
     };
-    let patience = match &rules.patience {
+    let patience = match &rules.time_budget_header {
         Some(name) => headers.number(name, 0.0, LONGEST_PATIENCE * 1000.0)?.map(|millis| millis / 1000.0),
         None => None,
     };
-    let spread = match &rules.spread {
+    let spread = match &rules.instances_header {
         Some(name) => headers.one(name)?.map(|text| spread(name, text)).transpose()?,
         None => None,
     };
@@ -78,15 +78,15 @@
         customer: customer.into(),
         plan,
         class,
-        units: units.unwrap_or(rules.units.1),
-        time_budget: patience.unwrap_or(rules.class_patience[class]),
+        units: units.unwrap_or(rules.units.default),
+        time_budget: patience.unwrap_or(rules.class_time_budgets[class]),
         instances: spread.unwrap_or(InstanceRange { count: u32::MAX, first: 0 }),
-        ticket: headers.one(&rules.headers[0])?.map(String::from),
+        ticket: headers.one(&rules.ticket_header)?.map(String::from),
     })
 }
 
 fn customer<'a>(rules: &RequestRules, headers: &Headers<'a>) -> Result<&'a str, BadCheck> {
-    let name = &rules.customer;
+    let name = &rules.customer_header;
     let customer = match headers.all(name)[..] {
         [] => return Err(BadCheck::NoCustomer(name.clone())),
         [customer] => customer,
@@ -104,11 +104,7 @@
 }
 
 fn class(rules: &RequestRules, http: &HttpRequest) -> usize {
-    rules
-        .routes
-        .iter()
-        .find(|(prefix, _)| http.path.starts_with(prefix.as_str()))
-        .map_or(0, |(_, class)| *class)
+    rules.routes.iter().find(|route| http.path.starts_with(&route.prefix)).map_or(0, |route| route.class)
 }
 
 /// `count/first`: how many gateways carry the customer, and the number of the first of them.
@@ -127,7 +123,7 @@
 
     fn rules() -> RequestRules {
         let text = include_str!("../../../deploy/gatekeeper.toml");
-        weirusher_config::Config::parse(text).expect("the shipped configuration passes").request
+        weirusher_config::Config::parse(text).expect("the shipped configuration passes").request_rules
     }
 
     fn context(headers: &[(&str, &str)]) -> AttributeContext {
--- a/crates/ext-authz/src/clients/discovery.rs
+++ b/crates/ext-authz/src/clients/discovery.rs
@@ -46,7 +46,7 @@
 
 impl DiscoveryClient {
     pub async fn run(mut self) {
-        let kept = self.config.keep.as_deref().map_or_else(Vec::new, kept_list::load);
+        let kept = self.config.cache_file.as_deref().map_or_else(Vec::new, kept_list::load);
         if self
             .world
             .send(WorldEvent::List { kind: EndpointListKind::StaleSnapshot, servers: kept })
--- a/crates/ext-authz/src/fronts/access_log.rs
+++ b/crates/ext-authz/src/fronts/access_log.rs
@@ -47,7 +47,7 @@
             let Some(message) = message else { break };
             let Some(LogEntries::HttpLogs(entries)) = message.log_entries else { continue };
             for entry in &entries.log_entry {
-                match read(&self.rules.headers[0], entry) {
+                match read(&self.rules.ticket_header, entry) {
                     Some(event) => {
                         // A full queue holds this stream back, and no other: reports are not dropped.
                         let sent = self.driver.send(event).await;
--- a/crates/ext-authz/src/fronts/ext_authz.rs
+++ b/crates/ext-authz/src/fronts/ext_authz.rs
@@ -94,11 +94,10 @@
 
 /// The request may go out: headers for the backend and the proxy, and the same as dynamic metadata.
 fn allowed_response(rules: &RequestRules, allowed: &Grant) -> CheckResponse {
-    let [ticket, server, timeout] = &rules.headers;
     let values = [
-        (ticket, allowed.ticket.clone()),
-        (server, allowed.backend.to_string()),
-        (timeout, format!("{:.3}", allowed.timeout)),
+        (&rules.ticket_header, allowed.ticket.clone()),
+        (&rules.backend_header, allowed.backend.to_string()),
+        (&rules.timeout_header, format!("{:.3}", allowed.timeout)),
     ];
     let field = |(name, text): &(&String, String)| {
         (name.to_string(), Value { kind: Some(value::Kind::StringValue(text.clone())) })
--- a/crates/ext-authz/src/run.rs
+++ b/crates/ext-authz/src/run.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 use weirusher_clock::Clock;
-use weirusher_config::Config;
+use weirusher_config::{Config, ConnectionLimits};
 use weirusher_core::{Engine, EngineError, Keyring};
 use weirusher_net::Listener;
 use weirusher_peers::{Peers, page};
@@ -98,12 +98,12 @@
     let (clock, stats) = (Clock::start(), Arc::new(Stats::default()));
     let seed = fastrand::u64(..);
     let epoch = fastrand::u64(..);
-    let ring = Keyring::new(config.keys.clone()).ok_or(StartError::NoKey)?;
+    let ring = Keyring::new(config.ticket_keys.clone()).ok_or(StartError::NoKey)?;
     let me = config.settings.instance;
     let count_limit = config.settings.counter_timeout;
     let engine = Engine::new(config.settings, ring, epoch, seed, clock.now())?;
-    let (grpc, ext_authz) = listen(config.ext_authz).await?;
-    let (admin_listener, admin) = listen(config.admin).await?;
+    let (grpc, ext_authz) = listen(config.ext_authz_address).await?;
+    let (admin_listener, admin) = listen(config.admin_address).await?;
 
     let (driver, fronts) = mpsc::channel(FRONT_QUEUE);
     let (world_sender, world) = mpsc::channel(WORLD_QUEUE);
@@ -133,7 +133,7 @@
         };
         tasks.push(tokio::spawn(client.run()));
     }
-    let keeper = config.discovery.keep.clone().map(ListKeeper::start);
+    let keeper = config.discovery.cache_file.clone().map(ListKeeper::start);
     let discovery = DiscoveryClient {
         config: config.discovery,
         node: format!("gatekeeper-{me}"),
@@ -144,7 +144,7 @@
         keeper,
     };
     tasks.push(tokio::spawn(discovery.run()));
-    let rules = Arc::new(config.request);
+    let rules = Arc::new(config.request_rules);
     let check = ExtAuthz {
         rules: rules.clone(),
         driver: driver.clone(),
@@ -152,7 +152,7 @@
         stats: stats.clone(),
     };
     let log = AccessLog { rules, driver: driver.clone(), stats: stats.clone(), ends: log_ends };
-    let (connections, streams) = config.connections;
+    let ConnectionLimits { connections, streams_per_connection: streams } = config.connection_limits;
     let server = GrpcServer { connections, streams, check, log, stats: stats.clone() };
     let server = tokio::spawn(server.serve(grpc, stopped));
     let fleet = peers.as_ref().map(|peers| peers.address);
@@ -170,6 +170,6 @@
         waiting: HashMap::new(),
     };
     tasks.push(tokio::spawn(driver.run()));
-    let drain = Duration::from_secs_f64(config.drain);
+    let drain = Duration::from_secs_f64(config.drain_seconds);
     Ok(Running { ext_authz, admin, fleet, stop, settled, owed, drain, server, tasks })
 }
--- a/crates/scenarios/benches/ext_authz.rs
+++ b/crates/scenarios/benches/ext_authz.rs
@@ -92,8 +92,7 @@
          [[class]]\nname = \"c\"\naim_ms = 10000\n",
         counter.address, discovery.address
     );
-    let config =
-        Config::parse(&text).unwrap_or_else(|p| panic!("{}", weirusher_config::render("", &text, &p)));
+    let config = Config::parse(&text).unwrap_or_else(|p| panic!("{}", p.render("", &text)));
     let running = weirusher_ext_authz::start(config).await.expect("it starts");
     tokio::time::sleep(Duration::from_millis(300)).await;
     let address = running.ext_authz;
--- a/crates/scenarios/tests/site/mod.rs
+++ b/crates/scenarios/tests/site/mod.rs
@@ -118,8 +118,7 @@
                  [discovery]\naddress = \"{}\"\n[[plan]]\nname = \"only\"\n{}\n[[class]]\nname = \"only\"\n{}\n",
                 make.gatekeepers, counter.address, discovery.address, make.plan, make.class,
             );
-            let config = Config::parse(&text)
-                .unwrap_or_else(|p| panic!("{}", weirusher_config::render("", &text, &p)));
+            let config = Config::parse(&text).unwrap_or_else(|p| panic!("{}", p.render("", &text)));
             let running = weirusher_ext_authz::start(config).await.unwrap();
             fronts.push(Link::start(Some(running.ext_authz)).await.unwrap());
             gatekeepers.push(running);
