--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -43,7 +43,7 @@
 pub use pipeline::{EndedCall, Pipeline, UNRESPONSIVE_TIMEOUTS, UnexpectedResponse};
 pub use pool::{ConnectionPool, Reservation};
 pub use proxy::{
-    IncomingRequest, Outcome, ProxyCore, ProxyMetrics, ProxyOutput, ReasonCounts, RequestStatus,
+    IncomingRequest, NewAttempt, Outcome, ProxyCore, ProxyMetrics, ProxyOutput, ReasonCounts, RequestStatus,
 };
 pub use shutdown::{Shutdown, longest_deadline};
 pub use slots::{ConnectionSlots, REQUEST_READ_TIMEOUT, SlotCounts, SlotId};
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -81,7 +81,7 @@
         let Some(endpoint) = longest.map(|(endpoint, _)| endpoint.clone()) else {
             return Reservation::Exhausted;
         };
-        let idle = self.idle.get_mut(&endpoint).expect("found above");
+        let Some(idle) = self.idle.get_mut(&endpoint) else { return Reservation::Exhausted };
         let evicted = idle.remove(0);
         if idle.is_empty() {
             self.idle.remove(&endpoint);
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -11,7 +11,7 @@
 mod table;
 
 pub use metrics::{ProxyMetrics, ReasonCounts};
-pub use output::{Outcome, ProxyOutput};
+pub use output::{NewAttempt, Outcome, ProxyOutput};
 pub use request::{IncomingRequest, RequestStatus};
 
 use crate::driver::{Command, DecisionDriver, DecisionTimer};
@@ -358,13 +358,10 @@
         });
         self.metrics.attempts += 1;
         match checked {
-            Ok(()) => self.outputs.push(ProxyOutput::Forward {
-                request: id,
-                attempt,
-                backend,
-                timeout,
-                write_timeout,
-            }),
+            Ok(()) => {
+                let new = NewAttempt { request: id, number: attempt, backend, timeout, write_timeout };
+                self.outputs.push(ProxyOutput::Forward(new));
+            }
             Err(violation) => {
                 self.outputs.push(ProxyOutput::Prevented { request: id.clone(), attempt, violation });
                 self.handle_attempt_ended(now, &id, attempt, Status::NotSent, LoadReport::default());
--- a/crates/core/src/proxy/output.rs
+++ b/crates/core/src/proxy/output.rs
@@ -30,22 +30,26 @@
     }
 }
 
+/// An attempt to be started.
+#[derive(Debug, Clone, PartialEq)]
+pub struct NewAttempt {
+    /// The request.
+    pub request: RequestId,
+    /// Number of the attempt within its request, from 0.
+    pub number: u32,
+    /// The backend.
+    pub backend: BackendId,
+    /// Seconds until the attempt times out.
+    pub timeout: f64,
+    /// Seconds within which its last byte has to be written; otherwise it must not start, or has to be broken off.
+    pub write_timeout: f64,
+}
+
 /// One effect. Outputs are carried out in the order in which they were given.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ProxyOutput {
     /// Start an attempt; [`super::ProxyCore::handle_attempt_ended`] reports its end.
-    Forward {
-        /// The request.
-        request: RequestId,
-        /// Number of the attempt within its request, from 0.
-        attempt: u32,
-        /// The backend.
-        backend: BackendId,
-        /// Seconds until the attempt times out.
-        timeout: f64,
-        /// Seconds within which its last byte has to be written; otherwise it must not start, or has to be broken off.
-        write_timeout: f64,
-    },
+    Forward(NewAttempt),
     /// Abort an attempt and close its connection. Its end was already reported to the decisions.
     Abort {
         /// The request.
--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
 use weirusher::{Class, Endpoint, EndpointListKind, LoadReport, Plan, RequestId, Settings, Status};
-use weirusher_core::{Command, IncomingRequest, ProxyCore, ProxyOutput, RequestStatus};
+use weirusher_core::{Command, IncomingRequest, NewAttempt, ProxyCore, ProxyOutput, RequestStatus};
 
 const START: f64 = 1_000_000.0;
 const TIME_BUDGET: f64 = 3.0;
@@ -74,7 +74,7 @@
     settings
 }
 
-struct Rig {
+struct ProxyHarness {
     proxy: ProxyCore,
     now: f64,
     next: u64,
@@ -88,7 +88,7 @@
     respond_by: f64,
 }
 
-impl Rig {
+impl ProxyHarness {
     fn new() -> Self {
         let mut proxy = ProxyCore::new(settings(), 7, START).unwrap();
         proxy.handle_endpoint_list(
@@ -118,7 +118,7 @@
         self.proxy.take_outputs(&mut outputs);
         for output in outputs {
             match output {
-                ProxyOutput::Forward { request: id, attempt, timeout, .. } => {
+                ProxyOutput::Forward(NewAttempt { request: id, number: attempt, timeout, .. }) => {
                     assert!(!self.answered.contains_key(&id), "no attempt starts for an answered request");
                     assert!(!self.client_gone.contains(&id), "no attempt starts for a client that is gone");
                     assert!(self.now + timeout <= self.arrived[&id] + TIME_BUDGET);
@@ -231,27 +231,27 @@
 proptest! {
     #[test]
     fn each_request_gets_one_response_in_time_and_is_removed(steps in proptest::collection::vec(step_or_shutdown(), 1..120)) {
-        let mut rig = Rig::new();
-        steps.into_iter().for_each(|step| rig.step(step));
+        let mut harness = ProxyHarness::new();
+        steps.into_iter().for_each(|step| harness.step(step));
         // Nothing more arrives: timeouts end what is open.
-        rig.wait(rig.now + 2.0 * TIME_BUDGET);
-        for id in &rig.requests {
-            let responses = rig.answered.get(id).copied().unwrap_or(0);
-            prop_assert_eq!(responses, u32::from(!rig.client_gone.contains(id)), "{}", id);
+        harness.wait(harness.now + 2.0 * TIME_BUDGET);
+        for id in &harness.requests {
+            let responses = harness.answered.get(id).copied().unwrap_or(0);
+            prop_assert_eq!(responses, u32::from(!harness.client_gone.contains(id)), "{}", id);
         }
-        prop_assert_eq!((rig.proxy.pending(), rig.proxy.open_requests(), rig.in_flight.len()), (0, 0, 0));
-        prop_assert_eq!(rig.proxy.violations().total(), 0);
+        prop_assert_eq!((harness.proxy.pending(), harness.proxy.open_requests(), harness.in_flight.len()), (0, 0, 0));
+        prop_assert_eq!(harness.proxy.violations().total(), 0);
     }
 }
 
 #[test]
 fn a_request_that_is_not_decided_is_answered_before_its_deadline() {
-    let mut rig = Rig::new();
-    rig.arrive();
-    rig.carry_out();
-    rig.wait(START + TIME_BUDGET);
-    assert_eq!(rig.answered.len(), 1);
-    let metrics = rig.proxy.metrics();
+    let mut harness = ProxyHarness::new();
+    harness.arrive();
+    harness.carry_out();
+    harness.wait(START + TIME_BUDGET);
+    assert_eq!(harness.answered.len(), 1);
+    let metrics = harness.proxy.metrics();
     assert_eq!(
         (metrics.attempts_timed_out + metrics.undecided, metrics.served),
         (metrics.attempts.max(1), 0)
@@ -260,20 +260,26 @@
 
 #[test]
 fn the_request_table_is_empty_after_thousands_of_requests() {
-    let mut rig = Rig::new();
+    let mut harness = ProxyHarness::new();
     for round in 0..2_000u32 {
-        rig.arrive();
-        rig.carry_out();
-        rig.calls.clear();
-        while let Some((id, attempt)) = rig.in_flight.pop() {
-            if rig.proxy.handle_attempt_ended(rig.now, &id, attempt, Status::Ok, LoadReport::default()) {
-                rig.answer(id);
+        harness.arrive();
+        harness.carry_out();
+        harness.calls.clear();
+        while let Some((id, attempt)) = harness.in_flight.pop() {
+            if harness.proxy.handle_attempt_ended(
+                harness.now,
+                &id,
+                attempt,
+                Status::Ok,
+                LoadReport::default(),
+            ) {
+                harness.answer(id);
             }
-            rig.carry_out();
+            harness.carry_out();
         }
-        rig.wait(START + f64::from(round) * 0.1);
+        harness.wait(START + f64::from(round) * 0.1);
     }
-    rig.wait(rig.now + TIME_BUDGET);
-    assert_eq!((rig.proxy.pending(), rig.proxy.open_requests()), (0, 0));
-    assert!(rig.proxy.metrics().served > 500);
+    harness.wait(harness.now + TIME_BUDGET);
+    assert_eq!((harness.proxy.pending(), harness.proxy.open_requests()), (0, 0));
+    assert!(harness.proxy.metrics().served > 500);
 }
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -28,6 +28,7 @@
 }
 
 impl ResourceBudget {
+    /// The division of `limits`.
     pub fn new(limits: &Limits) -> Self {
         let usable = limits.sockets.saturating_sub(RESERVED_SOCKETS) as f64 * (1.0 - SPARE_FRACTION);
         let backend_connections = ((usable * BACKEND_FRACTION) as usize).max(1);
--- a/crates/node/src/client_socket.rs
+++ b/crates/node/src/client_socket.rs
@@ -21,6 +21,7 @@
 pub struct ClientSocket(Rc<TcpStream>);
 
 impl ClientSocket {
+    /// The client at the other end of `stream`.
     pub fn new(stream: TcpStream) -> Self {
         Self(Rc::new(stream))
     }
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -68,6 +68,7 @@
 }
 
 impl Connection {
+    /// A connection that was accepted just now.
     pub fn new(slot: ClientSlot, socket: ClientSocket, close_request: Rc<CloseRequest>) -> Self {
         let accepted_at = slot.node.now();
         Self {
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -41,6 +41,7 @@
 }
 
 impl CounterClient {
+    /// A client for the counter at `address`; [`CounterClient::run`] makes its calls.
     pub fn new(node: Rc<NodeContext>, address: SocketAddr, seed: u64) -> Rc<Self> {
         let connections = RefCell::new(CounterConnections::new(node.counter_timeout, seed));
         Rc::new(Self {
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -5,8 +5,8 @@
 use crate::log::log_step;
 use std::cell::Cell;
 use std::rc::Rc;
-use weirusher::{BackendId, RequestId, Status};
-use weirusher_core::{Command, Outcome, ProxyOutput};
+use weirusher::{RequestId, Status};
+use weirusher_core::{Command, NewAttempt, Outcome, ProxyOutput};
 
 /// Most counter calls that wait to be written; further ones are rejected at once.
 const MAX_QUEUED_COUNTER_CALLS: usize = 4096;
@@ -21,9 +21,7 @@
         let (mut calls_queued, mut rejected_calls) = (false, Vec::new());
         for output in outputs.drain(..) {
             match output {
-                ProxyOutput::Forward { request, attempt, backend, timeout, write_timeout } => {
-                    self.start_attempt(state, request, attempt, backend, timeout, write_timeout);
-                }
+                ProxyOutput::Forward(attempt) => self.start_attempt(state, attempt),
                 ProxyOutput::Abort { request, attempt } => self.abort_attempt(state, request, attempt),
                 ProxyOutput::Prevented { request, attempt, violation } => {
                     tracing::error!(id = %request, attempt, %violation, "an attempt would have broken a rule");
@@ -77,15 +75,9 @@
         }
     }
 
-    fn start_attempt(
-        self: &Rc<Self>,
-        state: &mut NodeState,
-        id: RequestId,
-        number: u32,
-        backend: BackendId,
-        timeout: f64,
-        write_timeout: f64,
-    ) {
+    /// Starts an attempt in a task of its own.
+    fn start_attempt(self: &Rc<Self>, state: &mut NodeState, new: NewAttempt) {
+        let NewAttempt { request: id, number, backend, timeout, write_timeout } = new;
         let Some(forwarded) = state.pending.get(&id).map(|pending| pending.forwarded.clone()) else { return };
         let address = state.addresses.get(&backend).copied();
         log_step!(self, %id, attempt = number, %backend, timeout, write_timeout, "attempt started");
@@ -102,6 +94,7 @@
         state.attempts.insert((id, number), RunningAttempt { backend, task, write_started });
     }
 
+    /// Ends the task of an attempt, which closes its connection.
     fn abort_attempt(&self, state: &mut NodeState, id: RequestId, attempt: u32) {
         log_step!(self, %id, attempt, "attempt aborted");
         if let Some(running) = state.attempts.remove(&(id, attempt)) {
--- a/crates/platform/tests/parsers.rs
+++ b/crates/platform/tests/parsers.rs
@@ -50,7 +50,7 @@
     let read = client_request(&micros);
     assert!((read.time_budget - 0.25).abs() < 1e-9 && read.is_retry && read.closes_connection);
     let other_case = client_request(&GOOD.replace("00000000b4d65521", "00000000B4d65521"));
-    assert_eq!(&*other_case.customer, "00000000b4d65521", "one number, one quota");
+    assert_eq!(&*other_case.customer, "00000000b4d65521", "the same number in either case");
     let ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
     assert_eq!(self::read(ready), Ok(ClientMessage::ReadinessCheck));
 }
@@ -62,7 +62,7 @@
     let endpoints: Vec<_> = zones.iter().enumerate().map(entry).collect();
     let list = json!({"index": 1, "snapshot": true, "endpoints": endpoints}).to_string();
     let update = ListState::new(vec!["a".into(), "b".into()]).apply(list.as_bytes()).unwrap().unwrap();
-    let found: Vec<u32> = update.endpoints.iter().map(|server| server.zone).collect();
+    let found: Vec<u32> = update.endpoints.iter().map(|endpoint| endpoint.zone).collect();
     assert_eq!((found[0], found[1], found[4]), (0, 1, 0));
     assert!(found[2] == found[3] && found[2] > 1 && found[5] > 1 && found[2] != found[5], "{found:?}");
 }
@@ -117,10 +117,10 @@
 }
 
 fn responses(bytes: &[u8], piece: usize) -> Result<Vec<Response>, String> {
-    let (mut reader, mut held, mut all) = (ResponseReader::new(1024), BytesMut::new(), Vec::new());
+    let (mut reader, mut unread, mut all) = (ResponseReader::new(1024), BytesMut::new(), Vec::new());
     for part in bytes.chunks(piece.max(1)) {
-        held.extend_from_slice(part);
-        while let Some(response) = reader.read(&mut held).map_err(|e| e.to_string())? {
+        unread.extend_from_slice(part);
+        while let Some(response) = reader.read(&mut unread).map_err(|e| e.to_string())? {
             all.push(response);
         }
     }
@@ -131,7 +131,7 @@
 fn only_a_complete_200_serves() {
     let one = |text: &str| responses(text.as_bytes(), 7).map(|all| all.first().map(backend::attempt_status));
     assert_eq!(one("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), Ok(Some(Status::Ok)));
-    assert_eq!(one("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok"), Ok(None), "it waits for the rest");
+    assert_eq!(one("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok"), Ok(None), "the rest is awaited");
     assert_eq!(one("HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"), Ok(Some(Status::Error)));
     assert_eq!(one("HTTP/1.1 204 -\r\nContent-Length: 0\r\n\r\n"), Ok(Some(Status::Error)));
     for status in [503, 504] {
@@ -143,14 +143,14 @@
     let real = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     assert_eq!(one(&format!("{interim}{interim}{real}")), Ok(Some(Status::Ok)));
     assert!(one(&format!("{}{real}", interim.repeat(9))).is_err());
-    for spoilt in [
+    for malformed in [
         "Content-Length: 3221225472",
         "Content-Length: -1",
         "Content-Length: 1\r\nContent-Length: 2",
         "Content-Length: 1\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: gzip",
     ] {
-        assert!(one(&format!("HTTP/1.1 200 OK\r\n{spoilt}\r\n\r\n")).is_err(), "{spoilt}");
+        assert!(one(&format!("HTTP/1.1 200 OK\r\n{malformed}\r\n\r\n")).is_err(), "{malformed}");
     }
     assert!(one(&format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(20_000))).is_err(), "an unbounded head");
 }
@@ -159,12 +159,12 @@
 fn a_response_without_a_length_is_complete_once_its_connection_closes_in_order() {
     let mut reader = ResponseReader::new(1024);
     let mut src = BytesMut::from(&b"HTTP/1.1 200 OK\r\nX: y\r\n\r\nok"[..]);
-    assert!(reader.read(&mut src).unwrap().is_none(), "more of it may come");
+    assert!(reader.read(&mut src).unwrap().is_none(), "more may follow");
     src.extend_from_slice(b" then");
     assert!(reader.read(&mut src).unwrap().is_none() && reader.has_started());
-    let whole = reader.finish().expect("its end");
+    let complete = reader.finish().expect("its end");
     assert_eq!(
-        (backend::attempt_status(&whole), &whole.body[..], whole.closes_connection),
+        (backend::attempt_status(&complete), &complete.body[..], complete.closes_connection),
         (Status::Ok, &b"ok then"[..], true)
     );
     // The end of the connection does not complete any other response.
@@ -228,12 +228,15 @@
 fn a_list_is_applied_by_its_version() {
     let mut state = ListState::new(vec!["a".into(), "b".into()]);
     assert_eq!(state.poll_target(5.0), "/api/targets");
-    let list = |index: u64, whole: bool, status: &str| {
-        json!({"index": index, "snapshot": whole, "endpoints": [{"name": "s-1", "address": "10.1.0.18:8443",
+    let list = |index: u64, complete: bool, status: &str| {
+        json!({"index": index, "snapshot": complete, "endpoints": [{"name": "s-1", "address": "10.1.0.18:8443",
             "zone": "b", "type": "m2", "group": 3, "status": status, "weight": 1.0, "since_ms": 1500}]})
         .to_string()
     };
-    assert!(state.apply(list(40, false, "SERVING").as_bytes()).unwrap().is_none(), "changes to nothing");
+    assert!(
+        state.apply(list(40, false, "SERVING").as_bytes()).unwrap().is_none(),
+        "changes without a list to apply them to"
+    );
     let update = state.apply(list(41, true, "SERVING").as_bytes()).unwrap().unwrap();
     assert_eq!(
         (update.kind, update.endpoints[0].zone, update.endpoints[0].cell),
@@ -249,38 +252,38 @@
     }
     assert_eq!(state.poll_target(5.0), "/api/targets?since=43&timeout_ms=5000", "the version in use stays");
     assert!(state.apply(list(42, false, "SERVING").as_bytes()).unwrap().is_none(), "a lower version");
-    assert_eq!(state.poll_target(5.0), "/api/targets", "so the whole list is asked for");
+    assert_eq!(state.poll_target(5.0), "/api/targets", "the complete list is polled next");
 }
 
 #[test]
 fn an_invalid_entry_costs_its_backend_only() {
     let entry = |name: &str, status: &str, address: &str| json!({"name": name, "address": address, "zone": "a", "group": 0, "status": status, "since_ms": 0});
     let good = entry("s-1", "SERVING", "10.1.0.18:8443");
-    let odd = [
+    let invalid = [
         entry("s-2", "ODD", "10.1.0.19:8443"),
         entry("s-3", "SERVING", "nowhere"),
         json!({"name": "s-4"}),
         json!({"name": "", "status": "SERVING"}),
         json!(7),
     ];
-    for whole in [true, false] {
+    for complete in [true, false] {
         let mut state = ListState::new(vec!["a".into()]);
         state
             .apply(json!({"index": 1, "snapshot": true, "endpoints": [good]}).to_string().as_bytes())
             .unwrap();
-        let mut entries = odd.to_vec();
+        let mut entries = invalid.to_vec();
         entries.insert(2, good.clone());
-        let list = json!({"index": 2, "snapshot": whole, "endpoints": entries}).to_string();
-        let update = state.apply(list.as_bytes()).unwrap().expect("it is newer");
+        let list = json!({"index": 2, "snapshot": complete, "endpoints": entries}).to_string();
+        let update = state.apply(list.as_bytes()).unwrap().expect("a newer version");
         let serving: Vec<_> =
             update.addresses.iter().filter(|w| w.address.is_some()).map(|w| &*w.name).collect();
-        assert_eq!(serving, ["s-1"], "and those of which nothing sure was said get nothing new");
+        assert_eq!(serving, ["s-1"], "backends with invalid entries get no new requests");
         let running: Vec<_> =
             update.endpoints.iter().filter(|s| s.lifecycle == Lifecycle::Running).map(|s| &*s.id).collect();
         assert_eq!(running, ["s-1"]);
-        let leaving = |name: &str| update.endpoints.iter().any(|s| &*s.id == name);
-        // A whole list says by leaving it out that a backend left; changes must name it.
-        assert_eq!([leaving("s-2"), leaving("s-3"), leaving("s-4")], [true, !whole, !whole]);
+        let is_listed = |name: &str| update.endpoints.iter().any(|s| &*s.id == name);
+        // A complete list removes a backend by leaving it out; changes have to name it.
+        assert_eq!([is_listed("s-2"), is_listed("s-3"), is_listed("s-4")], [true, !complete, !complete]);
         assert!(
             update.problems.len() == 4 && update.problems[0].to_string().starts_with("s-2:"),
             "{:?}",
@@ -302,8 +305,8 @@
         let text = serde_json::to_string_pretty(&list).unwrap();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
         let mut src = BytesMut::from(format!("{head}{text}").as_bytes());
-        let response = ResponseReader::new(MAX_LIST_BYTES).read(&mut src).unwrap().expect("it is whole");
-        let update = ListState::default().apply(&response.body).unwrap().expect("the first one");
+        let response = ResponseReader::new(MAX_LIST_BYTES).read(&mut src).unwrap().expect("it is complete");
+        let update = ListState::default().apply(&response.body).unwrap().expect("the first list");
         assert_eq!((update.endpoints.len(), update.problems.len()), (many, 0));
     }
 }
@@ -314,9 +317,9 @@
         let ahead = if interim { "HTTP/1.1 100 Continue\r\n\r\n" } else { "" };
         let one = format!("{ahead}HTTP/1.1 200 OK\r\nX-Never-Ran: 1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let bytes = one.repeat(3);
-        let (whole, split) = (responses(bytes.as_bytes(), bytes.len()), responses(bytes.as_bytes(), piece));
-        prop_assert_eq!(whole.as_ref().map(Vec::len), Ok(3));
-        prop_assert_eq!(whole, split);
+        let (complete, split) = (responses(bytes.as_bytes(), bytes.len()), responses(bytes.as_bytes(), piece));
+        prop_assert_eq!(complete.as_ref().map(Vec::len), Ok(3));
+        prop_assert_eq!(complete, split);
     }
 
     #[test]
