--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use weirusher::Status;
-use weirusher_core::{CounterConnections, EndedCall, Route};
+use weirusher_core::{CounterConnections, EndedCall, Route, UnexpectedResponse};
 use weirusher_platform::counter::{MAX_RESPONSE_BYTES, parse_add_result, write_add};
 use weirusher_platform::response::{Response, ResponseReader};
 
@@ -20,6 +20,29 @@
 /// Longest time for opening a connection, as a multiple of a call's timeout.
 const CONNECT_TIMEOUTS: f64 = 5.0;
 
+/// Why a connection to the counter is closed.
+#[derive(Debug, thiserror::Error)]
+enum ConnectionError {
+    /// It could not be opened, or failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// It could not be opened in time.
+    #[error("no connection in time")]
+    ConnectTimeout,
+    /// More than [`MAX_UNWRITTEN_BYTES`] wait to be written.
+    #[error("the counter reads too slowly")]
+    ReadsTooSlowly,
+    /// Responses are missing, or one does not end.
+    #[error("the counter does not respond")]
+    Unresponsive,
+    /// A response without a call.
+    #[error(transparent)]
+    UnexpectedResponse(#[from] UnexpectedResponse),
+    /// A response without a total, or one that closes the connection.
+    #[error("the response has no total or is the last one")]
+    LastResponse,
+}
+
 /// The client of the counter at one address.
 pub struct CounterClient {
     node: Rc<NodeContext>,
@@ -110,8 +133,8 @@
         // Without a connection no amount was added; after a reset it may have been.
         let (status, error) = match connected {
             Ok(Ok(stream)) => (Status::Reset, self.serve(connection, &outbox, stream).await.err()),
-            Ok(Err(error)) => (Status::ConnectFailed, Some(error)),
-            Err(elapsed) => (Status::ConnectFailed, Some(elapsed.into())),
+            Ok(Err(error)) => (Status::ConnectFailed, Some(error.into())),
+            Err(_) => (Status::ConnectFailed, Some(ConnectionError::ConnectTimeout)),
         };
         if let Some(error) = error {
             tracing::debug!(%error, connection, "the connection to the counter is closed");
@@ -126,7 +149,12 @@
     ///
     /// # Errors
     /// Why it closes out of order.
-    async fn serve(&self, connection: usize, outbox: &Outbox, stream: TcpStream) -> io::Result<()> {
+    async fn serve(
+        &self,
+        connection: usize,
+        outbox: &Outbox,
+        stream: TcpStream,
+    ) -> Result<(), ConnectionError> {
         let mut responses = ResponseReader::new(MAX_RESPONSE_BYTES);
         let (mut unread, mut unwritten) = (BytesMut::new(), BytesMut::new());
         loop {
@@ -137,7 +165,7 @@
             let deadline = deadline.map(|at| self.node.clock.instant(at));
             unwritten.unsplit(outbox.bytes.take());
             if unwritten.len() > MAX_UNWRITTEN_BYTES {
-                return Err(io::ErrorKind::WriteZero.into());
+                return Err(ConnectionError::ReadsTooSlowly);
             }
             tokio::select! {
                 // Responses first: after a stall of the process they wait in the socket, and must not count as timed out.
@@ -155,7 +183,7 @@
                     if deadline.is_some() =>
                 {
                     if self.handle_timeout(connection, responses.has_started()) {
-                        return Err(io::ErrorKind::TimedOut.into());
+                        return Err(ConnectionError::Unresponsive);
                     }
                 }
                 written = weirusher_net::write(&stream, &mut unwritten), if !unwritten.is_empty() => written?,
@@ -183,7 +211,7 @@
         connection: usize,
         responses: &mut ResponseReader,
         unread: &mut BytesMut,
-    ) -> io::Result<()> {
+    ) -> Result<(), ConnectionError> {
         loop {
             match responses.read(unread) {
                 Ok(Some(response)) => self.handle_response(connection, Some(response))?,
@@ -199,19 +227,17 @@
     }
 
     /// Handles one response; `None`: it is malformed. An error: the connection must not be used further.
-    fn handle_response(&self, connection: usize, response: Option<Response>) -> io::Result<()> {
+    fn handle_response(&self, connection: usize, response: Option<Response>) -> Result<(), ConnectionError> {
         let closes = response.as_ref().is_none_or(|response| response.closes_connection);
         let result = response.as_ref().and_then(parse_add_result);
         let ended = self.connections.borrow_mut().response_completed(self.node.now(), connection);
-        let ended = ended.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
-        if let Some(EndedCall { call, elapsed }) = ended {
+        if let Some(EndedCall { call, elapsed }) = ended? {
             // Without a total the amount was added, but the new value is unknown.
             let (status, total) = result.map_or((Status::Error, 0.0), |result| (result.status, result.total));
             self.node.handle_counter_response(call, status, total, elapsed);
         }
         if result.is_none() || closes {
-            let reason = "the response has no total or is the last one";
-            return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
+            return Err(ConnectionError::LastResponse);
         }
         Ok(())
     }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,9 +1,10 @@
 //! The client of discovery: polls for the endpoint list, over as many connections as [`EndpointWatch`] asks for.
 
+mod poll;
+
 use crate::context::NodeContext;
-use bytes::BytesMut;
+use poll::{Poll, PollError, PollResponse};
 use std::collections::HashMap;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,34 +13,13 @@
 use tokio::task::{AbortHandle, JoinSet};
 use weirusher::EndpointListKind;
 use weirusher_core::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
-use weirusher_platform::list::{ListState, ListUpdate, MAX_LIST_BYTES};
-use weirusher_platform::response::ResponseReader;
+use weirusher_platform::list::{ListState, ListUpdate};
 
 /// The pause after a response that came at once and had no change, so that a discovery that always answers so costs little.
 /// It is short enough that the next poll is in time.
 const NO_CHANGE_PAUSE: Duration = Duration::from_millis(10);
 /// Most errors that are logged between two responses.
 const MAX_LOGGED_ERRORS: usize = 8;
-/// Initial capacity of the buffer for a response, in bytes.
-const BUFFER_CAPACITY: usize = 4096;
-
-/// The response to a poll.
-struct PollResponse {
-    /// The connection, if it may be used further.
-    stream: Option<TcpStream>,
-    body: BytesMut,
-}
-
-/// A poll to be made.
-struct Poll {
-    connection: WatchConnection,
-    address: SocketAddr,
-    /// An open connection; `None`: one is opened.
-    stream: Option<TcpStream>,
-    target: String,
-    /// Takes the connection when a part of the response was received.
-    started: UnboundedSender<WatchConnection>,
-}
 
 /// The client of discovery at one address.
 pub struct DiscoveryClient {
@@ -47,7 +27,7 @@
     address: SocketAddr,
     watch: EndpointWatch,
     list: ListState,
-    polls: JoinSet<(WatchConnection, io::Result<PollResponse>)>,
+    polls: JoinSet<(WatchConnection, Result<PollResponse, PollError>)>,
     /// The tasks of the polls in flight. A poll without an entry was abandoned.
     tasks: HashMap<WatchConnection, AbortHandle>,
     started: UnboundedSender<WatchConnection>,
@@ -108,7 +88,7 @@
             match output {
                 WatchOutput::Open(connection) => {
                     if !self.tasks.is_empty() {
-                        self.log_error("no response in time".into());
+                        self.log_error(&PollError::Timeout);
                     }
                     let target = ListState::COMPLETE_LIST.to_string();
                     self.start_poll(connection, None, target, Duration::ZERO);
@@ -140,22 +120,20 @@
         self.tasks.insert(connection, task);
     }
 
-    fn handle_poll_ended(&mut self, connection: WatchConnection, response: io::Result<PollResponse>) {
+    fn handle_poll_ended(&mut self, connection: WatchConnection, response: Result<PollResponse, PollError>) {
         // The response to an abandoned poll is older than the list in use and must not change its version either.
         if self.tasks.remove(&connection).is_none() {
             return;
         }
         let response = match response {
             Ok(response) => response,
-            Err(error) => return self.handle_failure(connection, error.to_string()),
+            Err(error) => return self.handle_failure(connection, &error),
         };
         let last_version = self.list.version();
         match self.list.apply(&response.body) {
             Ok(Some(update)) => self.handle_update(connection, response.stream, update, last_version),
-            Ok(None) => {
-                self.handle_failure(connection, "changes to an older list than the one in use".into())
-            }
-            Err(error) => self.handle_failure(connection, error.to_string()),
+            Ok(None) => self.handle_failure(connection, &PollError::OutdatedChanges),
+            Err(error) => self.handle_failure(connection, &error.into()),
         }
     }
 
@@ -185,43 +163,16 @@
         self.start_poll(connection, stream, self.list.poll_target(self.watch.wait()), pause);
     }
 
-    fn handle_failure(&mut self, connection: WatchConnection, error: String) {
+    fn handle_failure(&mut self, connection: WatchConnection, error: &PollError) {
         self.watch.handle_closed(self.node.now(), connection);
         self.log_error(error);
     }
 
-    fn log_error(&mut self, error: String) {
+    fn log_error(&mut self, error: &PollError) {
+        let error = error.to_string();
         if self.logged_errors.len() < MAX_LOGGED_ERRORS && !self.logged_errors.contains(&error) {
             tracing::info!(error, "discovery is polled again; the last list stays in use");
             self.logged_errors.push(error);
         }
     }
 }
-
-impl Poll {
-    async fn send(self) -> io::Result<PollResponse> {
-        let invalid = |text: String| io::Error::new(io::ErrorKind::InvalidData, text);
-        let stream = match self.stream {
-            Some(stream) => stream,
-            None => weirusher_net::connect(self.address).await?,
-        };
-        let request = format!("GET {} HTTP/1.1\r\nHost: discovery.local\r\n\r\n", self.target);
-        weirusher_net::write_all(&stream, request.as_bytes()).await?;
-        let mut reader = ResponseReader::new(MAX_LIST_BYTES);
-        let mut buffer = BytesMut::with_capacity(BUFFER_CAPACITY);
-        loop {
-            let response = match weirusher_net::read(&stream, &mut buffer).await? {
-                0 => Some(reader.finish().ok_or(io::ErrorKind::UnexpectedEof)?),
-                _ => reader.read(&mut buffer).map_err(|error| invalid(error.to_string()))?,
-            };
-            if let Some(response) = response {
-                if response.status != 200 {
-                    return Err(invalid(format!("status {}", response.status)));
-                }
-                let stream = (!response.closes_connection).then_some(stream);
-                return Ok(PollResponse { stream, body: response.body.into() });
-            }
-            let _ = self.started.send(self.connection); // Without a receiver this poll was abandoned too.
-        }
-    }
-}
--- /dev/null
+++ b/crates/node/src/discovery/poll.rs
@@ -0,0 +1,87 @@
+//! One poll for the endpoint list.
+
+use bytes::BytesMut;
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc::UnboundedSender;
+use weirusher_core::WatchConnection;
+use weirusher_platform::list::{ListError, MAX_LIST_BYTES};
+use weirusher_platform::response::ResponseReader;
+use weirusher_wire::http1::HttpError;
+
+/// Initial capacity of the buffer for a response, in bytes.
+const BUFFER_CAPACITY: usize = 4096;
+
+/// The response to a poll.
+pub(super) struct PollResponse {
+    /// The connection, if it may be used further.
+    pub stream: Option<TcpStream>,
+    pub body: BytesMut,
+}
+
+/// Why a poll brought no list.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum PollError {
+    /// The connection failed or closed before the end of the response.
+    #[error(transparent)]
+    Connection(#[from] io::Error),
+    /// The response is malformed.
+    #[error(transparent)]
+    Malformed(#[from] HttpError),
+    /// The response has another status than 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// The list cannot be used.
+    #[error(transparent)]
+    List(#[from] ListError),
+    /// The response has changes to an older list than the one in use.
+    #[error("changes to an older list than the one in use")]
+    OutdatedChanges,
+    /// No response arrived in time; a further poll is sent.
+    #[error("no response in time")]
+    Timeout,
+}
+
+/// A poll to be made.
+pub(super) struct Poll {
+    pub connection: WatchConnection,
+    pub address: SocketAddr,
+    /// An open connection; `None`: one is opened.
+    pub stream: Option<TcpStream>,
+    /// The request target.
+    pub target: String,
+    /// Takes the connection when a part of the response was received.
+    pub started: UnboundedSender<WatchConnection>,
+}
+
+impl Poll {
+    /// Sends the poll and reads the complete response.
+    ///
+    /// # Errors
+    /// The connection failed, or the response is malformed or not a 200.
+    pub async fn send(self) -> Result<PollResponse, PollError> {
+        let stream = match self.stream {
+            Some(stream) => stream,
+            None => weirusher_net::connect(self.address).await?,
+        };
+        let request = format!("GET {} HTTP/1.1\r\nHost: discovery.local\r\n\r\n", self.target);
+        weirusher_net::write_all(&stream, request.as_bytes()).await?;
+        let mut reader = ResponseReader::new(MAX_LIST_BYTES);
+        let mut buffer = BytesMut::with_capacity(BUFFER_CAPACITY);
+        loop {
+            let response = match weirusher_net::read(&stream, &mut buffer).await? {
+                0 => Some(reader.finish().ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))?),
+                _ => reader.read(&mut buffer)?,
+            };
+            if let Some(response) = response {
+                if response.status != 200 {
+                    return Err(PollError::Status(response.status));
+                }
+                let stream = (!response.closes_connection).then_some(stream);
+                return Ok(PollResponse { stream, body: response.body.into() });
+            }
+            let _ = self.started.send(self.connection); // Without a receiver this poll was abandoned too.
+        }
+    }
+}
