--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -259,7 +259,7 @@
 
     // ---- Ends of requests and attempts ----
 
-    /// The deadline of a request has come and the decisions have not answered it: it fails.
+    /// A request fails whose deadline has passed without an answer of the decisions.
     fn fail_undecided(&mut self, now: Time, id: &RequestId) {
         if !self.complete(id) {
             return;
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use weirusher::Time;
 
-/// Seconds within which a new connection has to send its first byte, and a connection that has sent a part of a request the
-/// rest of it.
+/// Seconds within which a new connection has to send its first byte, and a client that has sent a part of a request has to
+/// send the rest.
 pub const REQUEST_READ_TIMEOUT: f64 = 2.5;
 /// Seconds for which a connection without an open request is kept while all slots are taken, as its next request may be on
 /// its way. A longer time would keep new clients waiting to be accepted.
@@ -24,7 +24,7 @@
 /// Identifies a client connection within the process.
 pub type SlotId = u64;
 
-/// What a connection is doing. States that may be evicted come in the order in which they are.
+/// What a connection is doing. The variants are in the order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ConnectionState {
     /// Nothing was received on it.
@@ -37,7 +37,7 @@
     Active,
 }
 
-/// The states of connections that may be evicted, in the order in which they are.
+/// The states in which a connection may be evicted, in the order of eviction.
 const EVICTABLE: [ConnectionState; 3] =
     [ConnectionState::New, ConnectionState::Reading, ConnectionState::Idle];
 
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -7,7 +7,6 @@
 use crate::log::log_step;
 use bytes::{Buf, BytesMut};
 use std::cell::Cell;
-use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -79,10 +78,8 @@
         let mut buffer = BytesMut::with_capacity(BUFFER_CAPACITY);
         self.write_request(stream, &mut buffer, &limits).await?;
         let mut permit = node.response_bodies.permit();
-        // A response that is broken off, malformed or too long: the attempt may have been executed.
-        let Ok(Some(response)) = read_response(stream, &mut buffer, &mut permit).await else {
-            return Err(Status::Reset);
-        };
+        // Without a complete response the attempt may have been executed.
+        let response = read_response(stream, &mut buffer, &mut permit).await.ok_or(Status::Reset)?;
         if !response.closes_connection && buffer.is_empty() {
             connection.return_to_pool(endpoint);
         }
@@ -116,31 +113,33 @@
     }
 }
 
-/// Reads a complete response; `None`: the connection was closed before its end. A reset is an error and ends no response.
+/// Reads a complete response. `None`: the connection failed, closed or stalled before its end, or the response is
+/// malformed or too long for the byte budget.
 async fn read_response(
     stream: &TcpStream,
     buffer: &mut BytesMut,
     permit: &mut BytePermit,
-) -> io::Result<Option<Response>> {
+) -> Option<Response> {
     let mut reader = ResponseReader::new(MAX_RESPONSE_BYTES);
     loop {
         let bytes = weirusher_net::read(stream, buffer);
         let read = if reader.has_started() {
-            tokio::time::timeout(RESPONSE_STALL_TIMEOUT, bytes).await?
+            tokio::time::timeout(RESPONSE_STALL_TIMEOUT, bytes).await.ok()?
         } else {
             bytes.await
         };
-        if read? == 0 {
-            return Ok(reader.finish());
+        // Only a close in order ends a response without a length; a reset is an error of the read.
+        if read.ok()? == 0 {
+            return reader.finish();
         }
-        let response = reader.read(buffer).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
+        let response = reader.read(buffer).ok()?;
         let body_bytes =
             response.as_ref().map_or(buffer.len() + reader.buffered(), |response| response.body.len());
         if !permit.try_grow_to(body_bytes) {
-            return Err(io::ErrorKind::OutOfMemory.into());
+            return None;
         }
         if response.is_some() {
-            return Ok(response);
+            return response;
         }
     }
 }
--- a/crates/node/src/client_slot.rs
+++ b/crates/node/src/client_slot.rs
@@ -13,7 +13,7 @@
 }
 
 impl ClientSlot {
-    /// Takes a slot for a connection that was accepted. The request asks its task to close it.
+    /// Takes a slot for a connection that was accepted, and creates the handle by which its task is asked to close it.
     pub fn take(node: &Rc<NodeContext>) -> (Self, Rc<CloseRequest>) {
         let state = &mut *node.state.borrow_mut();
         state.last_slot += 1;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -15,8 +15,8 @@
 use weirusher_core::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
 use weirusher_platform::list::{ListState, ListUpdate};
 
-/// The pause after a response that came at once and had no change, so that a discovery that always answers so costs little.
-/// It is short enough that the next poll is in time.
+/// The pause after a response without a change that did not wait for one. It bounds the work that a discovery causes which
+/// never waits, and is short enough that the next poll is in time.
 const NO_CHANGE_PAUSE: Duration = Duration::from_millis(10);
 /// Most errors that are logged between two responses.
 const MAX_LOGGED_ERRORS: usize = 8;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -144,7 +144,10 @@
     }
     tokio::time::sleep_until(node.clock.instant(shutdown.accept_until())).await;
     node.stop_accepting.notify_one();
-    tracing::info!(pending = node.state.borrow().proxy.pending(), "accepting whoever waits, then no more");
+    tracing::info!(
+        pending = node.state.borrow().proxy.pending(),
+        "accepting the connections that wait, then none"
+    );
     let finished = async {
         let _ = accepting.await; // It ends once no connection waits to be accepted.
         while node.state.borrow().proxy.pending() > 0 || !node.state.borrow().slots.is_empty() {
