--- a/benches/module.rs
+++ b/benches/module.rs
@@ -5,10 +5,11 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
 use weirusher::{
-    Action, Class, CustomerId, Endpoint, EndpointListKind, Event, Gateway, LoadReport, Plan, Request,
-    RequestId, Settings, Status,
+    Action, BackendId, Class, CustomerId, Endpoint, EndpointListKind, Event, Gateway, LoadReport, Plan,
+    Request, RequestId, Settings, Status, Time,
 };
 
+/// Requests of one measurement.
 const ROUNDS: u32 = 200_000;
 
 fn settings(gateways: u32) -> Settings {
@@ -25,17 +26,50 @@
     (0..count).map(|i| format!("customer-{i}").into()).collect()
 }
 
-/// Nanoseconds for a request and its outcome, with some requests in flight all the time.
-fn decisions(gateways: u32, backends: usize, customers: usize) -> f64 {
+/// A gateway that knows its backends.
+fn new_gateway(gateways: u32, backends: usize, now: Time) -> Gateway {
     let mut gateway = Gateway::new(settings(gateways), 7).expect("usable settings");
-    let (mut rng, mut actions, mut now) = (fastrand::Rng::with_seed(1), Vec::new(), 100.0);
     let endpoint = |i| Endpoint::warm(format!("10.0.{}.{}:8080", i / 250, i % 250));
     let list = Event::EndpointList {
         kind: EndpointListKind::Snapshot,
         endpoints: (0..backends).map(endpoint).collect(),
     };
-    gateway.handle_event(now, list, &mut actions);
-    actions.clear();
+    gateway.handle_event(now, list, &mut Vec::new());
+    gateway
+}
+
+fn new_request(id: &RequestId, customer: CustomerId, gateways: u32, now: Time) -> Event {
+    Event::Request(Request {
+        id: id.clone(),
+        units: 1.0,
+        deadline: now + 3.0,
+        plan: 0,
+        customer_instances: gateways.min(4),
+        first_instance: 0,
+        class: 0,
+        customer,
+        is_retry: false,
+    })
+}
+
+fn served(request: RequestId, backend: BackendId, elapsed: f64) -> Event {
+    Event::AttemptEnded {
+        request,
+        attempt: 0,
+        backend,
+        status: Status::Ok,
+        elapsed,
+        request_ended: true,
+        settled_units: None,
+        load: LoadReport::default(),
+    }
+}
+
+/// Nanoseconds for a request and its outcome, with some requests in flight all the time.
+fn decisions(gateways: u32, backends: usize, customers: usize) -> f64 {
+    let mut now = 100.0;
+    let mut gateway = new_gateway(gateways, backends, now);
+    let (mut rng, mut actions) = (fastrand::Rng::with_seed(1), Vec::new());
     let names = names(customers);
     let ids: Vec<RequestId> = (0..ROUNDS).map(|i| format!("{i:x}").into()).collect();
     let mut in_flight = VecDeque::new();
@@ -44,21 +78,7 @@
     for id in &ids {
         now += 0.0001;
         let customer = names[rng.usize(..customers)].clone();
-        gateway.handle_event(
-            now,
-            Event::Request(Request {
-                id: id.clone(),
-                units: 1.0,
-                deadline: now + 3.0,
-                plan: 0,
-                customer_instances: gateways.min(4),
-                first_instance: 0,
-                class: 0,
-                customer,
-                is_retry: false,
-            }),
-            &mut actions,
-        );
+        gateway.handle_event(now, new_request(id, customer, gateways, now), &mut actions);
         for action in actions.drain(..) {
             if let Action::Forward { request, backend, .. } = action {
                 in_flight.push_back((request, backend));
@@ -66,17 +86,8 @@
         }
         if in_flight.len() > max_in_flight {
             let (request, backend) = in_flight.pop_front().expect("one is in flight");
-            let end = Event::AttemptEnded {
-                request,
-                attempt: 0,
-                backend,
-                status: Status::Ok,
-                elapsed: 0.01 + 0.01 * rng.f64(),
-                request_ended: true,
-                settled_units: None,
-                load: LoadReport::default(),
-            };
-            gateway.handle_event(now, end, &mut actions);
+            let elapsed = 0.01 + 0.01 * rng.f64();
+            gateway.handle_event(now, served(request, backend, elapsed), &mut actions);
             actions.clear();
         }
     }
--- a/examples/fleet_load.rs
+++ b/examples/fleet_load.rs
@@ -246,14 +246,14 @@
         for action in actions {
             match action {
                 Action::Forward { request, backend, timeout, .. } => {
-                    self.begin(gateway, request, &backend, timeout)
+                    self.begin(gateway, request, &backend, timeout);
                 }
                 Action::SetTimer { token, at } => self.push(at, Due::Timer { gateway, token }),
                 Action::Reject { request, .. } => {
-                    self.close(gateway, &request, |outcomes| outcomes.rejected += 1)
+                    self.close(gateway, &request, |outcomes| outcomes.rejected += 1);
                 }
                 Action::Fail { request, .. } => {
-                    self.close(gateway, &request, |outcomes| outcomes.failed += 1)
+                    self.close(gateway, &request, |outcomes| outcomes.failed += 1);
                 }
                 _ => {}
             }
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -25,10 +25,9 @@
     ) -> bool {
         match status {
             Status::Ok => self.record_success(now),
-            // It runs, and is full.
-            Status::Rejected => {}
-            // Its latency shows it: in an overload all backends time out, and none is an outlier.
-            Status::Timeout => {}
+            // One that rejects is running, and full. A timeout shows in the latency: in an overload all
+            // backends time out, and none is an outlier.
+            Status::Rejected | Status::Timeout => {}
             // A connection that does not come up in time may be slow, and counts once.
             Status::ConnectFailed if elapsed < REFUSED_CONNECT_FRACTION * connect_timeout => {
                 self.failures = EJECT_AFTER_FAILURES;
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -67,8 +67,8 @@
         // The rest is the estimate for fractional shares. It may take the level below nothing, by a burst at
         // most, so that the lease which reports it does not pay for it.
         let estimate = call.amount - requested - uncounted;
-        let room = remaining - uncounted - granted + plan.burst;
-        let counted = estimate.min(room.max(0.0));
+        let available = remaining - uncounted - granted + plan.burst;
+        let counted = estimate.min(available.max(0.0));
         Self {
             granted,
             level: remaining - uncounted - granted - counted,
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -154,17 +154,21 @@
             }
         }
     }
-    let allowed_at = |at: f64| {
-        let age = ((at - CHANGE_AT) / settings.slow_start_seconds).clamp(0.0, 1.0);
-        let warm_up = settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * age;
-        allowed(settings.overload_multiple * warm_up * (change.rate / 0.7) * settings.overload_seconds)
-    };
     let sent_until = |at: f64| {
         arrivals.iter().filter(|a| **a > at - settings.overload_seconds && **a <= at).count() as f64
     };
+    let allowed_at = |at: f64| allowed(planned_requests(&settings, change.rate, at - CHANGE_AT));
     arrivals.iter().map(|at| sent_until(*at) - allowed_at(*at)).fold(f64::NEG_INFINITY, f64::max)
 }
 
+/// Requests that the settings allow in a time of `overload_seconds`, `age` seconds after a restart, to a
+/// backend that is sent `rate` a second on average.
+fn planned_requests(settings: &Settings, rate: f64, age: f64) -> f64 {
+    let warmed_up = (age / settings.slow_start_seconds).clamp(0.0, 1.0);
+    let warm_up = settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * warmed_up;
+    settings.overload_multiple * warm_up * (rate / 0.7) * settings.overload_seconds
+}
+
 fn assert_no_excess(gateways: &[u32], changes: &[ListChange], allowed: fn(f64) -> f64) {
     for &gateways in gateways {
         for &change in changes {
