--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! Events: what a gateway is told.
+//! Events: what has happened to a gateway.
 
 use super::{BackendId, Endpoint, EndpointListKind, Request, RequestId};
 
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -31,7 +31,7 @@
 struct Conditions<'a> {
     now: Time,
     plan: &'a Plan,
-    /// The counter was unavailable of late: what others spent meanwhile is not on the count yet.
+    /// The counter is or was recently unavailable: what others spent meanwhile is not on the count yet.
     unavailable: bool,
     /// Seconds after which a lost count that is not restored yet is restored by this gateway.
     restore_after_seconds: f64,
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -40,7 +40,7 @@
 pub(super) const EXPIRY_SLACK_FRACTION: f64 = 0.5;
 /// Fraction of the burst by which a count falls within a window when the counter has lost its data.
 pub(super) const COUNT_RESET_FRACTION: f64 = 0.2;
-/// Counter timeouts after which a lost count that nobody has restored is restored by each gateway.
+/// Counter timeouts after which a lost count that is still not restored is restored by each gateway.
 pub(super) const RESTORE_AFTER_TIMEOUTS: f64 = 2.0;
 
 // Availability of the counter.
