--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! What is read from the wire, by messages.
+//! What a member accepts, rejects and replies to, and the small types that it does so with.
 
 use proptest::prelude::*;
 use weirusher_fleet::{
@@ -27,7 +27,7 @@
     Membership::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap()
 }
 
-fn sealed(datagram: &Datagram) -> Vec<u8> {
+fn signed(datagram: &Datagram) -> Vec<u8> {
     Authenticator::new(KEY).unwrap().sign(postcard::to_allocvec(datagram).unwrap())
 }
 
@@ -40,31 +40,34 @@
 }
 
 #[test]
-fn a_bucket_pays_back_before_it_gives_again() {
+fn an_overdrawn_bucket_is_paid_back_before_it_gives() {
     let mut bucket = TokenBucket::new(Rate { per_second: 100, burst: 50 }, 0);
     bucket.spend(150);
     assert_eq!(bucket.level(0), -100);
     assert!(!bucket.try_take(1_000));
     assert!(bucket.try_take(1_010) && !bucket.try_take(1_010));
     assert_eq!(bucket.level(100_000), 50);
-    assert_eq!(bucket.level(0), 50, "time that runs backwards gives and takes nothing");
+    assert_eq!(bucket.level(0), 50, "time that runs backwards changes nothing");
 }
 
 #[test]
-fn all_watch_and_are_watched_whoever_is_out() {
+fn every_live_member_has_observers_and_subjects_whoever_is_dead() {
     for size in [2u16, 3, 9, 10, 40, 300] {
         let rings = Rings::new(size);
-        for out in [0u16, 2, 3] {
-            let gone = |member: u16| out > 0 && member.is_multiple_of(out);
-            for member in (0..size).filter(|member| !gone(*member)) {
-                let live = (0..size).filter(|other| *other != member && !gone(*other)).count();
-                for near in [rings.observers(member, gone), rings.subjects(member, gone)] {
-                    assert!(near.len() <= OBSERVERS && near.len() >= live.min(3), "{size} {out}: {near:?}");
-                    assert!(near.iter().all(|other| *other != member && !gone(*other)));
+        for dead_step in [0u16, 2, 3] {
+            let is_dead = |member: u16| dead_step > 0 && member.is_multiple_of(dead_step);
+            for member in (0..size).filter(|member| !is_dead(*member)) {
+                let live = (0..size).filter(|other| *other != member && !is_dead(*other)).count();
+                for neighbours in [rings.observers(member, is_dead), rings.subjects(member, is_dead)] {
+                    assert!(
+                        neighbours.len() <= OBSERVERS && neighbours.len() >= live.min(3),
+                        "{size} {dead_step}: {neighbours:?}"
+                    );
+                    assert!(neighbours.iter().all(|other| *other != member && !is_dead(*other)));
                 }
-                // Who is watched by one sends its beats there.
-                for subject in rings.subjects(member, gone) {
-                    assert!(rings.observers(subject, gone).contains(&member), "{size} {out}");
+                // A subject sends its heartbeats to its observers.
+                for subject in rings.subjects(member, is_dead) {
+                    assert!(rings.observers(subject, is_dead).contains(&member), "{size} {dead_step}");
                 }
             }
         }
@@ -72,49 +75,54 @@
 }
 
 #[test]
-fn numbers_outside_the_fleet_are_refused_before_any_table_is_asked() {
-    let life =
+fn numbers_outside_the_fleet_are_rejected() {
+    let alive =
         |member, incarnation| Message::Alive { member, incarnation, heartbeat: 1, age: 0, gossip: true };
-    let silent =
-        |member, by| Message::Suspect { member, incarnation: 1, heartbeat: 1, suspectors: by, gossip: true };
+    let suspicion = |member, suspectors| Message::Suspect {
+        member,
+        incarnation: 1,
+        heartbeat: 1,
+        suspectors,
+        gossip: true,
+    };
     let bad = [
-        (header(1, 0), life(4, 1)),
-        (header(1, 0), life(2, 0)),
-        (header(1, 0), life(2, u64::MAX)),
-        (header(1, 0), silent(4, vec![1])),
-        (header(1, 0), silent(2, vec![4])),
-        (header(1, 0), silent(2, vec![2])),
-        (header(1, 0), silent(2, vec![0, 1, 3, 0])),
-        (header(1, 1), life(2, 1)),
-        (header(4, 0), life(2, 1)),
-        (Header { incarnation: 0, ..header(1, 0) }, life(2, 1)),
-        (Header { recipient_incarnation: u64::MAX, ..header(1, 0) }, life(2, 1)),
+        (header(1, 0), alive(4, 1)),
+        (header(1, 0), alive(2, 0)),
+        (header(1, 0), alive(2, u64::MAX)),
+        (header(1, 0), suspicion(4, vec![1])),
+        (header(1, 0), suspicion(2, vec![4])),
+        (header(1, 0), suspicion(2, vec![2])),
+        (header(1, 0), suspicion(2, vec![0, 1, 3, 0])),
+        (header(1, 1), alive(2, 1)),
+        (header(4, 0), alive(2, 1)),
+        (Header { incarnation: 0, ..header(1, 0) }, alive(2, 1)),
+        (Header { recipient_incarnation: u64::MAX, ..header(1, 0) }, alive(2, 1)),
     ];
     let mut fleet = fleet();
     for (at, (header, part)) in bad.into_iter().enumerate() {
         fleet.handle_datagram(
             ([127, 0, 0, 1], 2001).into(),
-            &sealed(&Datagram { header, messages: vec![part] }),
+            &signed(&Datagram { header, messages: vec![part] }),
             1,
         );
         assert_eq!(fleet.counters().malformed, at as u64 + 1);
     }
-    let good = Datagram { header: header(1, 0), messages: vec![life(2, 1), silent(3, vec![1])] };
-    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &sealed(&good), 1);
+    let good = Datagram { header: header(1, 0), messages: vec![alive(2, 1), suspicion(3, vec![1])] };
+    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&good), 1);
     assert_eq!((fleet.counters().malformed, fleet.counters().received), (11, 1));
 }
 
-/// What is believed of member 3 a second after three others said that it is gone, at a beat that was sent `age` tenths
-/// of a second before.
-fn after_gone_copies(age: u16) -> MemberState {
+/// What is believed of member 3 a second after other members relayed that it is dead. Its last known heartbeat was sent
+/// `age` tenths of a second before.
+fn state_after_relayed_deaths(age: u16) -> MemberState {
     let members = (0..8).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
     let mut fleet = Membership::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap();
     let start = 100_000;
-    let hear = |fleet: &mut Membership, from: u16, messages: Vec<Message>, now: u64| {
+    let receive = |fleet: &mut Membership, from: u16, messages: Vec<Message>, now: u64| {
         let header = Header { fleet_size: 8, sequence: now, heartbeat: now as u32, ..header(from, 0) };
         fleet.handle_datagram(
             ([127, 0, 0, 1], 2000 + from).into(),
-            &sealed(&Datagram { header, messages }),
+            &signed(&Datagram { header, messages }),
             now,
         );
     };
@@ -122,36 +130,36 @@
         fleet.handle_timeout(now);
         while fleet.poll_transmit().is_some() {}
         if now + 30 >= start && now < start {
-            let life = Message::Alive { member: 3, incarnation: 7, heartbeat: 100, age, gossip: false };
-            hear(&mut fleet, 1, vec![life], now + 1);
+            let alive = Message::Alive { member: 3, incarnation: 7, heartbeat: 100, age, gossip: false };
+            receive(&mut fleet, 1, vec![alive], now + 1);
         }
-        let gone = CompactHeartbeat { incarnation: 7, heartbeat: 100, age: AGE_DEAD };
+        let dead = CompactHeartbeat { incarnation: 7, heartbeat: 100, age: AGE_DEAD };
         for from in [4, 5, 6, 7] {
             let messages = if now >= start {
-                vec![Message::Heartbeats { first: 3, heartbeats: vec![gone.clone()] }]
+                vec![Message::Heartbeats { first: 3, heartbeats: vec![dead.clone()] }]
             } else {
                 Vec::new()
             };
-            hear(&mut fleet, from, messages, now + 2);
+            receive(&mut fleet, from, messages, now + 2);
         }
     }
     fleet.table().state(3)
 }
 
 #[test]
-fn copies_that_say_gone_count_only_where_later_beats_would_have_come_around() {
-    assert_ne!(after_gone_copies(5), MemberState::Dead);
+fn a_relayed_death_counts_only_when_a_later_heartbeat_would_have_been_relayed() {
+    assert_ne!(state_after_relayed_deaths(5), MemberState::Dead);
     // Eight members are forgotten after 10.8 s.
-    assert_eq!(after_gone_copies(50), MemberState::Dead);
+    assert_eq!(state_after_relayed_deaths(50), MemberState::Dead);
 }
 
-/// What a member answers to a datagram of this incarnation that knows this one of its own.
-fn answered(fleet: &mut Membership, incarnation: u64, knows: u64, now: u64) -> Option<Header> {
+/// The reply to a datagram of an incarnation that knows the recipient under another.
+fn reply_to(fleet: &mut Membership, incarnation: u64, knows: u64, now: u64) -> Option<Header> {
     let datagram = Datagram {
         header: Header { incarnation, recipient_incarnation: knows, ..header(1, 0) },
         messages: Vec::new(),
     };
-    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &sealed(&datagram), now);
+    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&datagram), now);
     let (to, bytes) = fleet.poll_transmit()?;
     assert_eq!(to, ([127, 0, 0, 1], 2001).into());
     let content = Authenticator::new(KEY).unwrap().verify(&bytes).map(<[u8]>::to_vec).unwrap();
@@ -159,104 +167,104 @@
 }
 
 #[test]
-fn whoever_is_not_believed_is_told_what_it_lacks() {
+fn senders_with_stale_incarnations_get_a_reply() {
     let mut fleet = fleet();
-    // It does not know this incarnation: it is told it, and that its own is understood.
-    let told = answered(&mut fleet, 7, 0, 1).unwrap();
-    assert_eq!((told.incarnation, told.recipient_incarnation), (9, 7));
-    assert!(answered(&mut fleet, 7, 0, 100).is_none(), "five times a second at most");
-    assert!(answered(&mut fleet, 7, 9, 300).is_none(), "it is believed now");
-    // A life that is over, as of a process whose wall clock stands earlier: it is told of the later one.
-    let told = answered(&mut fleet, 5, 9, 600).unwrap();
-    assert_eq!((told.incarnation, told.recipient_incarnation), (9, 7));
+    // It does not know this incarnation: the reply names it, and the one of the sender.
+    let reply = reply_to(&mut fleet, 7, 0, 1).unwrap();
+    assert_eq!((reply.incarnation, reply.recipient_incarnation), (9, 7));
+    assert!(reply_to(&mut fleet, 7, 0, 100).is_none(), "five times a second at most");
+    assert!(reply_to(&mut fleet, 7, 9, 300).is_none(), "it is believed now");
+    // An incarnation that is over, as of a process whose wall clock stands earlier: the reply names the later one.
+    let reply = reply_to(&mut fleet, 5, 9, 600).unwrap();
+    assert_eq!((reply.incarnation, reply.recipient_incarnation), (9, 7));
     let counters = fleet.counters();
     assert_eq!((counters.stale_recipient, counters.received, counters.stale_sender), (2, 1, 1));
 }
 
-/// A datagram of member 1 that is believed.
-fn hear(fleet: &mut Membership, sequence: u64, beat: u32, messages: Vec<Message>, now: u64) {
-    let datagram = Datagram { header: Header { sequence, heartbeat: beat, ..header(1, 0) }, messages };
-    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &sealed(&datagram), now);
+/// Passes in a datagram of member 1 that is accepted.
+fn receive_from_1(fleet: &mut Membership, sequence: u64, heartbeat: u32, messages: Vec<Message>, now: u64) {
+    let datagram = Datagram { header: Header { sequence, heartbeat, ..header(1, 0) }, messages };
+    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&datagram), now);
 }
 
 #[test]
-fn a_datagram_that_was_overtaken_by_far_says_nothing_of_now() {
+fn an_overtaken_datagram_does_not_refresh_the_link() {
     let mut fleet = fleet();
-    hear(&mut fleet, 3, 10, Vec::new(), 100);
+    receive_from_1(&mut fleet, 3, 10, Vec::new(), 100);
     for now in (100..900).step_by(30) {
         fleet.handle_timeout(now);
     }
-    hear(&mut fleet, 2, 5, Vec::new(), 900);
+    receive_from_1(&mut fleet, 2, 5, Vec::new(), 900);
     assert_eq!(fleet.counters().received, 2);
     assert_eq!(fleet.view(900).members[0].last_received_ms, Some(800));
 }
 
 #[test]
-fn one_that_was_late_reads_what_came_before_it_judges() {
+fn after_a_late_timer_waiting_datagrams_are_read_before_a_verdict() {
     let mut fleet = fleet();
-    let life = |beat| Message::Alive { member: 2, incarnation: 4, heartbeat: beat, age: 0, gossip: true };
-    let silent =
+    let alive = |heartbeat| Message::Alive { member: 2, incarnation: 4, heartbeat, age: 0, gossip: true };
+    let suspicion =
         Message::Suspect { member: 2, incarnation: 4, heartbeat: 1, suspectors: vec![1, 3], gossip: true };
     for now in (0..600).step_by(30) {
         fleet.handle_timeout(now);
-        hear(&mut fleet, now + 1, now as u32, vec![life(1)], now);
+        receive_from_1(&mut fleet, now + 1, now as u32, vec![alive(1)], now);
     }
-    hear(&mut fleet, 601, 601, vec![silent], 600);
+    receive_from_1(&mut fleet, 601, 601, vec![suspicion], 600);
     assert_eq!(fleet.table().state(2), MemberState::Suspected);
-    // It accuses it as well after a second, and stands still past the time to contradict, while the contradiction waits
-    // in its socket.
+    // It suspects the member as well after a second, and its timer is late until after the refutation timeout, while the
+    // refutation waits in its socket.
     for now in (600..1_290).step_by(30) {
         fleet.handle_timeout(now);
-        hear(&mut fleet, now + 2, now as u32, Vec::new(), now);
+        receive_from_1(&mut fleet, now + 2, now as u32, Vec::new(), now);
     }
     fleet.handle_timeout(2_000);
     assert_eq!(fleet.table().state(2), MemberState::Suspected);
-    hear(&mut fleet, 2_000, 2_000, vec![life(9)], 2_000);
+    receive_from_1(&mut fleet, 2_000, 2_000, vec![alive(9)], 2_000);
     fleet.handle_timeout(2_010);
     assert_eq!(fleet.table().state(2), MemberState::Alive);
 }
 
 #[test]
-fn a_copy_of_another_life_with_the_same_low_bits_is_not_taken_for_this_one() {
+fn a_relayed_heartbeat_of_another_incarnation_with_the_same_low_bits_is_ignored() {
     let mut fleet = fleet();
-    let life = Message::Alive { member: 2, incarnation: 7, heartbeat: 5, age: 0, gossip: false };
-    let copy = |beat| Message::Heartbeats {
+    let alive = Message::Alive { member: 2, incarnation: 7, heartbeat: 5, age: 0, gossip: false };
+    let relayed = |heartbeat| Message::Heartbeats {
         first: 2,
-        heartbeats: vec![CompactHeartbeat { incarnation: 7, heartbeat: beat, age: 0 }],
+        heartbeats: vec![CompactHeartbeat { incarnation: 7, heartbeat, age: 0 }],
     };
-    hear(&mut fleet, 1, 1, vec![life, copy(1_000_000)], 100);
+    receive_from_1(&mut fleet, 1, 1, vec![alive, relayed(1_000_000)], 100);
     assert_eq!(fleet.table().latest(2).heartbeat, 5);
-    hear(&mut fleet, 2, 2, vec![copy(6)], 340);
+    receive_from_1(&mut fleet, 2, 2, vec![relayed(6)], 340);
     assert_eq!(fleet.table().latest(2).heartbeat, 6);
 }
 
 #[test]
-fn whoever_asks_for_beats_gets_them_for_a_while() {
+fn a_subscriber_gets_heartbeats_for_a_while() {
     const SIZE: u16 = 40;
     let rings = Rings::new(SIZE);
-    let near = [rings.observers(0, |_| false), rings.subjects(0, |_| false)].concat();
-    let asker = (1..SIZE).find(|member| !near.contains(member)).unwrap();
+    let neighbours = [rings.observers(0, |_| false), rings.subjects(0, |_| false)].concat();
+    let subscriber = (1..SIZE).find(|member| !neighbours.contains(member)).unwrap();
     let address = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 2000 + n));
     let settings = Settings { instance: 0, members: (0..SIZE).map(address).collect(), key: KEY.to_vec() };
     let mut fleet = Membership::new(settings, 9, 1, 0).unwrap();
-    let asks = Datagram {
-        header: Header { fleet_size: SIZE, wants_heartbeats: true, ..header(asker, 0) },
+    let request = Datagram {
+        header: Header { fleet_size: SIZE, wants_heartbeats: true, ..header(subscriber, 0) },
         messages: Vec::new(),
     };
-    fleet.handle_datagram(address(asker), &sealed(&asks), 0);
+    fleet.handle_datagram(address(subscriber), &signed(&request), 0);
     let mut times = Vec::new();
     for now in (0..4_000).step_by(10) {
         fleet.handle_timeout(now);
-        let sent = std::iter::from_fn(|| fleet.poll_transmit()).filter(|(to, _)| *to == address(asker));
+        let sent = std::iter::from_fn(|| fleet.poll_transmit()).filter(|(to, _)| *to == address(subscriber));
         times.extend(sent.map(|_| now));
     }
-    // At once, then once a beat for four beats; a look for those that are unknown may fall on it as well.
+    // At once, then once a heartbeat interval for four of them. A probe of unknown members may reach it as well.
     assert!(times[0] == 0 && times.iter().filter(|at| **at < 1_000).count() >= 4, "{times:?}");
     assert!(times.iter().filter(|at| **at > 1_200).count() <= 3, "{times:?}");
 }
 
 #[test]
-fn settings_that_cannot_work_are_refused() {
+fn unusable_settings_are_rejected() {
     let start = |me, ports: &[u16], key: &[u8]| {
         let members = ports.iter().map(|port| ([127, 0, 0, 1], *port).into()).collect();
         Membership::new(Settings { instance: me, members, key: key.to_vec() }, 1, 1, 0)
@@ -271,30 +279,30 @@
 }
 
 proptest! {
-    /// Whatever comes with the right code, from whichever member: no panic, and no more is held than before.
+    /// Any content with a valid tag is handled without a panic.
     #[test]
-    fn any_content_with_the_right_code_is_survived(
+    fn any_content_with_a_valid_tag_is_handled(
         contents in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..20),
-        proven in any::<bool>(),
+        valid_header in any::<bool>(),
     ) {
         let mut fleet = fleet();
         for (at, content) in contents.into_iter().enumerate() {
             let mut bytes = Vec::new();
-            if proven {
+            if valid_header {
                 let header = Header { sequence: at as u64 + 1, ..header(1, 0) };
                 bytes = postcard::to_allocvec(&header).unwrap();
             }
             bytes.extend(content);
-            let sealed = Authenticator::new(KEY).unwrap().sign(bytes);
-            fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &sealed, at as u64);
+            let signed = Authenticator::new(KEY).unwrap().sign(bytes);
+            fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed, at as u64);
             fleet.handle_timeout(at as u64);
             while fleet.poll_transmit().is_some() {}
         }
     }
 
     #[test]
-    fn what_is_altered_anywhere_is_refused(byte in 0usize..40, bit in 0u8..8) {
-        let mut bytes = sealed(&Datagram { header: header(1, 0), messages: Vec::new() });
+    fn a_datagram_with_any_bit_flipped_is_rejected(byte in 0usize..40, bit in 0u8..8) {
+        let mut bytes = signed(&Datagram { header: header(1, 0), messages: Vec::new() });
         let at = byte % bytes.len();
         bytes[at] ^= 1 << bit;
         let mut fleet = fleet();
--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/fleet/tests/exhaustive.rs
@@ -1,5 +1,5 @@
-//! Every order of what can come to one member, and every short script of faults, tried by a model checker on the
-//! package's own code.
+//! Model checking of the crate's own code: every order of the messages that can reach one member, and every short
+//! script of faults.
 
 use stateright::{Checker, Model, Property};
 use weirusher_fleet::{
@@ -8,18 +8,18 @@
 };
 use weirusher_simulation::membership::{Member, Network};
 
-// ---- One member's table: messages about one other, lost, doubled, in any order. ----
+// ---- One member's table: messages about another member, lost, duplicated and reordered. ----
 
-/// The member whose table it is, the one that it is about, and three that watch that one as well.
+/// The member whose table it is, the member that the messages are about, and three more observers of that one.
 const OBSERVER: u16 = 0;
 const SUBJECT: u16 = 1;
 const OBSERVERS: [u16; 3] = [2, 3, 4];
-/// Time goes on by so much.
+/// A step of time.
 const TICK: Millis = HEARTBEAT_INTERVAL;
 /// The subject sends its last heartbeat then, and the model ends a while later.
 const LAST_HEARTBEAT: Millis = 5 * TICK;
 const END: Millis = 14 * TICK;
-/// Messages that can come within one tick.
+/// Messages that can arrive within one tick.
 const MESSAGES_PER_TICK: u8 = 2;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -27,9 +27,9 @@
     table: MemberTable,
     now: Millis,
     messages: u8,
-    /// When evidence last step that contradicted all accusations before it.
+    /// When evidence last arrived that refuted all suspicions before it.
     cleared: Millis,
-    /// Whether the table has said Gone, and later Alive of it.
+    /// Whether the table has believed the subject dead, and alive after that.
     died: bool,
     revived: bool,
     suspected: bool,
@@ -46,7 +46,7 @@
     Tick,
     /// A heartbeat that the subject sent.
     Heartbeat(u32),
-    /// A watcher's accusation: nothing after this heartbeat.
+    /// An observer's suspicion: it received nothing after this heartbeat.
     Suspicion(u16, u32),
 }
 
@@ -87,11 +87,11 @@
             return;
         }
         let newest = (state.now.min(LAST_HEARTBEAT) / TICK) as u32;
-        // The newest heartbeat, one that was overtaken, and one long gone: any order is among these.
+        // The newest heartbeat, one that was overtaken, and an old one: any order is among these.
         let mut heartbeats = vec![newest, newest.saturating_sub(1), 1.min(newest)];
         heartbeats.dedup();
         actions.extend(heartbeats.into_iter().map(Step::Heartbeat));
-        // A watcher waits for its patience, and can have lost any of the last heartbeats itself.
+        // An observer waits for its timeout, and can have lost any of the last heartbeats itself.
         for by in OBSERVERS {
             let silent_for_long = |heartbeat: &u32| sent(*heartbeat) + SUSPECT_TIMEOUT <= state.now;
             let lasts = [newest, newest.saturating_sub(4)].into_iter().filter(silent_for_long);
@@ -129,22 +129,21 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody is gone whom nobody suspected", |_, state: &Observed| {
+            Property::always("nobody is dead whom nobody suspected", |_, state: &Observed| {
                 !state.died || state.suspected
             }),
-            Property::always(
-                "half a second to contradict, from the last evidence on",
-                |_, state: &Observed| !state.dead() || state.now - state.cleared >= 500,
-            ),
+            Property::always("half a second to refute, from the last evidence on", |_, state: &Observed| {
+                !state.dead() || state.now - state.cleared >= 500
+            }),
             Property::always("the newest evidence is never lost", |_, state: &Observed| {
                 state.table.latest(SUBJECT).heartbeat <= (state.now / TICK) as u32
             }),
             Property::always("old heartbeats do not revive the dead", |_, state: &Observed| {
-                // The last heartbeat was sent before anybody could be suspected for want of a later one.
+                // The last heartbeat was sent before a suspicion for want of a later one was possible.
                 !state.revived || state.now < LAST_HEARTBEAT + SUSPECT_TIMEOUT + 500 + TICK
             }),
             Property::sometimes("a member can die", |_, state: &Observed| state.dead()),
-            Property::sometimes("a doubt can end", |_, state: &Observed| {
+            Property::sometimes("a suspicion can be refuted", |_, state: &Observed| {
                 state.suspected && state.table.state(SUBJECT) == MemberState::Alive
             }),
         ]
@@ -152,7 +151,7 @@
 }
 
 #[test]
-fn every_order_of_messages_about_a_member_is_survived() {
+fn every_order_of_messages_about_a_member_keeps_the_rules() {
     let checker = OneTable.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
@@ -162,51 +161,51 @@
 
 const SIZE: u16 = 3;
 const STEPS: usize = 3;
-/// How long each fault is left alone: longer than silence, shorter than what a death takes to be known.
+/// Milliseconds after each fault: longer than the timeout of a suspicion, shorter than a death takes to be known.
 const STEP: Millis = 1_300;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Fault {
-    Cut,
-    Mute,
+    Partition,
+    Block,
     Heal,
     Kill,
     Start,
-    Stop,
+    Pause,
     Resume,
 }
 
 struct Scripts;
 
 impl Fault {
-    fn strike(self, net: &mut Network<Member>) {
+    fn apply(self, net: &mut Network<Member>) {
         match self {
-            Fault::Cut => net.partition(|member| u8::from(member == 0)),
-            Fault::Mute => net.block(0, 1),
+            Fault::Partition => net.partition(|member| u8::from(member == 0)),
+            Fault::Block => net.block(0, 1),
             Fault::Heal => {
                 net.partition(|_| 0);
                 net.unblock_all();
             }
             Fault::Kill => net.kill(0),
             Fault::Start => net.start(0),
-            Fault::Stop => net.pause(0),
+            Fault::Pause => net.pause(0),
             Fault::Resume if !net.is_running(0) => net.resume(0),
             Fault::Resume => {}
         }
     }
 }
 
-/// Plays a script, heals the network, and tells whether all that run believe what is so.
+/// Runs a script, heals the network, and tells whether all beliefs are true in the end.
 fn ends_well(script: &[Fault]) -> bool {
     let mut net =
         Network::new(SIZE, 1, |me, incarnation, now| Member::new(SIZE, me, incarnation, u64::from(me), now));
     (0..SIZE).for_each(|member| net.start(member));
     net.run_for(4_000);
     for fault in script {
-        fault.strike(&mut net);
+        fault.apply(&mut net);
         net.run_for(STEP);
     }
-    Fault::Heal.strike(&mut net);
+    Fault::Heal.apply(&mut net);
     net.run_for(partition_known_within(SIZE).max(recovery_known_within(SIZE)));
     let running: Vec<u16> = (0..SIZE).filter(|member| net.is_running(*member)).collect();
     running.iter().all(|by| {
@@ -229,8 +228,8 @@
 
     fn actions(&self, script: &Vec<Fault>, actions: &mut Vec<Fault>) {
         if script.len() < STEPS {
-            use Fault::{Cut, Heal, Kill, Mute, Resume, Start, Stop};
-            actions.extend([Cut, Mute, Heal, Kill, Start, Stop, Resume]);
+            use Fault::{Block, Heal, Kill, Partition, Pause, Resume, Start};
+            actions.extend([Partition, Block, Heal, Kill, Start, Pause, Resume]);
         }
     }
 
@@ -248,7 +247,7 @@
 }
 
 #[test]
-fn every_short_script_of_faults_ends_with_true_beliefs() {
+fn beliefs_are_true_after_every_short_script_of_faults() {
     let checker = Scripts.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert_eq!(checker.unique_state_count(), 1 + 7 + 49 + 343);
--- a/crates/fleet/tests/hard_cases.rs
+++ b/crates/fleet/tests/hard_cases.rs
@@ -1,4 +1,4 @@
-//! Members as they run in service, on a network in virtual time, under each fault that a fleet meets.
+//! Members as they run in service, on a network in virtual time, under each kind of fault.
 
 use proptest::prelude::*;
 use weirusher_fleet::{
@@ -15,7 +15,7 @@
     })
 }
 
-/// All members, started and settled.
+/// A network of members that were started and know each other.
 fn settled(size: u16, seed: u64) -> Net {
     let mut net = net(size, seed);
     (0..size).for_each(|member| net.start(member));
@@ -28,50 +28,50 @@
     net.member(by).expect("it runs").0.fleet.table().state(of)
 }
 
-fn hearing(net: &mut Net, of: u16) -> weirusher_fleet::Reachability {
+fn reachability(net: &mut Net, of: u16) -> weirusher_fleet::Reachability {
     let (member, now) = net.member(of).expect("it runs");
     member.fleet.reachability(now)
 }
 
 fn all_alive(net: &mut Net) -> bool {
-    (0..net.size()).all(|of| all_say(net, of, MemberState::Alive))
+    (0..net.size()).all(|of| all_believe(net, of, MemberState::Alive))
 }
 
-/// Whether all others say this of one.
-fn all_say(net: &mut Net, of: u16, said: MemberState) -> bool {
-    (0..net.size()).filter(|by| *by != of).all(|by| state(net, by, of) == said)
+/// Whether all others believe this of a member.
+fn all_believe(net: &mut Net, of: u16, expected: MemberState) -> bool {
+    (0..net.size()).filter(|by| *by != of).all(|by| state(net, by, of) == expected)
 }
 
-fn gone(net: &Net) -> usize {
-    net.belief_changes.iter().filter(|seen| seen.belief == Belief::Dead).count()
+fn deaths(net: &Net) -> usize {
+    net.belief_changes.iter().filter(|change| change.belief == Belief::Dead).count()
 }
 
 #[test]
-fn all_know_all_soon_after_they_start() {
+fn members_know_each_other_soon_after_a_start() {
     let mut net = net(40, 1);
     (0..40).for_each(|member| net.start(member));
     net.run_for(3_000);
     assert!(all_alive(&mut net));
-    assert_eq!(gone(&net), 0);
+    assert_eq!(deaths(&net), 0);
     for member in 0..40 {
-        let hearing = hearing(&mut net, member);
-        assert_eq!((hearing.others, hearing.alive, hearing.observers_denying), (39, 39, 0));
+        let reachability = reachability(&mut net, member);
+        assert_eq!((reachability.others, reachability.alive, reachability.observers_denying), (39, 39, 0));
         assert_eq!(
-            (hearing.subjects_heard, hearing.observers_confirming),
-            (hearing.subjects, hearing.observers)
+            (reachability.subjects_heard, reachability.observers_confirming),
+            (reachability.subjects, reachability.observers)
         );
-        assert!(hearing.fraction() == 1.0);
+        assert!(reachability.fraction() == 1.0);
     }
 }
 
 #[test]
-fn a_death_is_known_to_all_in_time_and_a_life_again() {
+fn deaths_and_returns_are_known_within_their_bounds() {
     for size in [2, 3, 5, 9, 10, 40] {
         let mut net = settled(size, 2);
         net.kill(1);
-        // Of two, the one that is left hears nobody: it cannot tell whose fault that is, and waits.
+        // Of two members the one that is left hears nobody: the cause may be its own link, so it waits.
         net.run_for(if size == 2 { forget_timeout(size) + HEARTBEAT_INTERVAL } else { DEATH_KNOWN_WITHIN });
-        assert!(all_say(&mut net, 1, MemberState::Dead), "{size}");
+        assert!(all_believe(&mut net, 1, MemberState::Dead), "{size}");
         net.start(1);
         net.run_for(recovery_known_within(net.size()));
         assert!(all_alive(&mut net), "{size}");
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn two_of_many_find_each_other() {
+fn two_members_of_a_large_fleet_find_each_other() {
     let mut net = net(300, 20);
     net.start(17);
     net.run_for(60_000);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_restart_in_a_moment_twice_is_no_death() {
+fn two_quick_restarts_are_no_death() {
     let mut net = settled(20, 3);
     for _ in 0..2 {
         net.kill(4);
@@ -100,7 +100,7 @@
         net.start(4);
     }
     net.run_for(2_000);
-    assert_eq!(gone(&net), 0);
+    assert_eq!(deaths(&net), 0);
     assert!(all_alive(&mut net));
     let now = net.member(4).unwrap().0.fleet.incarnation();
     for by in (0..20).filter(|by| *by != 4) {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_wall_clock_that_stands_earlier_begins_a_later_life_all_the_same() {
+fn a_restart_under_an_earlier_wall_clock_takes_a_later_incarnation() {
     let mut net = settled(20, 4);
     let before = net.member(4).unwrap().0.fleet.incarnation();
     net.kill(4);
@@ -124,9 +124,9 @@
 }
 
 #[test]
-fn a_link_broken_one_way_costs_nobody_its_place_and_is_told() {
+fn a_link_broken_in_one_direction_kills_nobody_and_is_reported() {
     let mut net = settled(12, 5);
-    let (deaf, mute) = (0, {
+    let (receiver, sender) = (0, {
         let (member, now) = net.member(0).unwrap();
         let view = member.fleet.view(now);
         view.members
@@ -135,26 +135,26 @@
             .expect("it hears some")
             .number
     });
-    net.block(mute, deaf);
+    net.block(sender, receiver);
     net.run_for(5_000);
-    assert_eq!(state(&mut net, deaf, mute), MemberState::Alive);
-    assert_eq!(state(&mut net, mute, deaf), MemberState::Alive);
-    // The one that is not heard learns it by way of the others, and hears the deaf one as before.
-    let (member, now) = net.member(mute).unwrap();
+    assert_eq!(state(&mut net, receiver, sender), MemberState::Alive);
+    assert_eq!(state(&mut net, sender, receiver), MemberState::Alive);
+    // The sender learns by way of others that it is not heard.
+    let (member, now) = net.member(sender).unwrap();
     let view = member.fleet.view(now);
-    assert!(view.members.iter().any(|m| m.number == deaf && m.reports_unheard), "{view:?}");
+    assert!(view.members.iter().any(|m| m.number == receiver && m.reports_unheard), "{view:?}");
     net.belief_changes.clear();
     net.run_for(120_000);
-    assert_eq!(gone(&net), 0);
+    assert_eq!(deaths(&net), 0);
     assert!(net.belief_changes.len() < 12 * 40, "{} changes in two minutes", net.belief_changes.len());
     net.unblock_all();
     net.run_for(5_000);
-    let (member, now) = net.member(mute).unwrap();
+    let (member, now) = net.member(sender).unwrap();
     assert!(!member.fleet.view(now).members.iter().any(|m| m.reports_unheard));
 }
 
 #[test]
-fn a_ring_in_which_each_hears_the_next_only_does_not_flap() {
+fn beliefs_are_stable_when_each_member_hears_only_the_next() {
     let mut net = settled(8, 6);
     for from in 0..8 {
         for to in (0..8).filter(|to| from != (to + 1) % 8) {
@@ -163,13 +163,17 @@
     }
     net.run_for(15_000);
     for member in 0..8 {
-        let hearing = hearing(&mut net, member);
-        assert_eq!((hearing.subjects_heard, hearing.observers_confirming), (1, 0), "{hearing:?}");
-        assert!(hearing.fraction() == 0.0, "nobody can tell it that it is heard: {hearing:?}");
+        let reachability = reachability(&mut net, member);
+        assert_eq!(
+            (reachability.subjects_heard, reachability.observers_confirming),
+            (1, 0),
+            "{reachability:?}"
+        );
+        assert!(reachability.fraction() == 0.0, "nobody can confirm that it is heard: {reachability:?}");
     }
     let changes = net.belief_changes.len();
     net.run_for(120_000);
-    assert_eq!(gone(&net), 0);
+    assert_eq!(deaths(&net), 0);
     assert!(
         net.belief_changes.len() - changes < 20,
         "{} changes in two minutes",
@@ -178,109 +182,109 @@
 }
 
 #[test]
-fn cuts_in_two_three_and_singles_are_known_and_heal_even_along_another_line() {
-    // Some members have no watcher on the other side: those are not accused, but forgotten.
+fn partitions_into_two_three_and_single_members_are_known_and_heal() {
+    // Some members have no observer on the other side: those are forgotten, not suspected.
     let known = partition_known_within(24);
     let mut net = settled(24, 7);
     net.partition(|member| u8::from(member < 12));
     net.run_for(known);
     for member in 0..24 {
-        let hearing = hearing(&mut net, member);
-        assert_eq!(hearing.alive, 11, "{member}: {hearing:?}");
+        let reachability = reachability(&mut net, member);
+        assert_eq!(reachability.alive, 11, "{member}: {reachability:?}");
     }
-    // Along another line while healing, then three.
+    // The partition moves while it heals, then there are three.
     net.partition(|member| u8::from(member % 2 == 0));
     net.run_for(known);
     for member in 0..24 {
-        assert_eq!(hearing(&mut net, member).alive, 11);
+        assert_eq!(reachability(&mut net, member).alive, 11);
     }
     net.partition(|member| (member % 3) as u8);
     net.run_for(known);
     for member in 0..24 {
-        assert_eq!(hearing(&mut net, member).alive, 7);
+        assert_eq!(reachability(&mut net, member).alive, 7);
     }
     net.partition(|member| member as u8);
     net.run_for(2 * SUSPECT_TIMEOUT);
     for member in 0..24 {
-        let hearing = hearing(&mut net, member);
-        assert!(hearing.fraction() == 0.0 && hearing.subjects_heard == 0, "{hearing:?}");
+        let reachability = reachability(&mut net, member);
+        assert!(reachability.fraction() == 0.0 && reachability.subjects_heard == 0, "{reachability:?}");
     }
     net.run_for(known);
     for member in 0..24 {
-        assert_eq!(hearing(&mut net, member).alive, 0);
+        assert_eq!(reachability(&mut net, member).alive, 0);
     }
     net.partition(|_| 0);
     net.run_for(recovery_known_within(net.size()) + DEATH_KNOWN_WITHIN);
     assert!(all_alive(&mut net));
-    // Each cut left less than half of the fleet within reach, and was told once.
+    // Less than half of the fleet was reachable throughout: that is reported once.
     for member in 0..24 {
-        let told = &net.member(member).unwrap().0.events;
-        assert!(matches!(told[..], [Event::Isolated(_), Event::Reconnected(_)]), "{member}: {told:?}");
+        let events = &net.member(member).unwrap().0.events;
+        assert!(matches!(events[..], [Event::Isolated(_), Event::Reconnected(_)]), "{member}: {events:?}");
     }
 }
 
 #[test]
-fn one_that_hears_nobody_takes_nobody_for_dead_until_it_forgets() {
+fn a_member_that_hears_nobody_believes_nobody_dead_until_it_forgets() {
     let mut net = settled(24, 21);
     (1..24).for_each(|from| net.block(from, 0));
     net.run_for(forget_timeout(24) - 1_000);
     assert_eq!(
-        net.belief_changes.iter().filter(|seen| seen.by == 0 && seen.belief == Belief::Dead).count(),
+        net.belief_changes.iter().filter(|change| change.by == 0 && change.belief == Belief::Dead).count(),
         0
     );
-    assert!(hearing(&mut net, 0).fraction() == 0.0);
+    assert!(reachability(&mut net, 0).fraction() == 0.0);
     net.run_for(partition_known_within(24));
-    assert_eq!(hearing(&mut net, 0).alive, 0);
+    assert_eq!(reachability(&mut net, 0).alive, 0);
 }
 
 #[test]
-fn lost_doubled_mixed_and_late_messages_raise_no_alarm() {
+fn lost_duplicated_reordered_and_late_datagrams_cause_no_false_death() {
     let mut net = settled(24, 8);
     net.link_quality = LinkQuality { loss: 0.3, duplication: 0.1, delay: DelayRange { min: 0, max: 200 } };
     net.run_for(600_000);
-    assert_eq!(gone(&net), 0);
-    // And what is lost for good is still found.
+    assert_eq!(deaths(&net), 0);
+    // A real death is still detected.
     net.kill(3);
     net.run_for(DEATH_KNOWN_WITHIN + 4_000);
-    assert!(all_say(&mut net, 3, MemberState::Dead));
+    assert!(all_believe(&mut net, 3, MemberState::Dead));
 }
 
 #[test]
-fn one_that_slept_knows_it_before_it_acts() {
-    for sleep in [5_000, 60_000] {
+fn a_paused_process_detects_the_pause_before_it_acts() {
+    for pause in [5_000, 60_000] {
         let mut net = settled(16, 9);
         let before = net.member(2).unwrap().0.fleet.incarnation();
         net.pause(2);
-        net.run_for(sleep);
-        assert!(all_say(&mut net, 2, MemberState::Dead));
-        // Whatever it does first: it hears nobody, whatever it believed and whatever waited in its socket.
+        net.run_for(pause);
+        assert!(all_believe(&mut net, 2, MemberState::Dead));
+        // It counts on nobody, whatever it believed before and whatever waits in its socket.
         net.resume(2);
-        let hearing = hearing(&mut net, 2);
+        let reachability = reachability(&mut net, 2);
         assert_eq!(
-            (hearing.subjects_heard, hearing.observers_confirming, hearing.last_received_ms),
+            (reachability.subjects_heard, reachability.observers_confirming, reachability.last_received_ms),
             (0, 0, None),
-            "{hearing:?}"
+            "{reachability:?}"
         );
-        assert!(hearing.fraction() == 0.0);
+        assert!(reachability.fraction() == 0.0);
         let (member, _) = net.member(2).unwrap();
         assert_eq!(member.fleet.incarnation(), before + 1);
         assert!(
-            matches!(member.events[..], [Event::Paused(ms), ..] if ms + SUSPECT_TIMEOUT > sleep),
+            matches!(member.events[..], [Event::Paused(ms), ..] if ms + SUSPECT_TIMEOUT > pause),
             "{:?}",
             member.events
         );
         net.run_for(recovery_known_within(net.size()));
-        assert!(all_alive(&mut net), "{sleep}");
+        assert!(all_alive(&mut net), "{pause}");
     }
 }
 
 #[test]
-fn of_two_under_one_number_the_one_that_slept_gives_way() {
+fn of_two_processes_under_one_number_the_paused_one_gives_way() {
     let mut net = settled(16, 10);
     net.pause(2);
     net.run_for(5_000);
-    // Another was started under its number meanwhile; then the old one wakes. The network holds one process a number,
-    // so the old one is told what any other would tell it.
+    // Another process was started under its number meanwhile. The network has one process for each number, so the old
+    // one is a twin outside of it, and gets a datagram that another member sent.
     let older = net.member(2).unwrap().0.fleet.incarnation();
     let mut twin = Member::new(16, 2, older, 99, 0);
     for at in (0..4_000).step_by(30) {
@@ -289,8 +293,8 @@
     net.start(2);
     net.run_for(3_000);
     let newer = net.member(2).unwrap().0.fleet.incarnation();
-    let (_, told) = answer(&mut net, 5, 2);
-    twin.fleet.handle_datagram(told.0, &told.1, 4_010);
+    let (_, datagram) = next_datagram(&mut net, 5, 2);
+    twin.fleet.handle_datagram(datagram.0, &datagram.1, 4_010);
     assert!(std::iter::from_fn(|| twin.fleet.poll_event()).any(|event| event == Event::Superseded(newer)));
     assert!(twin.fleet.reachability(4_020).superseded && twin.fleet.reachability(4_020).fraction() == 0.0);
     while twin.fleet.poll_transmit().is_some() {}
@@ -298,8 +302,8 @@
     assert!(twin.fleet.poll_transmit().is_none(), "it still takes part");
 }
 
-/// A datagram that `from` sends to `to`, taken off the wire.
-fn answer(net: &mut Net, from: u16, to: u16) -> (u16, (std::net::SocketAddr, Vec<u8>)) {
+/// A datagram that `from` sends to `to`, taken off the wire, with the address it comes from.
+fn next_datagram(net: &mut Net, from: u16, to: u16) -> (u16, (std::net::SocketAddr, Vec<u8>)) {
     let (member, now) = net.member(from).expect("it runs");
     let source: std::net::SocketAddr = ([127, 0, 0, 1], 1024 + from).into();
     for step in (0..60_000).step_by(30) {
@@ -314,12 +318,12 @@
 }
 
 #[test]
-fn seven_in_ten_that_die_at_once_are_all_found_and_come_back() {
+fn the_deaths_of_seven_in_ten_members_at_once_are_known() {
     let mut net = settled(100, 11);
     (0..70).for_each(|member| net.kill(member));
     net.run_for(partition_known_within(100));
     for by in 70..100 {
-        assert_eq!(hearing(&mut net, by).alive, 29, "{by}");
+        assert_eq!(reachability(&mut net, by).alive, 29, "{by}");
     }
     (0..70).for_each(|member| net.start(member));
     net.run_for(recovery_known_within(100));
@@ -327,14 +331,16 @@
 }
 
 #[test]
-fn a_roll_of_a_tenth_at_a_time_raises_no_alarm_about_others() {
+fn a_rolling_restart_causes_no_false_death_of_others() {
     let mut net = settled(40, 12);
     for tenth in 0..10 {
         let rolled: Vec<u16> = (0..40).filter(|member| member % 10 == tenth).collect();
         rolled.iter().for_each(|member| net.kill(*member));
         net.run_for(4_000);
         assert!(
-            net.belief_changes.iter().all(|seen| seen.belief != Belief::Dead || rolled.contains(&seen.of))
+            net.belief_changes
+                .iter()
+                .all(|change| change.belief != Belief::Dead || rolled.contains(&change.of))
         );
         rolled.iter().for_each(|member| net.start(*member));
         net.run_for(recovery_known_within(net.size()));
@@ -344,10 +350,10 @@
 }
 
 #[test]
-fn late_timers_are_no_proof_that_others_are_dead() {
+fn late_timers_cause_no_false_death() {
     let mut net = settled(16, 13);
     let mut rng = fastrand::Rng::with_seed(13);
-    // Each process stands still for up to 900 ms again and again, as on a machine with too few cores.
+    // Processes are paused for up to 900 ms again and again, as on a machine with too few cores.
     for _ in 0..200 {
         let members: Vec<u16> = (0..16).filter(|_| rng.f64() < 0.3).collect();
         members.iter().for_each(|member| net.pause(*member));
@@ -355,13 +361,13 @@
         members.iter().for_each(|member| net.resume(*member));
         net.run_for(rng.u64(50..400));
     }
-    assert_eq!(gone(&net), 0);
+    assert_eq!(deaths(&net), 0);
 }
 
 #[test]
-fn forged_cut_replayed_oversized_and_flooding_datagrams_are_counted_and_change_nothing() {
+fn forged_truncated_replayed_oversized_and_flooding_datagrams_are_rejected() {
     let mut net = settled(12, 14);
-    let (_, (_, good)) = answer(&mut net, 5, 2);
+    let (_, (_, good)) = next_datagram(&mut net, 5, 2);
     let counters = |net: &mut Net| net.member(2).unwrap().0.fleet.counters();
     let before = counters(&mut net);
     net.inject(5, 2, good.clone());
@@ -389,7 +395,7 @@
     assert!(flooded > 9_000, "{flooded}");
     assert!((0..12).filter(|of| ![2, 7].contains(of)).all(|of| state(&mut net, 2, of) == MemberState::Alive));
     assert_eq!(
-        net.belief_changes.iter().filter(|seen| seen.belief == Belief::Dead && seen.of != 7).count(),
+        net.belief_changes.iter().filter(|change| change.belief == Belief::Dead && change.of != 7).count(),
         0
     );
 }
@@ -397,7 +403,7 @@
 #[test]
 fn a_replay_from_before_a_restart_revives_nobody() {
     let mut net = settled(12, 15);
-    let (_, (_, old)) = answer(&mut net, 5, 2);
+    let (_, (_, old)) = next_datagram(&mut net, 5, 2);
     net.kill(5);
     net.kill(2);
     net.run_for(10_000);
@@ -410,7 +416,7 @@
 }
 
 #[test]
-fn a_member_with_another_size_of_the_fleet_is_refused_and_named() {
+fn a_member_with_another_fleet_size_is_rejected_and_reported() {
     let mut net = Network::new(6, 16, |me, incarnation, now| {
         Member::new(if me == 5 { 7 } else { 6 }, me, incarnation, u64::from(me), now)
     });
@@ -423,8 +429,8 @@
 }
 
 #[test]
-fn a_seed_tells_all() {
-    let play = |seed| {
+fn a_seed_determines_the_run() {
+    let run = |seed| {
         let mut net = settled(20, seed);
         net.link_quality = LinkQuality { loss: 0.2, duplication: 0.1, delay: DelayRange { min: 0, max: 50 } };
         net.run_for(5_000);
@@ -432,17 +438,17 @@
         net.run_for(20_000);
         (net.belief_changes.clone(), (0..20).map(|member| net.traffic(member)).collect::<Vec<_>>())
     };
-    assert_eq!(play(17), play(17));
-    assert_ne!(play(17).1, play(18).1);
+    assert_eq!(run(17), run(17));
+    assert_ne!(run(17).1, run(18).1);
 }
 
 #[derive(Debug, Clone)]
 enum Fault {
     Kill(u16),
     Start(u16),
-    Stop(u16),
+    Pause(u16),
     Resume(u16),
-    Cut(u8),
+    Partition(u8),
     Heal,
     Block(u16, u16),
     Loss(u8),
@@ -455,9 +461,9 @@
     prop_oneof![
         member.clone().prop_map(Fault::Kill),
         member.clone().prop_map(Fault::Start),
-        member.clone().prop_map(Fault::Stop),
+        member.clone().prop_map(Fault::Pause),
         member.clone().prop_map(Fault::Resume),
-        (1u8..4).prop_map(Fault::Cut),
+        (1u8..4).prop_map(Fault::Partition),
         Just(Fault::Heal),
         (member.clone(), member).prop_map(|(from, to)| Fault::Block(from, to)),
         (0u8..60).prop_map(Fault::Loss),
@@ -467,9 +473,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Whatever happened: once it is over, all that run know each other and nobody else, and stay so.
+    /// Once the faults are over, all members that run believe exactly those alive that are, and go on to.
     #[test]
-    fn after_any_faults_beliefs_become_true_and_stay_true(
+    fn beliefs_become_true_after_any_faults_and_stay_true(
         seed in any::<u64>(),
         faults in prop::collection::vec((fault(), 0u64..4_000), 1..20),
     ) {
@@ -478,9 +484,9 @@
             match fault {
                 Fault::Kill(member) => net.kill(member),
                 Fault::Start(member) => net.start(member),
-                Fault::Stop(member) => net.pause(member),
+                Fault::Pause(member) => net.pause(member),
                 Fault::Resume(member) => if !net.is_running(member) { net.resume(member) },
-                Fault::Cut(groups) => net.partition(|member| (member % u16::from(groups)) as u8),
+                Fault::Partition(groups) => net.partition(|member| (member % u16::from(groups)) as u8),
                 Fault::Heal => { net.partition(|_| 0); net.unblock_all(); }
                 Fault::Block(from, to) => net.block(from, to),
                 Fault::Loss(percent) => net.link_quality.loss = f64::from(percent) / 100.0,
@@ -500,8 +506,8 @@
                 let expected = if running.contains(&of) { MemberState::Alive } else { MemberState::Dead };
                 prop_assert_eq!(state(&mut net, *by, of), expected, "{} of {}", by, of);
             }
-            let hearing = hearing(&mut net, *by);
-            prop_assert_eq!((hearing.subjects_heard, hearing.observers_denying), (hearing.subjects, 0));
+            let reachability = reachability(&mut net, *by);
+            prop_assert_eq!((reachability.subjects_heard, reachability.observers_denying), (reachability.subjects, 0));
         }
     }
 }
