--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -62,7 +62,7 @@
     /// vector to be handed back by [`DecisionDriver::recycle`].
     pub fn handle<O: From<Command>>(&mut self, now: Time, event: Event, outputs: &mut Vec<O>) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.spare_actions);
-        self.gateway.handle(now, event, &mut actions);
+        self.gateway.handle_event(now, event, &mut actions);
         actions.retain(|action| !self.carry_out(action, outputs));
         actions
     }
@@ -116,7 +116,6 @@
                 Command::AddToCounter { call: self.counter_calls.start_call(counter), counter, amount, ttl }
             }
             Action::WatchEndpoints => Command::WatchEndpoints,
-            Action::Log(ref text) => Command::Log(text.clone()),
             _ => return false,
         };
         outputs.push(O::from(command));
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -11,7 +11,7 @@
 mod table;
 
 pub use metrics::{ProxyMetrics, ReasonCounts};
-pub use output::{Outcome, ProxyOutput};
+pub use output::{NewAttempt, Outcome, ProxyOutput};
 pub use request::{IncomingRequest, RequestStatus};
 
 use crate::driver::{Command, DecisionDriver, DecisionTimer};
@@ -259,7 +259,7 @@
 
     // ---- Ends of requests and attempts ----
 
-    /// The deadline of a request has come and the decisions have not answered it: it fails.
+    /// A request fails whose deadline has passed without an answer of the decisions.
     fn fail_undecided(&mut self, now: Time, id: &RequestId) {
         if !self.complete(id) {
             return;
@@ -325,9 +325,6 @@
                 self.finish(request, Outcome::Rejected { retry_after, reason });
             }
             Action::Fail { request, reason } => self.finish(request, Outcome::Failed { reason }),
-            Action::CancelAttempt { request, attempt } => self.cancel_attempt(now, &request, attempt),
-            // The settings of this proxy ask for none: attempts report enough.
-            Action::HealthCheck { .. } => {}
             _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
         }
     }
@@ -358,13 +355,10 @@
         });
         self.metrics.attempts += 1;
         match checked {
-            Ok(()) => self.outputs.push(ProxyOutput::Forward {
-                request: id,
-                attempt,
-                backend,
-                timeout,
-                write_timeout,
-            }),
+            Ok(()) => {
+                let new = NewAttempt { request: id, number: attempt, backend, timeout, write_timeout };
+                self.outputs.push(ProxyOutput::Forward(new));
+            }
             Err(violation) => {
                 self.outputs.push(ProxyOutput::Prevented { request: id.clone(), attempt, violation });
                 self.handle_attempt_ended(now, &id, attempt, Status::NotSent, LoadReport::default());
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -109,12 +109,9 @@
             format!("refuse {request} {retry_after:?} {reason}")
         }
         Action::Fail { request, reason } => format!("fail {request} {reason}"),
-        Action::CancelAttempt { request, attempt } => format!("cancel {request} {attempt}"),
         Action::SetTimer { token, at } => format!("timer {token} {at:?}"),
-        Action::HealthCheck { backend } => format!("probe {backend}"),
         Action::AddToCounter { counter, amount, ttl } => format!("count {counter} {amount:?} {ttl:?}"),
         Action::WatchEndpoints => "watch".to_string(),
-        Action::Log(text) => format!("log {text}"),
         _ => unreachable!("every action has its text"),
     }
 }
@@ -254,7 +251,7 @@
         };
         world.now += world.rng.f64() * 0.004;
         for event in world.take_due().into_iter().chain([event]) {
-            gateway.handle(world.now, event, &mut actions);
+            gateway.handle_event(world.now, event, &mut actions);
             for action in actions.drain(..) {
                 world.perform(&action);
             }
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -2,8 +2,9 @@
 //!
 //! The counter is unavailable after several calls in a row that failed over several timeouts, and for a while
 //! after its return: until then other gateways may not have reported what they spent meanwhile, so no lease
-//! is granted from its total. Fallback limits decide instead. Inputs: status and seconds of each call, the
-//! counter's timeout in seconds.
+//! is granted from its total. Fallback limits decide instead.
+//!
+//! Inputs: status and seconds of each call, the counter's timeout in seconds.
 
 use super::Gateway;
 use super::call_pacing::CallPacer;
@@ -135,7 +136,7 @@
         purpose: Purpose,
         plan: &Plan,
     ) {
-        let counter = counter_name(customer, self.customers[customer].plan, window);
+        let counter = counter_name(customer, self.customers.known(customer).plan, window);
         let call = Call { customer: customer.clone(), window, amount, purpose };
         self.counter.in_flight.entry(counter).or_default().push_back(call);
         self.counter.pacer.withdraw();
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,15 +1,16 @@
-//! Outlier ejection: when a backend gets no attempts for a while because its own fail.
+//! Outlier ejection: when a backend gets no attempts for a while because those sent to it have failed.
 //!
 //! [`EJECT_AFTER_FAILURES`] failures in a row eject a backend, a refused connection at once: its process is
-//! gone. Each further ejection is twice as long, until an attempt is served. Nothing is ejected while many
-//! backends are: failures at so many have a common cause, and the rest could not carry the load. Inputs: the
-//! status of each attempt, the seconds since it was sent, the connect timeout in seconds.
+//! gone. Each further ejection is twice as long, until an attempt is served. No backend is ejected while many
+//! others are: failures at so many have a common cause, and the rest could not carry the load.
+//!
+//! Inputs: the status of each attempt, the seconds since it was sent, the connect timeout in seconds.
 
 use super::Gateway;
 use super::backend::Backend;
 use super::tuning::{
-    EJECT_AFTER_FAILURES, INITIAL_EJECTION_SECONDS, MAX_EJECTED_FRACTION, MAX_EJECTION_SECONDS,
-    REFUSED_CONNECT_FRACTION,
+    EJECT_AFTER_FAILURES, EJECTION_GROWTH, INITIAL_EJECTION_SECONDS, MAX_EJECTED_FRACTION,
+    MAX_EJECTION_SECONDS, REFUSED_CONNECT_FRACTION,
 };
 use crate::interface::{Status, Time};
 
@@ -56,7 +57,8 @@
         if ejected < table.running.len() as f64 * MAX_EJECTED_FRACTION {
             let backend = &mut table.all[index];
             backend.ejected_until = self.now + backend.next_ejection_seconds;
-            backend.next_ejection_seconds = (backend.next_ejection_seconds * 2.0).min(MAX_EJECTION_SECONDS);
+            backend.next_ejection_seconds =
+                (backend.next_ejection_seconds * EJECTION_GROWTH).min(MAX_EJECTION_SECONDS);
         }
     }
 }
