--- a/crates/cli/src/commands/gateway.rs
+++ b/crates/cli/src/commands/gateway.rs
@@ -6,16 +6,16 @@
 use serde_json::json;
 use std::path::Path;
 use std::process::ExitCode;
-use weirusher_config::{Config, FleetConfig, Problem, render};
+use weirusher_config::{Config, ConfigError, FleetConfig};
 use weirusher_node::FleetMembership;
 
 /// Parses a configuration file.
-fn parse_file<T>(file: &Path, parse: fn(&str) -> Result<T, Vec<Problem>>) -> Result<T, CommandError> {
+fn parse_file<T>(file: &Path, parse: fn(&str) -> Result<T, ConfigError>) -> Result<T, CommandError> {
     let text = super::scenario::read_input(file)?;
-    parse(&text).map_err(|problems| CommandError::Config {
+    parse(&text).map_err(|error| CommandError::Config {
         path: file.to_path_buf(),
-        count: problems.len(),
-        listing: render(&file.display().to_string(), &text, &problems),
+        count: error.problems().len(),
+        listing: error.render(&file.display().to_string(), &text),
     })
 }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,7 +2,9 @@
 //!
 //! A request is rejected at once when it is invalid, too close to its deadline to be decided in time, or
 //! beyond the number of open requests; then when the concurrency limit is reached. After that its customer's
-//! quota decides (`quota`). Inputs: the request, its deadline (seconds on the caller's clock), the settings.
+//! quota decides (`quota`).
+//!
+//! Inputs: the request, its deadline (seconds on the caller's clock), the settings.
 
 use super::Gateway;
 use super::customer::Customer;
@@ -11,7 +13,7 @@
 use super::request::OpenRequest;
 use super::token_bucket::TokenBucket;
 use super::tuning::{
-    ADMISSION_COUNTER_WAITS, ADMISSION_EVENT_INTERVALS, COUNTER_WAIT_FRACTION, DEMAND_MEMORY_SECONDS,
+    ADMISSION_EVENT_INTERVALS, ADMISSION_LEASE_WAITS, COUNTER_WAIT_FRACTION, DEMAND_MEMORY_SECONDS,
 };
 use crate::interface::{Plan, Reason, Request};
 
@@ -46,7 +48,7 @@
             && request.units.is_finite()
             && request.units >= 0.0;
         let decided_by = self.now
-            + ADMISSION_COUNTER_WAITS * COUNTER_WAIT_FRACTION * settings.counter_timeout
+            + ADMISSION_LEASE_WAITS * COUNTER_WAIT_FRACTION * settings.counter_timeout
             + ADMISSION_EVENT_INTERVALS * settings.event_interval;
         let in_time = request.deadline > decided_by;
         if !valid {
@@ -72,7 +74,7 @@
             },
             ..Customer::default()
         };
-        let customer = self.customers.entry(request.customer.clone()).or_insert_with(new_customer);
+        let customer = self.customers.find_or_insert_with(&request.customer, new_customer);
         customer.plan = request.plan;
         customer.instances = customer_instances;
         customer.position = (instance + instances - request.first_instance % instances) % instances;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,10 @@
 //! Attempts: the first one of a request, its retries and its hedged requests.
 //!
 //! A retry follows a failed attempt, a hedged request an attempt that takes long. Both need the retry budget,
-//! the concurrency limit and the retry scope. A timed-out attempt is not retried: its time was the request's.
+//! the concurrency limit and the retry scope. A timed-out attempt is not retried: no useful time is left.
+//!
+//! Inputs: the class of the request (latency objective, deadline), the settings' limits, the status of
+//! attempts.
 
 use super::Gateway;
 use super::request::{Attempt, OpenRequest, Progress};
@@ -64,7 +67,7 @@
         backend.in_flight += 1.0;
         backend.slow_start.level -= request.units.max(1.0);
         self.concurrency.attempt_started();
-        if let Some(customer) = self.customers.get_mut(&request.customer) {
+        if let Some(customer) = self.customers.find(&request.customer) {
             customer.open_attempts += 1;
         }
         self.load.record_sent(self.now, request.units);
@@ -130,7 +133,7 @@
                 Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
                 _ => Progress::MayHaveRun,
             };
-            if let Some(customer) = self.customers.get_mut(&open.request.customer) {
+            if let Some(customer) = self.customers.find(&open.request.customer) {
                 customer.open_attempts = customer.open_attempts.saturating_sub(1);
                 if let Some(units) = outcome.settled_units {
                     customer.uncounted.add(self.now, units - open.request.units);
--- a/src/policy/call_pacing.rs
+++ b/src/policy/call_pacing.rs
@@ -2,9 +2,10 @@
 //!
 //! Calls are paid from a token bucket. Its rate rises by each quick response and falls by slow and failed
 //! ones, as a congestion window does, since a crowded counter works in vain on calls that nobody waits for
-//! any more. Where calls are scarce they go to the requests with the highest priority. Inputs: status and
-//! seconds of each call, the counter's timeout in seconds, the priority of a request (units times the
-//! priority weight of the plan).
+//! any more. Where calls are scarce they go to the requests with the highest priority.
+//!
+//! Inputs: status and seconds of each call, the counter's timeout in seconds, the priority of a request
+//! (units times the priority weight of the plan).
 
 use super::token_bucket::TokenBucket;
 use super::tuning::{
@@ -14,7 +15,7 @@
 };
 use crate::interface::{Status, Time};
 
-/// Least priority that a call's cost is reckoned with.
+/// Lower bound of a priority, against divisions by zero.
 const MIN_PRIORITY: f64 = 1e-9;
 
 /// The budget of calls.
@@ -36,7 +37,8 @@
         Self { budget: TokenBucket::default(), rate, lowered_at: 0.0, mean_priority: 0.0 }
     }
 
-    /// Whether a request of this priority may make a call: one below the mean must find more calls saved up.
+    /// Whether a request of this priority may make a call. One below the mean must find more calls saved up,
+    /// by the square of the ratio.
     pub(super) fn allows(&mut self, now: Time, priority: f64) -> bool {
         self.mean_priority += EWMA_GAIN * (priority - self.mean_priority);
         let relative_cost = (self.mean_priority / priority.max(MIN_PRIORITY)).powi(2);
