--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -126,6 +126,9 @@
     }
 
     /// Makes all work that begins from now on take `factor` times as long.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn slow_down(&self, factor: f64) {
         *self.shared.slowdown.lock().expect("no holder panics") = factor;
     }
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -87,6 +87,9 @@
     }
 
     /// Loses all counts, as a restart without persistence does.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn clear(&self) {
         self.shared.counts.lock().expect("no holder panics").clear();
         self.shared.recorder.record(CaptureEvent::CounterCleared);
--- a/crates/fakes/src/recorder.rs
+++ b/crates/fakes/src/recorder.rs
@@ -27,6 +27,9 @@
     }
 
     /// Records an event. Its time is taken under the lock, so that lines are in the order of their times.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn record(&self, event: CaptureEvent) {
         let mut sink = self.sink.lock().expect("no writer panics");
         let record = CaptureRecord { time_seconds: self.now(), event };
@@ -39,6 +42,9 @@
     }
 
     /// Writes out what is buffered.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn flush(&self) {
         if let Some(sink) = self.sink.lock().expect("no writer panics").as_mut() {
             let _ = sink.flush(); // A truncated capture fails its audit.
--- a/crates/fakes/src/scripted_server.rs
+++ b/crates/fakes/src/scripted_server.rs
@@ -110,11 +110,17 @@
     }
 
     /// Replaces the script for the requests that come from now on.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn set_script(&self, script: impl Fn(&Request) -> Reply + Send + Sync + 'static) {
         *self.shared.script.lock().expect("no holder panics") = Arc::new(script);
     }
 
     /// The requests received so far.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.shared.received.lock().expect("no holder panics").clone()
     }
@@ -208,6 +214,9 @@
 
 /// The script of the platform's counter: adds the query parameter `delta` to the total of the path, and answers the
 /// total; 400 without a valid `delta`.
+///
+/// # Panics
+/// If another thread has panicked while it held the lock.
 pub fn counting() -> impl Fn(&Request) -> Reply + Send + Sync + 'static {
     let totals: Mutex<HashMap<String, f64>> = Mutex::default();
     move |request| {
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -99,6 +99,9 @@
 
 impl Schedule {
     /// The random schedule of a seed: mostly four gateways, some 20, a few 100.
+    ///
+    /// # Panics
+    /// Never: each choice is among several values.
     pub fn random(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let gateways = *rng.choice(&[2, 4, 4, 4, 4, 4, 8, 20, 20, 100]).expect("not empty");
