--- a/crates/cli/tests/node/scheduling_delay.rs
+++ b/crates/cli/tests/node/scheduling_delay.rs
@@ -44,7 +44,7 @@
     }
     let delayed = delay_sends(&shim, &site);
     assert!(client.response().await.expect("a complete response").status >= 400);
-    let received = site.backends.iter().flat_map(|backend| backend.received());
+    let received = site.backends.iter().flat_map(weirusher_fakes::ScriptedServer::received);
     let mut arrived: Vec<Instant> = received.map(|received| received.received_at).collect();
     arrived.sort();
     let last = (*arrived.last().unwrap() - arrived[0]).as_secs_f64();
@@ -70,7 +70,7 @@
         client.send(&store(&id, "x")).await;
         let sent = Instant::now();
         assert_eq!(client.response().await.expect("a complete response").status, 200);
-        let received = site.backends.iter().flat_map(|backend| backend.received());
+        let received = site.backends.iter().flat_map(weirusher_fakes::ScriptedServer::received);
         let attempt = received
             .into_iter()
             .find(|received| received.request.headers.get("x-trace-id") == Some(&id))
--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -126,7 +126,7 @@
                     self.in_flight.push((id, attempt));
                 }
                 ProxyOutput::Abort { request: id, attempt } => {
-                    self.in_flight.retain(|attempts| *attempts != (id.clone(), attempt))
+                    self.in_flight.retain(|attempts| *attempts != (id.clone(), attempt));
                 }
                 ProxyOutput::Prevented { request: id, attempt, violation } => {
                     panic!("attempt {attempt} of {id}: {violation}")
--- a/crates/scenarios/tests/audit_membership.rs
+++ b/crates/scenarios/tests/audit_membership.rs
@@ -169,7 +169,7 @@
     assert_eq!(with(blocked.clone(), |_| {}), []);
     let lost = with(blocked, |line| {
         if line["gk"] == 1 {
-            report_dead(line, 0, 40.0)
+            report_dead(line, 0, 40.0);
         }
     });
     assert_eq!(lost, [Rule::Membership(MembershipRule::AliveDetected)]);
