--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //! all members share. Without I/O: datagrams, time and randomness are passed in.
 //!
 //! Each member sends heartbeats to eight observers, its next live neighbours on eight fixed rings. An observer that
-//! hears nothing suspects the member; whoever knows a later heartbeat refutes. A member is confirmed dead when enough
+//! hears nothing suspects the member; any member that knows a later heartbeat refutes it. A member is confirmed dead when enough
 //! observers suspect it and nobody refuted in time. Evidence of life always wins over suspicions, so that a broken link
 //! costs no member its place. The protocol and its bounds are described in docs/fleet.md.
 //!
--- a/crates/fleet/src/member_table.rs
+++ b/crates/fleet/src/member_table.rs
@@ -2,18 +2,20 @@
 //! 2002). It knows no message and no ring, so that it can be model-checked on its own.
 
 use crate::datagram::{AGE_UNIT, MAX_SUSPECTORS};
+use crate::protocol::REFUTATION_TIMEOUT;
 use crate::{HEARTBEAT_INTERVAL, Millis, forget_timeout};
 use serde::{Deserialize, Serialize};
 
 /// Suspecting observers that count as much as all observers would.
 const ENOUGH_SUSPECTORS: usize = MAX_SUSPECTORS;
 /// Milliseconds in which a suspicion can be refuted: with enough suspecting observers, with one fewer, with two fewer.
-/// Few are as likely to have a bad link as to be right, so they wait longer (Lifeguard, Dadgar et al. 2017). The
-/// shortest is the time in which gossip reaches a thousand members and a refutation comes back.
-const REFUTATION_TIMEOUTS: [Millis; ENOUGH_SUSPECTORS] = [500, 2_000, 4_000];
+/// Few are as likely to have a bad link as to be right, so they wait longer (Lifeguard, Dadgar et al. 2017).
+const REFUTATION_TIMEOUTS: [Millis; ENOUGH_SUSPECTORS] = [REFUTATION_TIMEOUT, 2_000, 4_000];
 /// A suspicion and a known heartbeat that are this close do not contradict each other: the heartbeats of one round
 /// leave one after another.
 const SAME_ROUND_HEARTBEATS: u32 = 1;
+/// Factor by which the heartbeats of a member may outrun the time that passed here.
+const MAX_HEARTBEAT_SPEEDUP: Millis = 2;
 /// Heartbeats by which paths of different length may set what two members know apart.
 const PATH_SKEW_HEARTBEATS: Millis = 16;
 
@@ -174,11 +176,12 @@
         self.state(member) == MemberState::Dead
     }
 
-    /// Whether a member can have reached a heartbeat by now: about as many as there was time for since the latest one.
+    /// Whether a member can have reached a heartbeat by now, judged by the time since its latest one.
     pub fn is_plausible(&self, member: u16, heartbeat: u32, now: Millis) -> bool {
         let record = self.record(member);
         let elapsed = now.saturating_sub(record.last_alive) / HEARTBEAT_INTERVAL;
-        Millis::from(heartbeat) <= Millis::from(record.latest.heartbeat) + 2 * elapsed + PATH_SKEW_HEARTBEATS
+        Millis::from(heartbeat)
+            <= Millis::from(record.latest.heartbeat) + MAX_HEARTBEAT_SPEEDUP * elapsed + PATH_SKEW_HEARTBEATS
     }
 
     /// Tenths of a second since a member's latest heartbeat was sent, rounded up: it is relayed many times, and must not
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -1,5 +1,5 @@
 //! Suspicion and refutation, as in SWIM (Das et al. 2002). An observer that hears nothing of a subject asks the other
-//! observers, then suspects it; whoever knows a later heartbeat refutes. Only evidence of life decides, so that a broken
+//! observers, then suspects it; any member that knows a later heartbeat refutes it. Only evidence of life decides, so that a broken
 //! link costs no member its place. [`MemberTable`](crate::MemberTable) confirms the deaths.
 
 use super::Membership;
--- a/crates/fleet/src/membership/relay.rs
+++ b/crates/fleet/src/membership/relay.rs
@@ -10,6 +10,8 @@
 /// Members whose heartbeats are relayed on each datagram: at fifty datagrams a second those of a thousand members go
 /// around in three seconds.
 const HEARTBEATS_PER_DATAGRAM: u16 = 8;
+/// The forget timeout divided by this is long enough for the heartbeats of every live member to be relayed here.
+const RELAY_TIME_DIVISOR: Millis = 4;
 
 impl Membership {
     /// The latest heartbeats of the members whose turn it is.
@@ -26,7 +28,7 @@
         Message::Heartbeats { first, heartbeats: (first..end).map(compact).collect() }
     }
 
-    /// Takes in relayed heartbeats, and tells their sender of the members that it does not know.
+    /// Takes in relayed heartbeats, and introduces the members that their sender does not know.
     pub(super) fn handle_relayed_heartbeats(
         &mut self,
         from: u16,
@@ -43,7 +45,7 @@
         self.introduce(from, &lacking, now);
     }
 
-    /// Takes in one relayed heartbeat. Tells whether its sender lacks what is known here of the member.
+    /// Takes in one relayed heartbeat. `true` if its sender lacks what is known here of the member.
     fn handle_relayed_heartbeat(
         &mut self,
         from: u16,
@@ -69,7 +71,7 @@
         false
     }
 
-    /// A member takes another for dead that is alive here: gossip did not reach one of the two. Tells whether the sender
+    /// A member takes another for dead that is alive here: gossip did not reach one of the two. `true` if the sender
     /// lacks later evidence.
     ///
     /// Without later evidence this member takes it as a suspicion, but only when heartbeats would have been relayed
@@ -80,13 +82,14 @@
         }
         let refuted = self.table.latest(member).refutes(last);
         let age = Millis::from(self.table.age(member, now)) * AGE_UNIT;
-        if !refuted && age >= forget_timeout(self.table.size()) / 4 {
+        if !refuted && age >= forget_timeout(self.table.size()) / RELAY_TIME_DIVISOR {
             self.table.handle_suspicion(member, &[from], last, now);
         }
         refuted
     }
 
-    /// Tells a member of others that it does not know, as far as the budget allows: it will be relayed to again.
+    /// Introduces members to one that does not know them, as far as the budget allows. It is repeated with the next
+    /// relayed heartbeats that show it.
     fn introduce(&mut self, to: u16, members: &[u16], now: Millis) {
         if members.is_empty() || !self.send_budget.allows_introduction(now) {
             return;
--- a/crates/fleet/src/membership/schedule.rs
+++ b/crates/fleet/src/membership/schedule.rs
@@ -13,7 +13,7 @@
 const LATE_TIMER_GRACE: Millis = 2 * HEARTBEAT_INTERVAL;
 /// Heartbeats between two rounds of anti-entropy and of probes of absent members.
 const HEARTBEATS_PER_ROUND: u32 = 4;
-/// A subject is asked for heartbeats, or told that it is heard, when nothing passed for this long.
+/// A subject is asked for heartbeats, or sent a confirmation that it is heard, when nothing passed for this long.
 const QUIET_LINK: Millis = 2 * HEARTBEAT_INTERVAL;
 
 /// When slots are due, and what is known of this process's own delays.
@@ -82,7 +82,7 @@
         if let Some(subject) = self.links.subjects.get(slot).copied() {
             self.attend_to_subject(subject, now);
         }
-        // The fewer are left, the more absent members each has to probe.
+        // The fewer members are alive, the more absent ones each of them has to probe.
         if 2 * self.alive < usize::from(self.table.size()) {
             self.probe_absent_member(now);
         }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Tells a subject that it is heard, or asks it for heartbeats.
+    /// Asks a subject for heartbeats that are missing, or confirms that it is heard.
     fn attend_to_subject(&mut self, subject: u16, now: Millis) {
         let link = self.links.get(subject);
         let missed = !is_within(link.last_received, QUIET_LINK, now);
--- a/crates/fleet/src/send_budget.rs
+++ b/crates/fleet/src/send_budget.rs
@@ -31,7 +31,7 @@
         self.bytes.level(now) >= -OVERDRAFT
     }
 
-    /// Whether another may be told of members that it does not know.
+    /// Whether a member may be sent introductions of members that it does not know.
     pub fn allows_introduction(&mut self, now: Millis) -> bool {
         self.bytes.level(now) >= INTRODUCTION_RESERVE
     }
--- a/crates/simulation/examples/membership.rs
+++ b/crates/simulation/examples/membership.rs
@@ -201,15 +201,20 @@
     config
 }
 
+/// Milliseconds after a start, or after a fault, until beliefs have settled.
+const SETTLE_TIME: Millis = 30_000;
+/// Milliseconds in which changes are counted after that.
+const OBSERVED_TIME: Millis = 120_000;
+
 /// Prints false deaths, and all changes of belief, in two minutes with one fault that does not end.
 fn run_with_permanent_fault<P: Process>(mut net: Network<P>, name: &str, fault: impl Fn(&mut Network<P>)) {
     (0..net.size()).for_each(|member| net.start(member));
-    net.run_for(30_000);
+    net.run_for(SETTLE_TIME);
     fault(&mut net);
-    net.run_for(30_000);
+    net.run_for(SETTLE_TIME);
     net.belief_changes.clear();
-    net.run_for(120_000);
-    let dead = net.belief_changes.iter().filter(|seen| seen.belief == Belief::Dead).count();
+    net.run_for(OBSERVED_TIME);
+    let dead = net.belief_changes.iter().filter(|change| change.belief == Belief::Dead).count();
     println!("  {name}: {dead} deaths, {} changes", net.belief_changes.len());
 }
 
--- a/crates/simulation/tests/bound.rs
+++ b/crates/simulation/tests/bound.rs
@@ -1,23 +1,23 @@
-//! The bound on what a customer may get beyond its bucket, and what is still given, under random schedules.
+//! The bound on what a customer may get beyond its token bucket, and what it is still served, under random schedules.
 
 use weirusher_core::OvershootBound;
 use weirusher_simulation::{FaultKind, Fulfilment, Schedule, run, run_seed, run_seeds};
 
-/// Schedules of each landing.
+/// Schedules that are run.
 const SCHEDULES: u64 = 10_000;
 
 #[test]
-fn no_schedule_passes_the_bound_and_what_is_due_is_given() {
+fn no_schedule_exceeds_the_bound_and_what_is_due_is_served() {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let report = run_seeds(0, SCHEDULES, threads, |_| {});
     assert_eq!((report.schedules, report.violations), (SCHEDULES, 0), "{:#?}", report.worst);
-    let share = |Fulfilment { due, served }| served as f64 / due as f64;
-    assert!(share(report.within_rate) >= 0.94, "{:?}", report.within_rate);
-    assert!(share(report.beyond_rate) >= 0.94, "{:?}", report.beyond_rate);
+    let fraction = |Fulfilment { due, served }| served as f64 / due as f64;
+    assert!(fraction(report.within_rate) >= 0.94, "{:?}", report.within_rate);
+    assert!(fraction(report.beyond_rate) >= 0.94, "{:?}", report.beyond_rate);
 }
 
 #[test]
-fn a_seed_tells_all() {
+fn a_seed_determines_the_outcome() {
     let results = |seed| format!("{:?}", run_seed(seed).1);
     for seed in [7, 307, 1505] {
         assert_eq!(results(seed), results(seed));
@@ -39,7 +39,7 @@
         assert!(outcome.served_fraction() >= 0.96, "{fault:?}: {} of what is due", outcome.served_fraction());
     }
     let outcome = run(&Schedule::periodic(FaultKind::CountsLost, 4, 3, 1));
-    assert!(outcome.worst_overshoot() <= quota.burst, "emptied: {} beyond", outcome.worst_overshoot());
+    assert!(outcome.worst_overshoot() <= quota.burst, "counts lost: {} beyond", outcome.worst_overshoot());
 }
 
 #[test]
