--- a/crates/config/src/address.rs
+++ b/crates/config/src/address.rs
@@ -1,4 +1,4 @@
-//! Addresses. Only loopback is accepted: gateways of a site talk on one machine.
+//! Addresses. Only loopback addresses are accepted.
 
 use crate::table::{Located, Table};
 use std::net::SocketAddr;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -8,9 +8,9 @@
 const MAX_ZONE: u32 = 10_000;
 const MAX_OPEN_REQUESTS: u32 = 10_000_000;
 const MAX_ATTEMPTS: u32 = 100;
-/// Largest multiple of its capacity at which a backend is overloaded.
+/// Largest multiple of its capacity that may be said to overload a backend.
 const MAX_OVERLOAD_MULTIPLE: f64 = 1000.0;
-/// Least seconds after which a backend counts as overloaded.
+/// Least seconds of that which overload it.
 const MIN_OVERLOAD_SECONDS: f64 = 0.001;
 
 /// `[instance]`: which gateway of how many this is, and its zone.
