--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -28,8 +28,8 @@
         self.anchor.unix_time_after(self.origin.elapsed())
     }
 
-    /// The runtime's instant at which this clock shows `unix_seconds`. A time before the start is the start; one
-    /// that cannot be represented is an hour after it.
+    /// The runtime's instant at which this clock shows `unix_seconds`. A time before the start is the start;
+    /// one that cannot be represented is an hour after it.
     pub fn instant(&self, unix_seconds: f64) -> Instant {
         let ahead = unix_seconds - self.anchor.unix_time_after(Duration::ZERO);
         self.origin + Duration::try_from_secs_f64(ahead.max(0.0)).unwrap_or(FAR_FUTURE)
--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -2,14 +2,14 @@
 
 /// Seconds of the first delay, before jitter.
 pub(crate) const INITIAL_DELAY_SECONDS: f64 = 0.02;
-/// Seconds of the longest delay. It is below the decisions' refresh interval, so that all gateways return to a
-/// recovered counter at about the same time and none settles its units long after the others.
+/// Seconds of the longest delay. It is below the decisions' refresh interval, so that all gateways return to
+/// a recovered counter at about the same time and none settles its units long after the others.
 const MAX_DELAY_SECONDS: f64 = 0.25;
 /// Doublings after which the delay no longer grows; it keeps the shift in range.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Delays that double with each failure. Each is drawn between half and the whole of it, so that a fleet does not
-/// reconnect all at once.
+/// Delays that double with each failure. Each is drawn between half and the whole of it, so that a fleet does
+/// not reconnect all at once.
 #[derive(Debug)]
 pub struct Backoff {
     failures: u32,
--- a/crates/core/src/clock_anchor.rs
+++ b/crates/core/src/clock_anchor.rs
@@ -4,8 +4,9 @@
 
 /// The Unix time at one monotonic instant, the origin.
 ///
-/// Counter windows need a time that all gateways share, so the system clock is read once at the start. After that only the
-/// monotonic clock counts: a system clock that is set back neither revives expired tickets nor repeats a window.
+/// Counter windows need a time that all gateways share, so the system clock is read once at the start. After
+/// that only the monotonic clock counts: a system clock that is set back neither revives expired tickets nor
+/// repeats a window.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockAnchor {
     /// Seconds since the Unix epoch at the origin.
--- a/crates/core/src/counter_connections.rs
+++ b/crates/core/src/counter_connections.rs
@@ -5,7 +5,8 @@
 use std::collections::HashMap;
 use weirusher::Time;
 
-/// Connections to one counter, at most: a response that never ends holds up only the calls on its own connection.
+/// Connections to one counter, at most: a response that never ends holds up only the calls on its own
+/// connection.
 const MAX_CONNECTIONS: usize = 6;
 
 /// Where a call is sent.
@@ -44,8 +45,9 @@
 
 /// The pipelined connections to one address of the counter.
 ///
-/// Calls to one counter stay in order: while one is pending, the next follows it on its connection. Any other call
-/// goes on the connection with the fewest pending calls, and not behind one that has timed out if it can be avoided.
+/// Calls to one counter stay in order: while one is pending, the next follows it on its connection. Any other
+/// call goes on the connection with the fewest pending calls, and not behind one that has timed out if it can
+/// be avoided.
 #[derive(Debug)]
 pub struct CounterConnections {
     call_timeout: f64,
@@ -58,7 +60,8 @@
 }
 
 impl CounterConnections {
-    /// No connection is open; a call times out after `call_timeout` seconds. `seed` feeds the backoff's jitter.
+    /// No connection is open; a call times out after `call_timeout` seconds. `seed` feeds the backoff's
+    /// jitter.
     pub fn new(call_timeout: f64, seed: u64) -> Self {
         let connection =
             |_| Connection { open: false, responded: false, pipeline: Pipeline::new(call_timeout) };
@@ -130,7 +133,8 @@
         ended.into_iter().map(|ended| self.end_call(ended)).collect()
     }
 
-    /// When [`CounterConnections::take_timed_out`] or [`CounterConnections::is_unresponsive`] should be asked next.
+    /// When [`CounterConnections::take_timed_out`] or [`CounterConnections::is_unresponsive`] should be asked
+    /// next.
     pub fn deadline(&self, connection: usize) -> Option<Time> {
         self.connections[connection].pipeline.deadline()
     }
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -1,7 +1,7 @@
-//! Drives the decision state machine for [`Engine`](crate::Engine) and [`ProxyCore`](crate::ProxyCore): its timers,
-//! its counter calls in order, and backend start times on the gateway's clock.
+//! Drives the decision state machine for [`Engine`](crate::Engine) and [`ProxyCore`](crate::ProxyCore): its
+//! timers, its counter calls in order, and backend start times on the gateway's clock.
 
-use crate::response_order::{CounterResponse, InOrder, ResponseOrder};
+use crate::response_order::{CounterResponse, ReadyResponses, ResponseOrder};
 use crate::start_times::StartTimes;
 use crate::timer_wheel::TimerWheel;
 use weirusher::{Action, Endpoint, EndpointListKind, Event, Gateway, Settings, SettingsError, Status, Time};
@@ -58,8 +58,8 @@
         })
     }
 
-    /// Handles an event. Timers are set and commands go to `outputs`; actions about requests are returned in order, in a
-    /// vector to be handed back by [`DecisionDriver::recycle`].
+    /// Handles an event. Timers are set and commands go to `outputs`; actions about requests are returned in
+    /// order, in a vector to be handed back by [`DecisionDriver::recycle`].
     pub fn handle<O: From<Command>>(&mut self, now: Time, event: Event, outputs: &mut Vec<O>) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.spare_actions);
         self.gateway.handle(now, event, &mut actions);
@@ -89,11 +89,11 @@
         self.start_times.confirm(now);
     }
 
-    /// The events for an ended counter call and for those that waited for it, in the order of the calls. `total` is in
-    /// units, `elapsed` in seconds.
+    /// The events for an ended counter call and for those that waited for it, in the order of the calls.
+    /// `total` is in units, `elapsed` in seconds.
     pub fn counter_response(&mut self, call: u64, status: Status, total: f64, elapsed: f64) -> Vec<Event> {
         let response = CounterResponse { status, total, elapsed };
-        let Some(InOrder { counter, responses }) = self.counter_calls.end_call(call, response) else {
+        let Some(ReadyResponses { counter, responses }) = self.counter_calls.end_call(call, response) else {
             return Vec::new();
         };
         let event = |CounterResponse { status, total, elapsed }| Event::CounterResponse {
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,9 +1,9 @@
 //! The state machine for external authorisation, without I/O, around one [`Gateway`](weirusher::Gateway).
 //!
-//! Checks, reports, counter responses and endpoint lists go in; check outcomes and commands come out. Each check gets
-//! one outcome, unless its client closes first. An allowed check carries a ticket away; the attempt stays in the request
-//! table until a report closes it, or its deadline. What comes late, twice or from another issuer changes
-//! nothing and is counted. Points in time are Unix seconds, spans are seconds.
+//! Checks, reports, counter responses and endpoint lists go in; check outcomes and commands come out. Each
+//! check gets one outcome, unless its client closes first. An allowed check carries a ticket away; the
+//! attempt stays in the request table until a report closes it, or its deadline. What comes late, twice or
+//! from another issuer changes nothing and is counted. Points in time are Unix seconds, spans are seconds.
 
 mod attempts;
 mod check;
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -6,7 +6,8 @@
 use crate::ticket::Ticket;
 use weirusher::{BackendId, Event, LoadReport, Status, Time};
 
-/// Seconds past an attempt's deadline in which its report may still arrive: the proxy sends its access log in batches.
+/// Seconds past an attempt's deadline in which its report may still arrive: the proxy sends its access log in
+/// batches.
 const REPORT_GRACE_SECONDS: f64 = 0.25;
 /// Seconds in which a check has to claim a retry; after that it counts as not sent.
 const CLAIM_TIMEOUT_SECONDS: f64 = 1.0;
@@ -140,8 +141,8 @@
         self.abandon_request(now, request);
     }
 
-    /// No client waits for the request any more: an unclaimed attempt will never be sent, and the decisions are
-    /// notified. Attempts in flight keep the request in the table.
+    /// No client waits for the request any more: an unclaimed attempt will never be sent, and the decisions
+    /// are notified. Attempts in flight keep the request in the table.
     pub(super) fn abandon_request(&mut self, now: Time, request: u64) {
         let Some(open) = self.requests.get(request).filter(|open| open.caller.is_none()) else { return };
         let id = open.id.clone();
--- a/crates/core/src/engine/check.rs
+++ b/crates/core/src/engine/check.rs
@@ -117,8 +117,8 @@
         self.abandon_request(now, request);
     }
 
-    /// An outcome could not be delivered: the client closed after the decision. Nobody holds the ticket, so the
-    /// attempt was not sent.
+    /// An outcome could not be delivered: the client closed after the decision. Nobody holds the ticket, so
+    /// the attempt was not sent.
     pub fn undelivered(&mut self, now: Time, delivery: DeliveryId) {
         let Some(attempt) = delivery.0 else { return };
         self.metrics.undelivered += 1;
@@ -176,7 +176,8 @@
         }
         let last = open.attempts.len() as u32 - 1;
         let state = open.attempts[last as usize].state;
-        // An unclaimed attempt is claimed with the ticket before it; otherwise the last ticket has to be shown.
+        // An unclaimed attempt is claimed with the ticket before it; otherwise the last ticket has to be
+        // shown.
         let expected = if state == AttemptState::Unclaimed { last.checked_sub(1) } else { Some(last) };
         if open.caller.is_some() || expected != Some(previous.attempt) {
             self.metrics.duplicate_checks += 1;
@@ -200,8 +201,8 @@
         }
     }
 
-    /// A retry whose ticket another instance, or an earlier incarnation of this one, issued. That request table is not known here: an
-    /// idempotent request starts anew and pays again, any other fails.
+    /// A retry whose ticket another instance, or an earlier incarnation of this one, issued. That request
+    /// table is not known here: an idempotent request starts anew and pays again, any other fails.
     fn retry_of_other_issuer(&mut self, now: Time, caller: CallerId, check: &Check, class: usize) {
         self.metrics.foreign_checks += 1;
         if self.is_idempotent(class) && check.class == class {
@@ -232,7 +233,8 @@
         self.push_outcome(caller, CheckOutcome::Failed(failure), None);
     }
 
-    /// Gives the outcome to the request's pending check, if there is one. `granted` is the attempt that it allows.
+    /// Gives the outcome to the request's pending check, if there is one. `granted` is the attempt that it
+    /// allows.
     pub(super) fn respond(&mut self, request: u64, outcome: CheckOutcome, granted: Option<AttemptId>) {
         let Some(caller) = self.requests.get_mut(request).and_then(|open| open.caller.take()) else { return };
         self.callers.remove(&caller);
--- a/crates/core/src/engine/report.rs
+++ b/crates/core/src/engine/report.rs
@@ -57,7 +57,8 @@
             }
         };
         if !self.issued(&ticket) {
-            // Only the issuer knows the attempt, and closes it at its deadline (docs/external-authorisation.md).
+            // Only the issuer knows the attempt, and closes it at its deadline
+            // (docs/external-authorisation.md).
             self.metrics.foreign_reports += 1;
             return ReportOutcome::OtherIssuer { issuer: ticket.issuer };
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,10 @@
 //! The state machines between a gateway's sockets and its decisions, without I/O.
 //!
-//! [`Engine`] serves external authorisation: checks and reports go in, check outcomes and counter calls come out.
-//! [`ProxyCore`] does the same for requests that the gateway forwards itself. Both keep a table of their requests and drive the
-//! decisions ([`weirusher::Gateway`]). A [`Ticket`] binds a request to the backend chosen for it.
-//! [`TimerWheel`] holds timers, [`Pipeline`] the counter calls of one connection, [`Backoff`] the delays before a new one.
-//! Nothing here reads a clock: each call states the time.
+//! [`Engine`] serves external authorisation: checks and reports go in, check outcomes and counter calls come
+//! out. [`ProxyCore`] does the same for requests that the gateway forwards itself. Both keep a table of their
+//! requests and drive the decisions ([`weirusher::Gateway`]). A [`Ticket`] binds a request to the backend
+//! chosen for it. [`TimerWheel`] holds timers, [`Pipeline`] the counter calls of one connection, [`Backoff`]
+//! the delays before a new one. Nothing here reads a clock: each call states the time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/core/src/pipeline.rs
+++ b/crates/core/src/pipeline.rs
@@ -26,8 +26,8 @@
     call: Option<T>,
 }
 
-/// The calls of one connection. A call that timed out keeps its place, so that its late response is not taken for
-/// that of the next call.
+/// The calls of one connection. A call that timed out keeps its place, so that its late response is not taken
+/// for that of the next call.
 #[derive(Debug)]
 pub struct Pipeline<T> {
     call_timeout: f64,
--- a/crates/core/src/response_order.rs
+++ b/crates/core/src/response_order.rs
@@ -15,14 +15,14 @@
 
 /// The responses that may be handed on once a call has ended.
 #[derive(Debug, PartialEq)]
-pub(crate) struct InOrder {
+pub(crate) struct ReadyResponses {
     /// The counter that they belong to.
     pub counter: u64,
     pub responses: Vec<CounterResponse>,
 }
 
-/// Restores the order of calls to each counter, which the decisions expect: a call that is rejected at once must not be
-/// taken for an earlier one that is still pending.
+/// Restores the order of calls to each counter, which the decisions expect: a call that is rejected at once
+/// must not be taken for an earlier one that is still pending.
 #[derive(Debug, Default)]
 pub(crate) struct ResponseOrder {
     last_call: u64,
@@ -42,7 +42,7 @@
     }
 
     /// A call ended: the responses that may be handed on now. `None` for an unknown call.
-    pub fn end_call(&mut self, call: u64, response: CounterResponse) -> Option<InOrder> {
+    pub fn end_call(&mut self, call: u64, response: CounterResponse) -> Option<ReadyResponses> {
         let counter = self.counters.remove(&call)?;
         let queue = self.queues.get_mut(&counter)?;
         queue.iter_mut().find(|(pending, _)| *pending == call)?.1 = Some(response);
@@ -54,7 +54,7 @@
         if queue.is_empty() {
             self.queues.remove(&counter);
         }
-        Some(InOrder { counter, responses })
+        Some(ReadyResponses { counter, responses })
     }
 }
 
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -1,18 +1,18 @@
 //! When backends started, on the gateway's own clock.
 //!
-//! An endpoint list states each start on another host's wall clock, which may be wrong or stepped. The order of the lists is
-//! sure: a backend that appears in a list started no earlier than the last list without it was current, and no
-//! later than the list that names it arrived. Both bounds get a tolerance, as lists arrive late.
-//! Times are Unix seconds.
+//! An endpoint list states each start on another host's wall clock, which may be wrong or stepped. The order
+//! of the lists is sure: a backend that appears in a list started no earlier than the last list without it
+//! was current, and no later than the list that names it arrived. The first bound gets a tolerance, as lists
+//! arrive late. Times are Unix seconds.
 
 use std::collections::HashMap;
 use weirusher::{BackendId, Endpoint, EndpointListKind, Time};
 
 /// Backends whose start times are remembered, listed or not: one that is listed again has not started again.
 const MAX_BACKENDS: usize = 8192;
-/// By what factor the capacity of a backend in slow start may be overestimated, where its start time arrives late or
-/// from another clock. The decisions plan with 0.4 of the capacity of a backend that just started; with this error they
-/// use 0.6 of it.
+/// By what factor the capacity of a backend in slow start may be overestimated, where its start time arrives
+/// late or from another clock. The decisions plan with 0.4 of the capacity of a backend that just started;
+/// with this error they use 0.6 of it.
 const MAX_CAPACITY_ERROR: f64 = 1.5;
 /// Seconds by which a restart is later than the start before it, at least.
 const MIN_RESTART_SECONDS: f64 = 1e-3;
@@ -38,11 +38,13 @@
 }
 
 impl StartTimes {
-    /// For backends that start at `min_capacity` of their capacity and reach all of it after `slow_start_seconds`.
+    /// For backends that start at `min_capacity` of their capacity and reach all of it after
+    /// `slow_start_seconds`.
     ///
-    /// A list that names a start is some seconds late even if all clocks agree. A reported time is accepted as far as the error in
-    /// capacity stays within [`MAX_CAPACITY_ERROR`]: a start taken to be `a` seconds too early adds
-    /// `(1 - min_capacity) * a / slow_start_seconds` to the capacity, which is `min_capacity` at the least.
+    /// A list that names a start is some seconds late even if all clocks agree. A reported time is accepted
+    /// as far as the error in capacity stays within [`MAX_CAPACITY_ERROR`]: a start taken to be `a` seconds
+    /// too early adds `(1 - min_capacity) * a / slow_start_seconds` to the capacity, which is `min_capacity`
+    /// at the least.
     pub fn new(min_capacity: f64, slow_start_seconds: f64) -> Self {
         let tolerance = (MAX_CAPACITY_ERROR - 1.0) * min_capacity * slow_start_seconds
             / (1.0 - min_capacity).max(f64::MIN_POSITIVE);
--- a/crates/core/src/ticket_validator.rs
+++ b/crates/core/src/ticket_validator.rs
@@ -40,14 +40,16 @@
     attempt: u32,
 }
 
-/// Validates the tickets of requests that arrive at one backend, and remembers the used ones until they expire.
+/// Validates the tickets of requests that arrive at one backend, and remembers the used ones until they
+/// expire.
 #[derive(Debug)]
 pub struct TicketValidator {
     keyring: Keyring,
     backend: String,
     max_used: usize,
     used: HashSet<TicketId>,
-    /// Used tickets by the millisecond after which they may be forgotten, as they would be rejected as expired.
+    /// Used tickets by the millisecond after which they may be forgotten, as they would be rejected as
+    /// expired.
     expiries: BTreeSet<(u64, TicketId)>,
 }
 
--- a/crates/core/src/timer_wheel.rs
+++ b/crates/core/src/timer_wheel.rs
@@ -1,7 +1,8 @@
-//! A hierarchical timing wheel: timers with a resolution of a millisecond, set and cancelled in constant time.
+//! A hierarchical timing wheel: timers with a resolution of a millisecond, set and cancelled in constant
+//! time.
 //!
-//! Four levels of 64 slots cover 4.6 hours; a later timer waits in the last slot and is placed again when the wheel
-//! gets there. Timers of one tick expire in the order in which they were set. Times are in seconds.
+//! Four levels of 64 slots cover 4.6 hours; a later timer waits in the last slot and is placed again when the
+//! wheel gets there. Timers of one tick expire in the order in which they were set. Times are in seconds.
 
 /// Bits of a tick that select a slot of one level.
 const SLOT_BITS: u32 = 6;
@@ -123,8 +124,8 @@
         self.release(key.index)
     }
 
-    /// When [`TimerWheel::expire`] should be called next: no later than the first timer expires. It may be earlier,
-    /// when timers have to move from a coarse level to a finer one.
+    /// When [`TimerWheel::expire`] should be called next: no later than the first timer expires. It may be
+    /// earlier, when timers have to move from a coarse level to a finer one.
     pub fn next_expiry(&self) -> Option<f64> {
         (self.len > 0).then(|| self.origin + self.next_tick() as f64 * TICK_SECONDS)
     }
--- a/crates/ext-authz/src/acceptor.rs
+++ b/crates/ext-authz/src/acceptor.rs
@@ -29,8 +29,9 @@
 }
 
 impl Acceptor {
-    /// Accepts until `stopped` is set and the backlog is empty. Then the listener is dropped: a later connection is
-    /// refused at once, and may go to another instance, where it would wait in vain in a backlog.
+    /// Accepts until `stopped` is set and the backlog is empty. Then the listener is dropped: a later
+    /// connection is refused at once, and may go to another instance, where it would wait in vain in a
+    /// backlog.
     pub async fn accept(mut self, mut listener: Listener) {
         loop {
             let stream = tokio::select! {
@@ -81,8 +82,8 @@
     let _ = tokio::time::timeout(PREFACE_TIMEOUT, after_stop).await; // Whichever ends first.
 }
 
-/// Waits for the preface without consuming it; `false` if other bytes arrive. Guards the slots against peers that send
-/// nothing, as the server itself waits for the preface without a timeout.
+/// Waits for the preface without consuming it; `false` if other bytes arrive. Guards the slots against peers
+/// that send nothing, as the server itself waits for the preface without a timeout.
 async fn receive_preface(stream: &TcpStream) -> bool {
     let mut seen = [0; PREFACE.len()];
     loop {
--- a/crates/ext-authz/src/clients/counter.rs
+++ b/crates/ext-authz/src/clients/counter.rs
@@ -91,8 +91,9 @@
         loop {
             let deadline = session.pipeline.deadline();
             let next = tokio::select! {
-                // Guards responses that wait in the socket of a process that was suspended: they are read before their
-                // calls time out. Timeouts and writing come before new calls, so that a flood of these delays neither.
+                // Guards responses that wait in the socket of a process that was suspended: they are read
+                // before their calls time out. Timeouts and writing come before new calls, so that a flood of
+                // these delays neither.
                 biased;
                 frame = frames.next() => self.handle_frame(&mut session, frame).await?,
                 () = self.clock.sleep_until(deadline) => self.handle_timeout(&mut session).await?,
--- a/crates/ext-authz/src/connection.rs
+++ b/crates/ext-authz/src/connection.rs
@@ -12,8 +12,8 @@
 use tonic::transport::server::{Connected, TcpConnectInfo};
 use weirusher_net::Stream;
 
-/// The longest that a connection stays open after its last byte was written. Closing while bytes arrive causes a reset, which may
-/// overtake the last byte; the peer closes its side once it has read the GOAWAY.
+/// The longest that a connection stays open after its last byte was written. Closing while bytes arrive
+/// causes a reset, which may overtake the last byte; the peer closes its side once it has read the GOAWAY.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Bytes that are read and discarded at once while lingering.
 const DISCARD_BUFFER_BYTES: usize = 4096;
--- a/crates/ext-authz/src/endpoint_cache.rs
+++ b/crates/ext-authz/src/endpoint_cache.rs
@@ -1,7 +1,8 @@
 //! The last endpoint list on disk, for a start while discovery is unavailable.
 //!
-//! The file is replaced atomically: a temporary file is written and synced, renamed, and the directory synced. A crash at any
-//! moment leaves the old list or the new one. While writing fails, the latest list is tried again.
+//! The file is replaced atomically: a temporary file is written and synced, renamed, and the directory
+//! synced. A crash at any moment leaves the old list or the new one. While writing fails, the latest list is
+//! tried again.
 
 use atomic_write_file::AtomicWriteFile;
 use serde::{Deserialize, Serialize};
--- a/crates/ext-authz/src/engine_task.rs
+++ b/crates/ext-authz/src/engine_task.rs
@@ -11,8 +11,8 @@
     CallerId, Check, CheckOutcome, Command, Completion, DeliveryId, Engine, EngineMetrics, Output, Report,
 };
 
-/// Events of the services that may be queued. A check that finds the queue full is rejected at once; a report waits, and
-/// holds back its stream.
+/// Events of the services that may be queued. A check that finds the queue full is rejected at once; a report
+/// waits, and holds back its stream.
 pub const SERVICE_QUEUE: usize = 4096;
 /// Events of the clients that may be queued; a client waits while the queue is full.
 pub const CLIENT_QUEUE: usize = 1024;
--- a/crates/ext-authz/src/engine_task/tests.rs
+++ b/crates/ext-authz/src/engine_task/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use serde_json::{Value, json};
 
-/// Guards scripts and dashboards that read `GET /stats`: its keys stay as they were when the fields were renamed.
+/// Guards scripts and dashboards that read `GET /stats`: its keys stay as they were when the fields were
+/// renamed.
 #[test]
 fn the_keys_of_the_stats_page_stay() {
     let status = GatewayStatus {
--- a/crates/ext-authz/src/gateway.rs
+++ b/crates/ext-authz/src/gateway.rs
@@ -3,7 +3,7 @@
 use crate::admin::AdminPage;
 use crate::clients::{counter::CounterClient, discovery::DiscoveryClient};
 use crate::endpoint_cache::EndpointCache;
-use crate::engine_task::{CALL_QUEUE, CLIENT_QUEUE, EngineTask, SERVICE_QUEUE, ServiceEvent};
+use crate::engine_task::{CALL_QUEUE, CLIENT_QUEUE, ClientEvent, EngineTask, SERVICE_QUEUE, ServiceEvent};
 use crate::metrics::Metrics;
 use crate::server::GrpcServer;
 use crate::services::{access_log::AccessLog, ext_authz::ExtAuthz};
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 use weirusher_clock::Clock;
-use weirusher_config::{Config, CounterConfig, RequestRules};
+use weirusher_config::{Config, CounterConfig, DiscoveryConfig, RequestRules};
 use weirusher_core::{Engine, EngineError, Keyring};
 use weirusher_net::Listener;
 use weirusher_peers::{Peers, page};
@@ -59,9 +59,9 @@
 }
 
 impl GatewayHandle {
-    /// Shuts down gracefully: accepts no new connections, notifies each peer, and waits until nothing is pending and each
-    /// connection has ended, for the configured drain time at most. Returns how many checks and attempts were
-    /// still pending.
+    /// Shuts down gracefully: accepts no new connections, notifies each peer, and waits until nothing is
+    /// pending and each connection has ended, for the configured drain time at most. Returns how many checks
+    /// and attempts were still pending.
     pub async fn stop(mut self) -> usize {
         let deadline = Instant::now() + self.drain_timeout;
         self.stop.send_replace(true);
@@ -113,25 +113,16 @@
         peers = Some(handle);
         tasks.push(tokio::spawn(task));
     }
-    let mut counter_calls = None;
-    if let Some(CounterConfig { address, .. }) = config.counter {
+    let counter_calls = config.counter.map(|CounterConfig { address, .. }| {
         let (call_sender, calls) = mpsc::channel(CALL_QUEUE);
-        counter_calls = Some(call_sender);
         let (engine, metrics) = (client_sender.clone(), metrics.clone());
         let client = CounterClient { address, call_timeout, clock, calls, engine, metrics, seed };
         tasks.push(tokio::spawn(client.run()));
-    }
-    let discovery = DiscoveryClient {
-        cache: config.discovery.keep.clone().map(EndpointCache::start),
-        config: config.discovery,
-        node: format!("gatekeeper-{instance}"),
-        engine: client_sender,
-        watch_endpoints,
-        metrics: metrics.clone(),
-        seed: seed ^ 1, // Another jitter than the counter client's.
-    };
+        call_sender
+    });
+    let discovery =
+        discovery_client(config.discovery, instance, client_sender, watch_endpoints, &metrics, seed);
     tasks.push(tokio::spawn(discovery.run()));
-
     let engine_sender = service_sender.clone();
     let server =
         grpc_server(config.request, config.connections, engine_sender, &metrics, reports_done_receiver);
@@ -157,6 +148,26 @@
     Ok(GatewayHandle { ext_authz, admin, fleet, stop, reports_done, pending, drain_timeout, server, tasks })
 }
 
+/// The discovery client, and the cache if a file for it is configured.
+fn discovery_client(
+    config: DiscoveryConfig,
+    instance: u32,
+    engine: mpsc::Sender<ClientEvent>,
+    watch_endpoints: watch::Receiver<bool>,
+    metrics: &Arc<Metrics>,
+    seed: u64,
+) -> DiscoveryClient {
+    DiscoveryClient {
+        cache: config.keep.clone().map(EndpointCache::start),
+        config,
+        node: format!("gatekeeper-{instance}"),
+        engine,
+        watch_endpoints,
+        metrics: metrics.clone(),
+        seed: seed ^ 1, // Another jitter than the counter client's.
+    }
+}
+
 /// The gRPC server with both services. `limits` are the connections, and the streams of each.
 fn grpc_server(
     rules: RequestRules,
--- a/crates/ext-authz/src/server.rs
+++ b/crates/ext-authz/src/server.rs
@@ -39,15 +39,16 @@
 }
 
 impl GrpcServer {
-    /// Serves until `stopped` is set. After that no connections are accepted but those already in the backlog, each
-    /// peer is notified by GOAWAY, and the server ends with the last stream.
+    /// Serves until `stopped` is set. After that no connections are accepted but those already in the
+    /// backlog, each peer is notified by GOAWAY, and the server ends with the last stream.
     pub async fn serve(self, listener: Listener, stopped: watch::Receiver<bool>) {
         let slots = Arc::new(Semaphore::new(self.max_connections as usize));
         let (ready, incoming) = mpsc::channel(READY_QUEUE);
         let acceptor = Acceptor { slots, metrics: self.metrics, ready, stopped };
         tokio::spawn(acceptor.accept(listener));
         let incoming = ReceiverStream::new(incoming).map(Ok::<_, io::Error>);
-        // The graceful shutdown starts when the acceptor ends. A signal of its own would drop the connections that wait.
+        // The graceful shutdown starts when the acceptor ends. A signal of its own would drop the connections
+        // that wait.
         let never = std::future::pending();
         let served = Server::builder()
             .max_concurrent_streams(self.max_streams_per_connection)
--- a/crates/ext-authz/src/services/ext_authz.rs
+++ b/crates/ext-authz/src/services/ext_authz.rs
@@ -30,8 +30,8 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// Waits for a check's outcome. If it is dropped first, as the client reset its stream or its connection broke, the engine is
-/// notified. With a full queue it is not, and the attempt is closed at its deadline.
+/// Waits for a check's outcome. If it is dropped first, as the client reset its stream or its connection
+/// broke, the engine is notified. With a full queue it is not, and the attempt is closed at its deadline.
 struct OutcomeWaiter {
     caller: CallerId,
     outcome: oneshot::Receiver<(CheckOutcome, DeliveryId)>,
--- a/crates/wire/src/eds.rs
+++ b/crates/wire/src/eds.rs
@@ -1,8 +1,8 @@
 //! The endpoint list in the form of Envoy's endpoint discovery service (EDS).
 //!
-//! One `ClusterLoadAssignment` is a complete list. A locality's zone is that of its endpoints, the health status `DRAINING` means
-//! draining, `UNHEALTHY` and `TIMEOUT` mean removed, and the metadata `weirusher.started` is the Unix time in seconds of an
-//! endpoint's last start.
+//! One `ClusterLoadAssignment` is a complete list. A locality's zone is that of its endpoints, the health
+//! status `DRAINING` means draining, `UNHEALTHY` and `TIMEOUT` mean removed, and the metadata
+//! `weirusher.started` is the Unix time in seconds of an endpoint's last start.
 
 use envoy_types::pb::envoy::config::core::v3::{
     Address, HealthStatus, Locality, Metadata, SocketAddress, address, socket_address,
@@ -37,7 +37,8 @@
     pub excess: usize,
 }
 
-/// Reads an endpoint list. `zones` names the zones in the order of their numbers; other zones get the numbers after these.
+/// Reads an endpoint list. `zones` names the zones in the order of their numbers; other zones get the numbers
+/// after these.
 pub fn read(assignment: &ClusterLoadAssignment, zones: &[String]) -> EndpointList {
     let (mut list, mut seen) = (EndpointList::default(), HashSet::new());
     let mut names: Vec<&str> = zones.iter().map(String::as_str).collect();
@@ -98,7 +99,8 @@
     }
 }
 
-/// An endpoint list for `cluster`; the reverse of [`read`]. Endpoints whose id is not a socket address are left out.
+/// An endpoint list for `cluster`; the reverse of [`read`]. Endpoints whose id is not a socket address are
+/// left out.
 pub fn write(cluster: &str, endpoints: &[Endpoint], zones: &[String]) -> ClusterLoadAssignment {
     let mut by_zone: BTreeMap<u32, Vec<LbEndpoint>> = BTreeMap::new();
     for endpoint in endpoints {
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// Where the first frame ends, once all of it is in `src`. Guards memory and stack: announced lengths are checked before
-/// anything is allocated for them, and arrays within arrays are rejected.
+/// Where the first frame ends, once all of it is in `src`. Guards memory and stack: announced lengths are
+/// checked before anything is allocated for them, and arrays within arrays are rejected.
 fn frame_end(src: &[u8]) -> Result<Option<usize>, RespError> {
     let Some(head) = frame_head(src)? else { return Ok(None) };
     if head.kind != ARRAY {
@@ -148,8 +148,8 @@
     }
 }
 
-/// Writes the two commands that add `amount` units to a counter which expires `ttl` seconds after its first add: the
-/// expiry is set together with the key, and only then. Every server of the protocol knows both.
+/// Writes the two commands that add `amount` units to a counter which expires `ttl` seconds after its first
+/// add: the expiry is set together with the key, and only then. Every server of the protocol knows both.
 pub fn write_add(dst: &mut BytesMut, counter: u64, amount: f64, ttl: f64) {
     let key = format!("w:{counter:x}");
     let ttl_ms = ((ttl * MILLIS_PER_SECOND).ceil().max(1.0) as u64).to_string();
