--- a/crates/core/tests/request_table.rs
+++ b/crates/core/tests/request_table.rs
@@ -251,7 +251,7 @@
         Output::CheckOutcome { outcome: CheckOutcome::Allowed(grant), .. } => Some(grant.ticket),
         _ => None,
     });
-    let ticket = ticket.expect("the fallback rate admits it");
+    let ticket = ticket.expect("the fallback limit admits it");
     let mut settings = Settings::default();
     (settings.classes, settings.plans) = (vec![Class::default()], vec![Plan::default()]);
     let mut second = Engine::new(settings, keyring(), 6, 7, START).unwrap();
--- a/crates/ext-authz/src/clients/counter.rs
+++ b/crates/ext-authz/src/clients/counter.rs
@@ -202,7 +202,7 @@
     }
 }
 
-/// Ends calls at once while there is no connection, so that the decisions use their fallback rate.
+/// Ends calls at once while there is no connection, so that the decisions use the fallback limit.
 async fn reject_calls(
     calls: &mut mpsc::Receiver<CounterCall>,
     engine: &mpsc::Sender<ClientEvent>,
