--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -21,6 +21,7 @@
 mod response_order;
 mod shutdown;
 mod slots;
+mod stall;
 mod start_times;
 mod ticket;
 mod ticket_validator;
@@ -35,14 +36,18 @@
     AttemptId, CallerId, Check, CheckFailure, CheckOutcome, Completion, DeliveryId, Engine, EngineError,
     EngineMetrics, Grant, InstanceRange, Output, Report, ReportOutcome,
 };
-pub use guard::{Blocked, Earlier, Guard, Progress, SendCheck, SendLimits, Violation, Violations};
+pub use guard::{
+    Execution, Guard, PriorAttempt, SendConditions, SendError, SendLimits, Violation, Violations,
+};
 pub use overshoot_bound::OvershootBound;
 pub use pipeline::{EndedCall, Pipeline, UNRESPONSIVE_TIMEOUTS, UnexpectedResponse};
-pub use pool::{Pool, Room};
-pub use proxy::{Arrived, IncomingRequest, Outcome, ProxyCore, ProxyOutput, ProxyTally, ReasonCounts};
+pub use pool::{ConnectionPool, Reservation};
+pub use proxy::{
+    IncomingRequest, Outcome, ProxyCore, ProxyMetrics, ProxyOutput, ReasonCounts, RequestStatus,
+};
 pub use shutdown::{Shutdown, longest_deadline};
-pub use slots::{FIRST_REQUEST, SlotCounts, SlotId, Slots};
+pub use slots::{ConnectionSlots, REQUEST_READ_TIMEOUT, SlotCounts, SlotId};
 pub use ticket::{Key, Keyring, Ticket, TicketError};
 pub use ticket_validator::{TicketRejection, TicketValidator};
 pub use timer_wheel::{TimerKey, TimerWheel};
-pub use watch::{LineId, ListWatch, WatchStep, WatchTerms};
+pub use watch::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
