--- a/crates/core/benches/memory.rs
+++ b/crates/core/benches/memory.rs
@@ -27,14 +27,14 @@
     let mut engine = Engine::new(settings, keyring, 1, 1, 1e6).expect("usable settings");
     let endpoint = |n: u32| Endpoint::warm(format!("127.0.0.1:{n}"));
     // Enough backends for all requests to be in flight.
-    engine.update_endpoints(1e6, EndpointListKind::Snapshot, (1..=2_000).map(endpoint).collect());
+    engine.handle_endpoint_list(1e6, EndpointListKind::Snapshot, (1..=2_000).map(endpoint).collect());
     let before = resident_bytes();
     for caller in 0..REQUESTS {
         let customer = format!("customer-{}", caller % customers).into();
         let (instances, ticket) = (InstanceRange { count: 1, first: 0 }, None);
         let check = Check { customer, plan: 0, class: 0, units: 1.0, time_budget: 3.0, instances, ticket };
-        engine.check(1e6, caller, &check);
-        engine.outputs().for_each(drop);
+        engine.handle_check(1e6, caller, &check);
+        engine.drain_outputs().for_each(drop);
     }
     assert!(engine.pending() > REQUESTS as usize / 2, "most must be in flight: {}", engine.pending());
     (resident_bytes() - before) / engine.open_requests() as f64
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -24,9 +24,9 @@
     Action, Endpoint, EndpointListKind, Event, Idempotency, RequestId, Settings, SettingsError, Status, Time,
 };
 
-/// What the engine wants done.
+/// What the engine wants done, in order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Output {
+pub enum EngineOutput {
     /// Deliver a check's outcome.
     CheckOutcome {
         /// The check.
@@ -40,7 +40,7 @@
     Command(Command),
 }
 
-impl From<Command> for Output {
+impl From<Command> for EngineOutput {
     fn from(command: Command) -> Self {
         Self::Command(command)
     }
@@ -88,7 +88,7 @@
     callers: HashMap<CallerId, u64>,
     /// Attempts whose ticket was issued and that are not closed.
     in_flight: usize,
-    outputs: Vec<Output>,
+    outputs: Vec<EngineOutput>,
     metrics: EngineMetrics,
 }
 
@@ -133,34 +133,41 @@
         self.callers.len() + self.in_flight
     }
 
-    /// When [`Engine::advance`] should be called next.
-    pub fn next_deadline(&self) -> Option<Time> {
+    /// When [`Engine::handle_timeout`] should be called next.
+    pub fn next_timeout(&self) -> Option<Time> {
         self.driver.timers.next_expiry()
     }
 
     /// Takes what is to be done, in order.
-    pub fn outputs(&mut self) -> std::vec::Drain<'_, Output> {
+    pub fn drain_outputs(&mut self) -> std::vec::Drain<'_, EngineOutput> {
         self.outputs.drain(..)
     }
 
     /// A counter call ended. `total` is in units, `elapsed` in seconds.
-    pub fn counter_response(&mut self, now: Time, call: u64, status: Status, total: f64, elapsed: f64) {
+    pub fn handle_counter_response(
+        &mut self,
+        now: Time,
+        call: u64,
+        status: Status,
+        total: f64,
+        elapsed: f64,
+    ) {
         for event in self.driver.counter_response(call, status, total, elapsed) {
-            self.handle(now, event);
+            self.decide(now, event);
         }
     }
 
     /// A list of endpoints arrived.
-    pub fn update_endpoints(&mut self, now: Time, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
+    pub fn handle_endpoint_list(&mut self, now: Time, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
         let event = self.driver.endpoint_list(now, kind, endpoints);
-        self.handle(now, event);
+        self.decide(now, event);
     }
 
     /// Handles the timers that have expired by now.
-    pub fn advance(&mut self, now: Time) {
+    pub fn handle_timeout(&mut self, now: Time) {
         for timer in self.driver.timers.expire(now) {
             match timer {
-                Timer::Decision(token) => self.handle(now, Event::Timer { token }),
+                Timer::Decision(token) => self.decide(now, Event::Timer { token }),
                 Timer::AttemptDeadline(id) => self.close_at_deadline(now, id),
                 Timer::UnclaimedRetry(request) => {
                     self.metrics.unclaimed_retries += 1;
@@ -177,7 +184,8 @@
         }
     }
 
-    fn handle(&mut self, now: Time, event: Event) {
+    /// Hands an event to the decisions, and carries out what they want done.
+    fn decide(&mut self, now: Time, event: Event) {
         let mut actions = self.driver.handle(now, event, &mut self.outputs);
         for action in actions.drain(..) {
             self.carry_out(now, action);
@@ -191,10 +199,10 @@
                 self.start_attempt(now, request_number(&request), backend, timeout)
             }
             Action::Reject { request, retry_after, .. } => {
-                self.decided(&request, CheckOutcome::Rejected { retry_after })
+                self.set_outcome(&request, CheckOutcome::Rejected { retry_after })
             }
             Action::Fail { request, .. } => {
-                self.decided(&request, CheckOutcome::Failed(CheckFailure::RequestFailed))
+                self.set_outcome(&request, CheckOutcome::Failed(CheckFailure::RequestFailed))
             }
             // A proxy cannot be made to cancel an attempt, and health checks are its own.
             Action::CancelAttempt { .. } | Action::HealthCheck { .. } => {}
@@ -203,7 +211,7 @@
     }
 
     /// The decisions' final outcome: for the pending check, or kept for one that may still come.
-    fn decided(&mut self, request: &RequestId, outcome: CheckOutcome) {
+    fn set_outcome(&mut self, request: &RequestId, outcome: CheckOutcome) {
         let request = request_number(request);
         let Some(open) = self.requests.get_mut(request) else { return };
         if open.caller.is_none() {
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -109,7 +109,7 @@
             settled_units: end.settled_units.filter(|units| units.is_finite() && *units >= 0.0),
             load: LoadReport::default(),
         };
-        self.handle(now, event);
+        self.decide(now, event);
     }
 
     /// Closes an attempt that was surely not sent, together with its request.
@@ -150,7 +150,7 @@
         if let Some(attempt) = unclaimed {
             self.close_unsent(now, AttemptId { request, attempt: attempt as u32 });
         }
-        self.handle(now, Event::ClientGone { request: id });
+        self.decide(now, Event::ClientGone { request: id });
         self.remove_if_finished(request);
     }
 
--- a/crates/core/src/engine/check.rs
+++ b/crates/core/src/engine/check.rs
@@ -1,7 +1,7 @@
 //! Checks: whether an attempt may be sent, and to which backend.
 
 use super::request_table::{AttemptId, AttemptState, OpenRequest, request_id};
-use super::{Engine, Output, Timer};
+use super::{Engine, EngineOutput, Timer};
 use weirusher::{BackendId, CustomerId, Event, Idempotency, Request, Time};
 
 /// Seconds that a retry's check waits for the report of the attempt before it, as the two arrive on separate
@@ -83,13 +83,13 @@
     Failed(CheckFailure),
 }
 
-/// Names an outcome that is being delivered, for [`Engine::undelivered`].
+/// Names an outcome that is being delivered, for [`Engine::handle_undelivered`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeliveryId(pub(super) Option<AttemptId>);
 
 impl Engine {
-    /// Handles a check. Its outcome follows as an [`Output`] for `caller`.
-    pub fn check(&mut self, now: Time, caller: CallerId, check: &Check) {
+    /// Handles a check. Its outcome follows as an [`EngineOutput`] for `caller`.
+    pub fn handle_check(&mut self, now: Time, caller: CallerId, check: &Check) {
         self.metrics.checks += 1;
         match &check.ticket {
             None => self.start_request(now, caller, check, false),
@@ -108,7 +108,7 @@
     }
 
     /// The client closed before its check had an outcome.
-    pub fn client_closed(&mut self, now: Time, caller: CallerId) {
+    pub fn handle_client_closed(&mut self, now: Time, caller: CallerId) {
         let Some(request) = self.callers.remove(&caller) else { return };
         self.metrics.client_closed += 1;
         if let Some(open) = self.requests.get_mut(request) {
@@ -119,7 +119,7 @@
 
     /// An outcome could not be delivered: the client closed after the decision. Nobody holds the ticket, so
     /// the attempt was not sent.
-    pub fn undelivered(&mut self, now: Time, delivery: DeliveryId) {
+    pub fn handle_undelivered(&mut self, now: Time, delivery: DeliveryId) {
         let Some(attempt) = delivery.0 else { return };
         self.metrics.undelivered += 1;
         self.close_unsent(now, attempt);
@@ -160,7 +160,7 @@
             customer: check.customer.clone(),
             is_retry,
         };
-        self.handle(now, Event::Request(request));
+        self.decide(now, Event::Request(request));
     }
 
     /// A retry after an attempt whose ticket this incarnation issued.
@@ -247,6 +247,6 @@
             CheckOutcome::Rejected { .. } => self.metrics.rejected += 1,
             CheckOutcome::Failed(_) => self.metrics.failed += 1,
         }
-        self.outputs.push(Output::CheckOutcome { caller, outcome, delivery: DeliveryId(granted) });
+        self.outputs.push(EngineOutput::CheckOutcome { caller, outcome, delivery: DeliveryId(granted) });
     }
 }
--- a/crates/core/src/engine/report.rs
+++ b/crates/core/src/engine/report.rs
@@ -48,7 +48,7 @@
 
 impl Engine {
     /// Handles a report.
-    pub fn report(&mut self, now: Time, report: &Report<'_>) -> ReportOutcome {
+    pub fn handle_report(&mut self, now: Time, report: &Report<'_>) -> ReportOutcome {
         let ticket = match self.keyring.verify(report.ticket) {
             Ok(ticket) => ticket,
             Err(error) => {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -34,7 +34,7 @@
 pub use driver::Command;
 pub use engine::{
     AttemptId, CallerId, Check, CheckFailure, CheckOutcome, Completion, DeliveryId, Engine, EngineError,
-    EngineMetrics, Grant, InstanceRange, Output, Report, ReportOutcome,
+    EngineMetrics, EngineOutput, Grant, InstanceRange, Report, ReportOutcome,
 };
 pub use guard::{
     Execution, Guard, PriorAttempt, SendConditions, SendError, SendLimits, Violation, Violations,
--- a/crates/core/src/ticket/tests.rs
+++ b/crates/core/src/ticket/tests.rs
@@ -21,6 +21,18 @@
     }
 }
 
+/// Guards tickets in flight while a fleet is updated: older and newer versions must read each other's. The text
+/// was computed from the format in the module's documentation, not by this code.
+#[test]
+fn the_form_on_the_wire_stays() {
+    let text = concat!(
+        "w1.1.AAAAAwAAAAAAAAAJAAAAAAAAAE0AAAABQAQAAAAAAABAj0AAAAAAAAAAMTI3LjAuMC4xOjgx",
+        ".YC-eC_y6laAztm0JAARbQA",
+    );
+    assert_eq!(keyring(&[1]).sign(&ticket()), text);
+    assert_eq!(keyring(&[1]).verify(text), Ok(ticket()));
+}
+
 #[test]
 fn keys_rotate_with_an_overlap() {
     let old = keyring(&[1]).sign(&ticket());
--- a/crates/core/tests/request_table.rs
+++ b/crates/core/tests/request_table.rs
@@ -4,8 +4,8 @@
 use std::collections::{HashMap, HashSet};
 use weirusher::{Class, Endpoint, EndpointListKind, Idempotency, Plan, Settings, Status};
 use weirusher_core::{
-    AttemptId, Check, CheckOutcome, Command, Completion, DeliveryId, Engine, InstanceRange, Key, Keyring,
-    Output, Report, ReportOutcome,
+    AttemptId, Check, CheckOutcome, Command, Completion, DeliveryId, Engine, EngineOutput, InstanceRange,
+    Key, Keyring, Report, ReportOutcome,
 };
 
 const START: f64 = 1_000_000.0;
@@ -78,7 +78,7 @@
     (settings.has_counter, settings.max_attempts, settings.max_open_requests) = (true, 3, 1000);
     let mut engine = Engine::new(settings, keyring(), 5, 7, START).unwrap();
     let server = |n: u32| Endpoint::warm(format!("127.0.0.1:{n}"));
-    engine.update_endpoints(START, EndpointListKind::Snapshot, (1..=4).map(server).collect());
+    engine.handle_endpoint_list(START, EndpointListKind::Snapshot, (1..=4).map(server).collect());
     engine
 }
 
@@ -101,7 +101,7 @@
 impl Environment {
     fn settle(&mut self) -> Result<(), TestCaseError> {
         loop {
-            let outputs: Vec<Output> = self.engine.outputs().collect();
+            let outputs: Vec<EngineOutput> = self.engine.drain_outputs().collect();
             if outputs.is_empty() {
                 return Ok(());
             }
@@ -111,9 +111,9 @@
         }
     }
 
-    fn output(&mut self, output: Output) -> Result<(), TestCaseError> {
+    fn output(&mut self, output: EngineOutput) -> Result<(), TestCaseError> {
         match output {
-            Output::CheckOutcome { caller, outcome, delivery } => {
+            EngineOutput::CheckOutcome { caller, outcome, delivery } => {
                 let outcomes = self.outcomes.entry(caller).or_default();
                 *outcomes += 1;
                 prop_assert_eq!(*outcomes, 1, "caller {} has two outcomes", caller);
@@ -128,8 +128,8 @@
                     self.last_delivery = Some(delivery);
                 }
             }
-            Output::Command(Command::AddToCounter { call, .. }) => self.counter_calls.push(call),
-            Output::Command(_) => {}
+            EngineOutput::Command(Command::AddToCounter { call, .. }) => self.counter_calls.push(call),
+            EngineOutput::Command(_) => {}
         }
         Ok(())
     }
@@ -148,7 +148,7 @@
             instances: InstanceRange { count: 1, first: 0 },
             ticket,
         };
-        self.engine.check(self.now, self.callers, &check);
+        self.engine.handle_check(self.now, self.callers, &check);
     }
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
@@ -163,7 +163,7 @@
                 if !self.outcomes.contains_key(&caller) {
                     self.closed.insert(caller);
                 }
-                self.engine.client_closed(self.now, caller);
+                self.engine.handle_client_closed(self.now, caller);
             }
             Step::Report { ticket, status, request_ended } if !self.tickets.is_empty() => {
                 let (text, AttemptId { request, attempt }) =
@@ -171,7 +171,7 @@
                 let completion =
                     if request_ended { Completion::Request(status) } else { Completion::Attempt(status) };
                 let report = Report { ticket: &text, completion, elapsed: None, settled_units: None };
-                let outcome = self.engine.report(self.now, &report);
+                let outcome = self.engine.handle_report(self.now, &report);
                 let not_executed = matches!(status, Status::Rejected | Status::ConnectFailed);
                 if outcome == ReportOutcome::AttemptClosed
                     && not_executed
@@ -182,16 +182,16 @@
             }
             Step::Undelivered => {
                 if let Some(delivery) = self.last_delivery.take() {
-                    self.engine.undelivered(self.now, delivery);
+                    self.engine.handle_undelivered(self.now, delivery);
                 }
             }
             Step::CounterResponse { status } if !self.counter_calls.is_empty() => {
                 let call = self.counter_calls.remove(0);
-                self.engine.counter_response(self.now, call, status, 1.0, 0.002);
+                self.engine.handle_counter_response(self.now, call, status, 1.0, 0.002);
             }
             Step::Wait { millis } => {
                 self.now += millis as f64 / 1000.0;
-                self.engine.advance(self.now);
+                self.engine.handle_timeout(self.now);
             }
             Step::Retry { .. }
             | Step::ClientClosed { .. }
@@ -245,10 +245,10 @@
         instances: InstanceRange { count: 1, first: 0 },
         ticket: None,
     };
-    first.check(START, 1, &check);
-    let outputs: Vec<Output> = first.outputs().collect();
+    first.handle_check(START, 1, &check);
+    let outputs: Vec<EngineOutput> = first.drain_outputs().collect();
     let ticket = outputs.into_iter().find_map(|o| match o {
-        Output::CheckOutcome { outcome: CheckOutcome::Allowed(grant), .. } => Some(grant.ticket),
+        EngineOutput::CheckOutcome { outcome: CheckOutcome::Allowed(grant), .. } => Some(grant.ticket),
         _ => None,
     });
     let ticket = ticket.expect("the fallback limit admits it");
@@ -261,8 +261,8 @@
         elapsed: None,
         settled_units: None,
     };
-    assert_eq!(second.report(START, &report), ReportOutcome::OtherIssuer { issuer: 0 });
+    assert_eq!(second.handle_report(START, &report), ReportOutcome::OtherIssuer { issuer: 0 });
     assert_eq!((second.metrics().foreign_reports, second.metrics().reported), (1, 0));
-    assert_eq!(first.report(START + 0.1, &report), ReportOutcome::AttemptClosed);
-    assert_eq!(first.report(START + 0.2, &report), ReportOutcome::Late);
+    assert_eq!(first.handle_report(START + 0.1, &report), ReportOutcome::AttemptClosed);
+    assert_eq!(first.handle_report(START + 0.2, &report), ReportOutcome::Late);
 }
--- a/crates/ext-authz/src/engine_task.rs
+++ b/crates/ext-authz/src/engine_task.rs
@@ -8,7 +8,8 @@
 use weirusher::{Endpoint, EndpointListKind, Status};
 use weirusher_clock::Clock;
 use weirusher_core::{
-    CallerId, Check, CheckOutcome, Command, Completion, DeliveryId, Engine, EngineMetrics, Output, Report,
+    CallerId, Check, CheckOutcome, Command, Completion, DeliveryId, Engine, EngineMetrics, EngineOutput,
+    Report,
 };
 
 /// Events of the services that may be queued. A check that finds the queue full is rejected at once; a report
@@ -118,7 +119,7 @@
         let (mut from_services, mut from_clients) = (Vec::with_capacity(BATCH), Vec::with_capacity(BATCH));
         loop {
             self.carry_out_outputs();
-            let deadline = self.engine.next_deadline();
+            let deadline = self.engine.next_timeout();
             tokio::select! {
                 biased;
                 received = self.client_events.recv_many(&mut from_clients, BATCH) => {
@@ -135,7 +136,7 @@
                 }
                 () = self.clock.sleep_until(deadline) => {}
             }
-            self.engine.advance(self.clock.now());
+            self.engine.handle_timeout(self.clock.now());
         }
     }
 
@@ -143,10 +144,10 @@
         let now = self.clock.now();
         match event {
             ClientEvent::CounterResponse { call, status, total, elapsed } => {
-                self.engine.counter_response(now, call, status, total, elapsed)
+                self.engine.handle_counter_response(now, call, status, total, elapsed)
             }
             ClientEvent::EndpointList { kind, endpoints } => {
-                self.engine.update_endpoints(now, kind, endpoints)
+                self.engine.handle_endpoint_list(now, kind, endpoints)
             }
         }
     }
@@ -157,15 +158,16 @@
             ServiceEvent::Check(pending) => {
                 let PendingCheck { caller, check, outcome } = *pending;
                 self.pending_checks.insert(caller, outcome);
-                self.engine.check(now, caller, &check);
+                self.engine.handle_check(now, caller, &check);
             }
             ServiceEvent::ClientClosed(caller) => {
                 self.pending_checks.remove(&caller);
-                self.engine.client_closed(now, caller);
+                self.engine.handle_client_closed(now, caller);
             }
-            ServiceEvent::Undelivered(delivery) => self.engine.undelivered(now, delivery),
+            ServiceEvent::Undelivered(delivery) => self.engine.handle_undelivered(now, delivery),
             ServiceEvent::Report(AttemptReport { ticket, completion, elapsed, settled_units }) => {
-                self.engine.report(now, &Report { ticket: &ticket, completion, elapsed, settled_units });
+                self.engine
+                    .handle_report(now, &Report { ticket: &ticket, completion, elapsed, settled_units });
             }
             ServiceEvent::GetStatus(reply) => {
                 let _ = reply.send(self.status()); // The admin page's client may have closed.
@@ -187,7 +189,7 @@
     /// Carries out what the engine wants done, until there is nothing more.
     fn carry_out_outputs(&mut self) {
         loop {
-            let outputs: Vec<Output> = self.engine.outputs().collect();
+            let outputs: Vec<EngineOutput> = self.engine.drain_outputs().collect();
             if outputs.is_empty() {
                 break;
             }
@@ -197,27 +199,27 @@
         self.pending.send_if_modified(|published| std::mem::replace(published, pending) != pending);
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn carry_out(&mut self, output: EngineOutput) {
         match output {
-            Output::CheckOutcome { caller, outcome, delivery } => {
+            EngineOutput::CheckOutcome { caller, outcome, delivery } => {
                 let sender = self.pending_checks.remove(&caller);
                 if sender.is_none_or(|sender| sender.send((outcome, delivery)).is_err()) {
-                    self.engine.undelivered(self.clock.now(), delivery);
+                    self.engine.handle_undelivered(self.clock.now(), delivery);
                 }
             }
-            Output::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
+            EngineOutput::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
                 let counter_call = CounterCall { call, counter, amount, ttl };
                 let queued =
                     self.counter_calls.as_ref().is_some_and(|calls| calls.try_send(counter_call).is_ok());
                 if !queued {
                     self.metrics.increment(|m| &m.counter_lost);
-                    self.engine.counter_response(self.clock.now(), call, Status::Rejected, 0.0, 0.0);
+                    self.engine.handle_counter_response(self.clock.now(), call, Status::Rejected, 0.0, 0.0);
                 }
             }
-            Output::Command(Command::WatchEndpoints) => {
+            EngineOutput::Command(Command::WatchEndpoints) => {
                 self.watch_endpoints.send_replace(true);
             }
-            Output::Command(Command::Log(text)) => tracing::info!(%text, "decisions"),
+            EngineOutput::Command(Command::Log(text)) => tracing::info!(%text, "decisions"),
         }
     }
 }
--- a/crates/simulation/src/simulator.rs
+++ b/crates/simulation/src/simulator.rs
@@ -7,7 +7,7 @@
 use std::collections::{BinaryHeap, HashMap};
 use weirusher::{Class, CustomerId, Endpoint, EndpointListKind, Plan, Settings, Status};
 use weirusher_core::{
-    Check, CheckOutcome, Command, Completion, Engine, InstanceRange, Key, Keyring, Output, Report,
+    Check, CheckOutcome, Command, Completion, Engine, EngineOutput, InstanceRange, Key, Keyring, Report,
 };
 
 /// Unix seconds at which every schedule begins.
@@ -182,7 +182,7 @@
         let seed = self.rng.u64(..);
         let mut engine = Engine::new(settings, ring, life, seed, self.now).expect("usable settings");
         let servers = (0..8).map(|n| Endpoint::warm(format!("127.0.0.1:{}", 7000 + n))).collect();
-        engine.update_endpoints(self.now, EndpointListKind::StaleSnapshot, servers);
+        engine.handle_endpoint_list(self.now, EndpointListKind::StaleSnapshot, servers);
         Gateway { engine, line: Line::new(LIMIT, seed), life, timer: f64::INFINITY }
     }
 
@@ -206,7 +206,7 @@
                 if self.gateways[instance].life == life {
                     self.gateways[instance].timer = f64::INFINITY;
                     let now = self.now;
-                    self.gateways[instance].engine.advance(now);
+                    self.gateways[instance].engine.handle_timeout(now);
                     self.settle(instance);
                 }
             }
@@ -264,7 +264,7 @@
             instances: InstanceRange { count: self.line.gateways, first: 0 },
             ticket: None,
         };
-        self.gateways[instance].engine.check(self.now, self.next_caller, &check);
+        self.gateways[instance].engine.handle_check(self.now, self.next_caller, &check);
         self.settle(instance);
     }
 
@@ -273,14 +273,14 @@
     /// Carries out what an engine wants, and keeps its timer in the queue.
     fn settle(&mut self, instance: usize) {
         loop {
-            let outputs: Vec<Output> = self.gateways[instance].engine.outputs().collect();
+            let outputs: Vec<EngineOutput> = self.gateways[instance].engine.drain_outputs().collect();
             if outputs.is_empty() {
                 break;
             }
             outputs.into_iter().for_each(|output| self.output(instance, output));
         }
         let gateway = &mut self.gateways[instance];
-        if let Some(at) = gateway.engine.next_deadline().filter(|at| *at < gateway.timer) {
+        if let Some(at) = gateway.engine.next_timeout().filter(|at| *at < gateway.timer) {
             // The wheel turns in whole milliseconds: one that is due within this one must not be asked for again at once.
             let (at, life) = (at.max(self.now + TICK), gateway.life);
             gateway.timer = at;
@@ -288,9 +288,9 @@
         }
     }
 
-    fn output(&mut self, instance: usize, output: Output) {
+    fn output(&mut self, instance: usize, output: EngineOutput) {
         match output {
-            Output::CheckOutcome { caller, outcome, .. } => {
+            EngineOutput::CheckOutcome { caller, outcome, .. } => {
                 let Some(customer) = self.callers.remove(&caller) else { return };
                 if let CheckOutcome::Allowed(grant) = outcome {
                     self.watches[customer].sent(self.now);
@@ -301,13 +301,13 @@
                         elapsed: Some(WORK),
                         settled_units: None,
                     };
-                    self.gateways[instance].engine.report(self.now, &report);
+                    self.gateways[instance].engine.handle_report(self.now, &report);
                 }
             }
-            Output::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
+            EngineOutput::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
                 self.call(instance, call, counter, amount, ttl)
             }
-            Output::Command(_) => {}
+            EngineOutput::Command(_) => {}
         }
     }
 
@@ -316,10 +316,10 @@
         let (now, way) = (self.now, self.way());
         let gateway = &mut self.gateways[instance];
         if !gateway.line.up {
-            return gateway.engine.counter_response(now, call, Status::ConnectFailed, 0.0, 0.0);
+            return gateway.engine.handle_counter_response(now, call, Status::ConnectFailed, 0.0, 0.0);
         }
         if gateway.line.pipeline.send(now, call).is_err() {
-            return gateway.engine.counter_response(now, call, Status::Rejected, 0.0, 0.0);
+            return gateway.engine.handle_counter_response(now, call, Status::Rejected, 0.0, 0.0);
         }
         let made = gateway.line.made;
         // Calls keep their order on a connection, both ways.
@@ -366,7 +366,7 @@
         }
         gateway.line.answered = true;
         if let Ok(Some(ended)) = gateway.line.pipeline.response_completed(self.now) {
-            gateway.engine.counter_response(self.now, ended.call, status, total, ended.elapsed);
+            gateway.engine.handle_counter_response(self.now, ended.call, status, total, ended.elapsed);
             self.settle(instance);
         }
     }
@@ -377,7 +377,7 @@
             return;
         }
         for ended in gateway.line.pipeline.take_timed_out(self.now + 1e-9) {
-            gateway.engine.counter_response(self.now, ended.call, Status::Timeout, 0.0, ended.elapsed);
+            gateway.engine.handle_counter_response(self.now, ended.call, Status::Timeout, 0.0, ended.elapsed);
         }
         let dead = gateway.line.pipeline.is_unresponsive(self.now);
         let next = gateway.line.pipeline.deadline();
@@ -398,7 +398,7 @@
         let (calls, pause) = gateway.line.drop_connection(self.now);
         let made = gateway.line.made;
         for ended in calls {
-            gateway.engine.counter_response(self.now, ended.call, Status::Reset, 0.0, ended.elapsed);
+            gateway.engine.handle_counter_response(self.now, ended.call, Status::Reset, 0.0, ended.elapsed);
         }
         self.push(self.now + pause, Event::Reconnect { instance, made });
         self.settle(instance);
