--- a/crates/ext-authz/src/clients/counter.rs
+++ b/crates/ext-authz/src/clients/counter.rs
@@ -5,7 +5,6 @@
 use bytes::BytesMut;
 use futures::StreamExt;
 use std::net::SocketAddr;
-use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -39,6 +38,20 @@
 /// The engine has ended, and the client with it.
 struct Stopped;
 
+/// Why a session does not go on.
+enum SessionEnd {
+    /// The connection failed, or is of no further use.
+    Connection,
+    /// The engine has ended.
+    Stopped,
+}
+
+impl From<Stopped> for SessionEnd {
+    fn from(Stopped: Stopped) -> Self {
+        Self::Stopped
+    }
+}
+
 /// One connection's calls and bytes.
 struct Session {
     pipeline: Pipeline<u64>,
@@ -90,16 +103,16 @@
         };
         loop {
             let deadline = session.pipeline.deadline();
-            let next = tokio::select! {
+            let handled = tokio::select! {
                 // Guards responses that wait in the socket of a process that was suspended: they are read
                 // before their calls time out. Timeouts and writing come before new calls, so that a flood of
                 // these delays neither.
                 biased;
-                frame = frames.next() => self.handle_frame(&mut session, frame).await?,
-                () = self.clock.sleep_until(deadline) => self.handle_timeout(&mut session).await?,
+                frame = frames.next() => self.handle_frame(&mut session, frame).await,
+                () = self.clock.sleep_until(deadline) => self.handle_timeout(&mut session).await,
                 written = writer.write_buf(&mut session.unwritten), if !session.unwritten.is_empty() => match written {
-                    Ok(1..) => ControlFlow::Continue(()),
-                    Ok(0) | Err(_) => ControlFlow::Break(()),
+                    Ok(1..) => Ok(()),
+                    Ok(0) | Err(_) => Err(SessionEnd::Connection),
                 },
                 received = self.calls.recv_many(&mut batch, BATCH) => {
                     if received == 0 {
@@ -108,11 +121,13 @@
                     for call in batch.drain(..) {
                         self.send(&mut session, &call).await?;
                     }
-                    ControlFlow::Continue(())
+                    Ok(())
                 }
             };
-            if next.is_break() {
-                break;
+            match handled {
+                Ok(()) => {}
+                Err(SessionEnd::Connection) => break,
+                Err(SessionEnd::Stopped) => return Err(Stopped),
             }
         }
         for EndedCall { call, elapsed } in session.pipeline.close(self.clock.now()) {
@@ -133,39 +148,31 @@
         Ok(())
     }
 
-    /// Handles what was read; breaks if the connection has to be closed.
+    /// Handles what was read.
     async fn handle_frame(
         &self,
         session: &mut Session,
         frame: Option<Result<Frame, RespError>>,
-    ) -> Result<ControlFlow<()>, Stopped> {
+    ) -> Result<(), SessionEnd> {
         let frame = match frame {
-            None => return Ok(ControlFlow::Break(())),
+            None => return Err(SessionEnd::Connection),
             Some(Err(error)) => {
                 tracing::warn!(%error, "closing the connection to the counter");
-                return Ok(ControlFlow::Break(()));
+                return Err(SessionEnd::Connection);
             }
             Some(Ok(frame)) => frame,
         };
         session.responded = true;
         session.responses = (session.responses + 1) % RESPONSES_PER_CALL;
-        if session.responses == 0 {
-            self.handle_response(session, &frame).await
-        } else {
-            Ok(ControlFlow::Continue(()))
-        }
+        if session.responses == 0 { self.handle_response(session, &frame).await } else { Ok(()) }
     }
 
-    /// Handles the last response to a call; breaks if no call was pending.
-    async fn handle_response(
-        &self,
-        session: &mut Session,
-        frame: &Frame,
-    ) -> Result<ControlFlow<()>, Stopped> {
+    /// Handles the last response to a call.
+    async fn handle_response(&self, session: &mut Session, frame: &Frame) -> Result<(), SessionEnd> {
         match session.pipeline.response_completed(self.clock.now()) {
             Err(error) => {
                 tracing::warn!(%error, "closing the connection to the counter");
-                return Ok(ControlFlow::Break(()));
+                return Err(SessionEnd::Connection);
             }
             Ok(None) => {} // Its call has timed out.
             Ok(Some(EndedCall { call, elapsed })) => match resp::number(frame) {
@@ -179,11 +186,11 @@
                 }
             },
         }
-        Ok(ControlFlow::Continue(()))
+        Ok(())
     }
 
-    /// Ends the calls that have timed out; breaks if the connection is unresponsive.
-    async fn handle_timeout(&self, session: &mut Session) -> Result<ControlFlow<()>, Stopped> {
+    /// Ends the calls that have timed out, and the session if the connection is unresponsive.
+    async fn handle_timeout(&self, session: &mut Session) -> Result<(), SessionEnd> {
         let now = self.clock.now();
         for EndedCall { call, elapsed } in session.pipeline.take_timed_out(now) {
             self.metrics.increment(|m| &m.counter_timeouts);
@@ -191,9 +198,9 @@
         }
         if session.pipeline.is_unresponsive(now) {
             tracing::warn!("the counter is unresponsive; closing the connection");
-            return Ok(ControlFlow::Break(()));
+            return Err(SessionEnd::Connection);
         }
-        Ok(ControlFlow::Continue(()))
+        Ok(())
     }
 
     async fn respond(&self, call: u64, status: Status, total: f64, elapsed: f64) -> Result<(), Stopped> {
