--- a/crates/ext-authz/src/services/ext_authz.rs
+++ b/crates/ext-authz/src/services/ext_authz.rs
@@ -9,7 +9,7 @@
     CheckRequest, CheckResponse, DeniedHttpResponse, OkHttpResponse, authorization_server::Authorization,
     check_response::HttpResponse,
 };
-use envoy_types::pb::envoy::r#type::v3::HttpStatus;
+use envoy_types::pb::envoy::r#type::v3::{HttpStatus, StatusCode};
 use envoy_types::pb::google::protobuf::{Struct, Value, value};
 use envoy_types::pb::google::rpc::Status as RpcStatus;
 use std::sync::Arc;
@@ -59,7 +59,12 @@
             Ok(check) => check,
             Err(error) => {
                 self.metrics.increment(|m| &m.invalid_checks);
-                return Ok(Response::new(denied(400, Code::InvalidArgument, &error.to_string(), None)));
+                return Ok(Response::new(denied(
+                    StatusCode::BadRequest,
+                    Code::InvalidArgument,
+                    &error.to_string(),
+                    None,
+                )));
             }
         };
         let (sender, outcome) = oneshot::channel();
@@ -76,7 +81,9 @@
             Ok((CheckOutcome::Allowed(grant), _)) => allowed(&self.rules, &grant),
             Ok((CheckOutcome::Rejected { retry_after }, _)) => rejected(retry_after),
             Ok((CheckOutcome::Failed(failure), _)) => failed(failure),
-            Err(_) => denied(503, Code::Unavailable, "the gateway is stopping", None),
+            Err(_) => {
+                denied(StatusCode::ServiceUnavailable, Code::Unavailable, "the gateway is stopping", None)
+            }
         }))
     }
 }
@@ -114,27 +121,27 @@
 }
 
 fn rejected(retry_after: f64) -> CheckResponse {
-    denied(429, Code::ResourceExhausted, "over the quota or the fleet's capacity", Some(retry_after))
+    let message = "over the quota or the fleet's capacity";
+    denied(StatusCode::TooManyRequests, Code::ResourceExhausted, message, Some(retry_after))
 }
 
 fn failed(failure: CheckFailure) -> CheckResponse {
-    match failure {
-        CheckFailure::RequestFailed => denied(503, Code::Unavailable, "failed; it may have run", None),
-        CheckFailure::InvalidTicket => denied(503, Code::Unauthenticated, "the ticket is not valid", None),
-        CheckFailure::Duplicate => {
-            denied(503, Code::AlreadyExists, "this request is being decided already", None)
-        }
-        CheckFailure::UnknownAttempt => {
-            denied(503, Code::Unavailable, "its earlier attempt is not known here", None)
-        }
-    }
+    let (code, message) = match failure {
+        CheckFailure::RequestFailed => (Code::Unavailable, "failed; it may have run"),
+        CheckFailure::InvalidTicket => (Code::Unauthenticated, "the ticket is not valid"),
+        CheckFailure::Duplicate => (Code::AlreadyExists, "this request is being decided already"),
+        CheckFailure::UnknownAttempt => (Code::Unavailable, "its earlier attempt is not known here"),
+    };
+    denied(StatusCode::ServiceUnavailable, code, message, None)
 }
 
-fn denied(http: i32, code: Code, message: &str, retry_after: Option<f64>) -> CheckResponse {
+/// A response that denies the attempt. `http` and `message` are what the client gets; `retry_after` is in
+/// seconds.
+fn denied(http: StatusCode, code: Code, message: &str, retry_after: Option<f64>) -> CheckResponse {
     // Rounded up to HTTP's whole seconds, as a client that retries too early is rejected again.
     let retry_after =
         retry_after.map(|seconds| header("retry-after", format!("{}", seconds.ceil().max(0.0) as u64)));
-    let status_code = Some(HttpStatus { code: http });
+    let status_code = Some(HttpStatus { code: http as i32 });
     let headers = retry_after.into_iter().collect();
     let response = DeniedHttpResponse { status: status_code, headers, body: message.to_string() };
     CheckResponse {
@@ -143,3 +150,6 @@
         http_response: Some(HttpResponse::DeniedResponse(response)),
     }
 }
+
+#[cfg(test)]
+mod tests;
