--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -196,13 +196,13 @@
     fn carry_out(&mut self, now: Time, action: Action) {
         match action {
             Action::Forward { request, backend, timeout, .. } => {
-                self.start_attempt(now, request_number(&request), backend, timeout)
+                self.start_attempt(now, request_number(&request), backend, timeout);
             }
             Action::Reject { request, retry_after, .. } => {
-                self.set_outcome(&request, CheckOutcome::Rejected { retry_after })
+                self.set_outcome(&request, CheckOutcome::Rejected { retry_after });
             }
             Action::Fail { request, .. } => {
-                self.set_outcome(&request, CheckOutcome::Failed(CheckFailure::RequestFailed))
+                self.set_outcome(&request, CheckOutcome::Failed(CheckFailure::RequestFailed));
             }
             // A proxy cannot be made to cancel an attempt, and health checks are its own.
             Action::CancelAttempt { .. } | Action::HealthCheck { .. } => {}
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -93,6 +93,9 @@
 
 impl Keyring {
     /// A keyring whose first key signs; `None` without a key.
+    ///
+    /// # Panics
+    /// Never: HMAC takes keys of any length.
     pub fn new(keys: Vec<Key>) -> Option<Self> {
         let keyed = |key: &Key| {
             let mac = Hmac::<Sha256>::new_from_slice(&key.secret).expect("HMAC takes keys of any length");
--- a/crates/ext-authz/src/engine_task.rs
+++ b/crates/ext-authz/src/engine_task.rs
@@ -144,10 +144,10 @@
         let now = self.clock.now();
         match event {
             ClientEvent::CounterResponse { call, status, total, elapsed } => {
-                self.engine.handle_counter_response(now, call, status, total, elapsed)
+                self.engine.handle_counter_response(now, call, status, total, elapsed);
             }
             ClientEvent::EndpointList { kind, endpoints } => {
-                self.engine.handle_endpoint_list(now, kind, endpoints)
+                self.engine.handle_endpoint_list(now, kind, endpoints);
             }
         }
     }
