--- a/crates/scenarios/tests/gateway/site.rs
+++ b/crates/scenarios/tests/gateway/site.rs
@@ -11,7 +11,7 @@
 use weirusher::{Endpoint, Lifecycle};
 use weirusher_config::Config;
 use weirusher_core::{Key, Keyring};
-use weirusher_ext_authz::Running;
+use weirusher_ext_authz::GatewayHandle;
 use weirusher_fakes::{
     AuditParameters, BehaviourProfile, CaptureEvent, ClientRequest, Counter, Discovery, FakeBackend,
     FakeBackendSpec, Link, LoadGenerator, Recorder, RequestOutcome,
@@ -39,7 +39,7 @@
 }
 
 pub struct Site {
-    pub gateways: Vec<Running>,
+    pub gateways: Vec<GatewayHandle>,
     _fronts: Vec<Link>,
     pub counter: Counter,
     discovery: Discovery,
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -31,7 +31,7 @@
   "ceiling-share|src/policy/admission.rs|if plan.ceiling_rate > 0.0 {|if plan.ceiling_rate > 1e9 {|ceilings"
   "safe-share|src/policy/quota.rs|(plan.ceiling_rate <= 0.0 \|\||(plan.ceiling_rate <= 1e9 \|\||ceilings"
   "held-released|src/policy/timers.rs|Some(Timer::LeaseWait(customer)) => self.end_lease_wait(\&customer, token),|Some(Timer::LeaseWait(_)) => {}|ceilings"
-  "listener-closed|crates/ext-authz/src/server.rs|_ = self.stopped.wait_for(.stop. .stop) => return,|_ = std::future::pending::<()>() => return,|answers"
+  "listener-closed|crates/ext-authz/src/acceptor.rs|_ = self.stopped.wait_for(.stop. .stop) => return,|_ = std::future::pending::<()>() => return,|answers"
   "watch-anew|crates/core/src/watch.rs|(self.last_opened_at, self.open_at) = (now, now + self.pause());|(self.last_opened_at, self.open_at) = (now, now + 6.0);|test:weirusher-core"
   "watch-oldest|crates/core/src/watch.rs|outputs.extend(self.polls.remove(1)|outputs.extend(self.polls.remove(0)|test:weirusher-core"
   "watch-first|crates/core/src/watch.rs|let outputs = others.map(\|poll\| WatchOutput::Close(poll.connection)).collect();|others.for_each(drop); let outputs = Vec::new();|test:weirusher-core"
