--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -38,6 +38,7 @@
 
     /// Sends an attempt where the rules and a backend allow one; whether it was sent.
     fn send_attempt(&mut self, id: &RequestId) -> bool {
+        // Taken out of the table while it is changed along with the rest of the gateway.
         let Some(mut open) = self.requests.remove(id) else { return false };
         let class = self.settings.classes[open.request.class].clone();
         let timeout = self.attempt_timeout(&open, &class);
@@ -61,6 +62,7 @@
         latest.min(open.request.deadline) - self.now
     }
 
+    /// Enters an attempt in all counts and forwards it.
     fn forward(&mut self, open: &mut OpenRequest, placement: Placement, timeout: f64) {
         let request = &open.request;
         let backend = &mut self.backends.all[placement.backend];
@@ -81,6 +83,7 @@
         open.attempts.push(attempt);
     }
 
+    /// Sets the timer of a hedged request, unless the attempt times out before.
     fn schedule_hedge(&mut self, id: &RequestId, class: &Class, timeout: f64) {
         let delay =
             (HEDGE_DELAY_FRACTION * class.latency_objective).max(HEDGE_DELAY_LATENCIES * self.latency.mean);
