--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -2,6 +2,7 @@
 
 use crate::capture::{Admission, BackendState, CaptureEvent};
 use crate::connections;
+use crate::lock::lock;
 use crate::recorder::Recorder;
 use futures::{SinkExt, StreamExt};
 use std::collections::VecDeque;
@@ -127,7 +128,7 @@
 
     /// Makes all work that begins from now on take `factor` times as long.
     pub fn slow_down(&self, factor: f64) {
-        *self.shared.slowdown.lock().expect("no holder panics") = factor;
+        *lock(&self.shared.slowdown) = factor;
     }
 }
 
@@ -194,7 +195,7 @@
             return Admission::QueueFull;
         }
         let now = self.clock.unix_time_after(self.started.elapsed());
-        match self.validator.lock().expect("no holder panics").validate(now, ticket) {
+        match lock(&self.validator).validate(now, ticket) {
             Ok(_) => Admission::Admitted,
             Err(TicketRejection::Expired) => Admission::ExpiredTicket,
             Err(TicketRejection::Replayed) => Admission::ReplayedTicket,
@@ -206,17 +207,17 @@
 
     /// Requests that wait for a core, estimated from the arrivals of the window.
     fn queue_length(&self) -> usize {
-        let arrivals = self.arrivals.lock().expect("no holder panics");
+        let arrivals = lock(&self.arrivals);
         arrivals.len().saturating_sub(self.spec.cores)
     }
 
     /// Works for a random time, once there is a core: between a half of the mean and 2.5 times it.
     async fn execute(&self, units: f64) {
-        let exponential = -self.rng.lock().expect("no holder panics").f64().max(1e-9).ln();
+        let exponential = -lock(&self.rng).f64().max(1e-9).ln();
         let seconds = units * self.spec.service_seconds * (0.5 + 0.5 * exponential.min(4.0));
         self.check_overload(units * self.spec.service_seconds);
         let Ok(_core) = self.cores.acquire().await else { return };
-        let slowdown = *self.slowdown.lock().expect("no holder panics");
+        let slowdown = *lock(&self.slowdown);
         tokio::time::sleep(Duration::from_secs_f64(seconds * slowdown / self.capacity_share())).await;
     }
 
@@ -225,7 +226,7 @@
         let slow_start = self.spec.slow_start;
         let window = slow_start.map_or(ARRIVAL_WINDOW_SECONDS, |s| s.overload_window_seconds);
         let now = self.age_seconds();
-        let mut arrivals = self.arrivals.lock().expect("no holder panics");
+        let mut arrivals = lock(&self.arrivals);
         arrivals.push_back(Arrival { at_seconds: now, work_seconds });
         while arrivals.front().is_some_and(|arrival| arrival.at_seconds < now - window) {
             arrivals.pop_front();
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -2,6 +2,7 @@
 
 use crate::capture::CaptureEvent;
 use crate::connections;
+use crate::lock::lock;
 use crate::recorder::Recorder;
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
@@ -88,7 +89,7 @@
 
     /// Loses all counts, as a restart without persistence does.
     pub fn clear(&self) {
-        self.shared.counts.lock().expect("no holder panics").clear();
+        lock(&self.shared.counts).clear();
         self.shared.recorder.record(CaptureEvent::CounterCleared);
     }
 }
@@ -144,7 +145,7 @@
     }
 
     fn get(&self, key: &str) -> Option<f64> {
-        let counts = self.counts.lock().expect("no holder panics");
+        let counts = lock(&self.counts);
         counts.get(key).filter(|count| count.is_live(Instant::now())).map(|count| count.total)
     }
 
@@ -152,7 +153,7 @@
         if self.get(key).is_some() {
             return Frame::Null;
         }
-        let mut counts = self.counts.lock().expect("no holder panics");
+        let mut counts = lock(&self.counts);
         let now = Instant::now();
         if counts.len() >= MAX_NAMES {
             counts.retain(|_, count| count.is_live(now));
@@ -167,7 +168,7 @@
     fn add(&self, key: &str, amount: f64) -> Frame {
         const NEW: Count = Count { total: 0.0, expires: None };
         let exists = self.get(key).is_some();
-        let mut counts = self.counts.lock().expect("no holder panics");
+        let mut counts = lock(&self.counts);
         let count = counts.entry(key.to_string()).or_insert(NEW);
         if !exists {
             *count = NEW; // It may have expired.
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -17,6 +17,7 @@
 mod http_frame;
 mod link;
 mod load_generator;
+mod lock;
 mod peer_network;
 mod recorder;
 mod scripted_server;
--- a/crates/fakes/src/load_generator.rs
+++ b/crates/fakes/src/load_generator.rs
@@ -10,6 +10,7 @@
 
 use crate::capture::{CaptureEvent, CheckOutcome, ClientOutcome};
 use crate::client_request::{AttemptOutcome, ClientRequest, RequestOutcome};
+use crate::lock::lock;
 use crate::recorder::Recorder;
 use backend_connections::BackendConnections;
 use envoy_types::pb::envoy::data::accesslog::v3::HttpAccessLogEntry;
@@ -266,7 +267,7 @@
         };
         if behaviour.report_delay_seconds > 0.0 {
             let delay = Duration::from_secs_f64(behaviour.report_delay_seconds);
-            self.delayed_reports.lock().expect("no holder panics").spawn(async move {
+            lock(&self.delayed_reports).spawn(async move {
                 tokio::time::sleep(delay).await;
                 send();
             });
--- a/crates/fakes/src/load_generator/backend_connections.rs
+++ b/crates/fakes/src/load_generator/backend_connections.rs
@@ -2,6 +2,7 @@
 
 use super::Attempt;
 use crate::client_request::{AttemptOutcome, ClientRequest};
+use crate::lock::lock;
 use futures::{SinkExt, StreamExt};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,7 +21,7 @@
     /// Sends an attempt to its backend over an idle connection or a new one, and reads the response.
     pub async fn exchange(&self, attempt: &Attempt<'_>, client: &ClientRequest) -> AttemptOutcome {
         let Ok(address) = attempt.backend.parse::<SocketAddr>() else { return AttemptOutcome::NoConnection };
-        let idle = self.idle.lock().expect("no holder panics").get_mut(&address).and_then(Vec::pop);
+        let idle = lock(&self.idle).get_mut(&address).and_then(Vec::pop);
         let mut connection = match idle {
             Some(connection) => connection,
             None => match TcpStream::connect(address).await {
@@ -33,7 +34,7 @@
         }
         match connection.next().await {
             Some(Ok(response)) => {
-                self.idle.lock().expect("no holder panics").entry(address).or_default().push(connection);
+                lock(&self.idle).entry(address).or_default().push(connection);
                 outcome_of(&response)
             }
             _ => AttemptOutcome::ConnectionLost,
--- a/crates/fakes/src/peer_network.rs
+++ b/crates/fakes/src/peer_network.rs
@@ -5,6 +5,7 @@
 //! that port, so that they see the address they know.
 
 use crate::capture::{CaptureEvent, DatagramFate};
+use crate::lock::lock;
 use crate::recorder::Recorder;
 use fastrand::Rng;
 use serde::Deserialize;
@@ -129,7 +130,7 @@
     }
 
     fn change(&self, change: impl FnOnce(&mut State)) {
-        change(&mut self.shared.state.lock().expect("no holder panics"));
+        change(&mut lock(&self.shared.state));
     }
 
     /// Sets where a gateway receives datagrams; each of them goes to all of its addresses.
@@ -183,7 +184,7 @@
 
 impl Shared {
     fn flood_datagram(&self, from: usize, to: usize, flood: Flood) -> Vec<u8> {
-        let mut state = self.state.lock().expect("no holder panics");
+        let mut state = lock(&self.state);
         let mut bytes = state.last.get(&(from, to)).cloned().unwrap_or_default();
         match flood {
             Flood::Forged => bytes = (0..FORGED_BYTES).map(|_| state.rng.u8(..)).collect(),
@@ -195,7 +196,7 @@
     }
 
     async fn deliver(&self, from: usize, to: usize, bytes: &[u8], fate: DatagramFate) {
-        let addresses = self.state.lock().expect("no holder panics").addresses[to].clone();
+        let addresses = lock(&self.state).addresses[to].clone();
         self.recorder.record(CaptureEvent::Datagram { from, to, bytes: bytes.len(), fate });
         for address in addresses {
             let _ = self.ports[from].send_to(bytes, address).await; // The process there may have died.
@@ -204,7 +205,7 @@
 
     /// What happens to a datagram: its fate, and the copies of it that arrive.
     fn decide(&self, from: usize, to: usize, bytes: &[u8]) -> (DatagramFate, Vec<DatagramCopy>) {
-        let state = &mut *self.state.lock().expect("no holder panics");
+        let state = &mut *lock(&self.state);
         state.last.insert((from, to), bytes.to_vec());
         if state.groups[from] != state.groups[to] || state.blocked.contains(&(from, to)) {
             return (DatagramFate::Partitioned, Vec::new());
@@ -235,7 +236,7 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((size, source)) = shared.ports[to].recv_from(&mut buffer).await else { continue };
-        let from = shared.state.lock().expect("no holder panics").gateways.get(&source).copied();
+        let from = lock(&shared.state).gateways.get(&source).copied();
         let Some(from) = from.filter(|from| *from != to) else { continue };
         let bytes = &buffer[..size];
         let (fate, copies) = shared.decide(from, to, bytes);
--- a/crates/fakes/src/recorder.rs
+++ b/crates/fakes/src/recorder.rs
@@ -1,7 +1,8 @@
 //! Writes a capture: one JSON line for each event.
 
 use crate::capture::{CaptureEvent, CaptureRecord};
-use std::io::{BufWriter, Write};
+use crate::lock::lock;
+use std::io::{self, BufWriter, Write};
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
@@ -28,11 +29,11 @@
 
     /// Records an event. Its time is taken under the lock, so that lines are in the order of their times.
     pub fn record(&self, event: CaptureEvent) {
-        let mut sink = self.sink.lock().expect("no writer panics");
+        let mut sink = lock(&self.sink);
         let record = CaptureRecord { time_seconds: self.now(), event };
         if let Some(sink) = sink.as_mut() {
-            let text = serde_json::to_string(&record).expect("an event is JSON");
-            if let Err(error) = writeln!(sink, "{text}") {
+            let text = serde_json::to_string(&record).map_err(io::Error::from);
+            if let Err(error) = text.and_then(|text| writeln!(sink, "{text}")) {
                 tracing::error!(%error, "the capture cannot be written"); // The audit finds that lines are missing.
             }
         }
@@ -40,7 +41,7 @@
 
     /// Writes out what is buffered.
     pub fn flush(&self) {
-        if let Some(sink) = self.sink.lock().expect("no writer panics").as_mut() {
+        if let Some(sink) = lock(&self.sink).as_mut() {
             let _ = sink.flush(); // A truncated capture fails its audit.
         }
     }
--- a/crates/fakes/src/scripted_server.rs
+++ b/crates/fakes/src/scripted_server.rs
@@ -3,6 +3,7 @@
 use crate::connections;
 use crate::endpoint_list::PendingPoll;
 use crate::http_frame::frame;
+use crate::lock::lock;
 use bytes::{Bytes, BytesMut};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -111,12 +112,12 @@
 
     /// Replaces the script for the requests that come from now on.
     pub fn set_script(&self, script: impl Fn(&Request) -> Reply + Send + Sync + 'static) {
-        *self.shared.script.lock().expect("no holder panics") = Arc::new(script);
+        *lock(&self.shared.script) = Arc::new(script);
     }
 
     /// The requests received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.shared.received.lock().expect("no holder panics").clone()
+        lock(&self.shared.received).clone()
     }
 
     /// Waits until `count` requests have been received.
@@ -136,10 +137,10 @@
     let (mut codec, mut buffer) = (ServerCodec::default(), BytesMut::new());
     loop {
         while let Ok(Some(request)) = codec.decode(&mut buffer) {
-            let script = shared.script.lock().expect("no holder panics").clone();
+            let script = lock(&shared.script).clone();
             let reply = script(&request);
             let count = {
-                let mut received = shared.received.lock().expect("no holder panics");
+                let mut received = lock(&shared.received);
                 if received.len() < MAX_KEPT_REQUESTS {
                     received.push(ReceivedRequest { connection, received_at: Instant::now(), request });
                 }
@@ -216,7 +217,7 @@
         let Some(delta) = delta.and_then(|text| text.parse::<f64>().ok()) else {
             return Reply::Bytes(frame(400, "", ""));
         };
-        let mut totals = totals.lock().expect("no holder panics");
+        let mut totals = lock(&totals);
         let total = totals.entry(path.to_string()).or_default();
         *total += delta;
         Reply::ok(&total.to_string())
--- a/crates/scenarios/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -117,13 +117,7 @@
             let to_discovery = new_link(Some(discovery.address)).await?;
             gateways.push(GatewayProcess::new(&scenario, number, work_dir, front, to_counter, to_discovery));
         }
-        let peers = match scenario.peers.clone() {
-            Some(spec) => {
-                let started = PeerHarness::start(&scenario, spec, &recorder).await;
-                Some(started.map_err(io("the network between gateways"))?)
-            }
-            None => None,
-        };
+        let peers = start_peers(&scenario, &recorder).await?;
         let platform_discovery =
             gateway_config::platform_discovery().await.map_err(io("the platform's list service"))?;
         let fronts: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.front.address).collect();
@@ -187,6 +181,13 @@
     }
 }
 
+/// The membership of the gateways, where the scenario has one.
+async fn start_peers(scenario: &Scenario, recorder: &Recorder) -> Result<Option<PeerHarness>, FleetError> {
+    let Some(spec) = scenario.peers.clone() else { return Ok(None) };
+    let started = PeerHarness::start(scenario, spec, recorder).await;
+    started.map(Some).map_err(io("the network between gateways"))
+}
+
 async fn new_link(target: Option<SocketAddr>) -> Result<Link, FleetError> {
     Link::start(target).await.map_err(io("a link"))
 }
