--- a/crates/cli/src/commands/fake.rs
+++ b/crates/cli/src/commands/fake.rs
@@ -5,7 +5,7 @@
 use crate::arguments::{BackendArguments, Fake};
 use crate::error::CommandError;
 use crate::output::print_json;
-use crate::signals::stop_requested;
+use crate::signals::StopSignals;
 use serde_json::json;
 use std::io;
 use std::net::SocketAddr;
@@ -67,8 +67,9 @@
 
 /// Prints where a server listens, and waits until it is asked to stop.
 async fn serve_until_stopped(address: SocketAddr) {
+    let stop = StopSignals::new();
     print_json(&json!({ "address": address }));
-    stop_requested().await;
+    stop.received().await;
 }
 
 fn require_loopback(addresses: &[SocketAddr]) -> Result<(), CommandError> {
--- a/crates/cli/src/commands/gateway.rs
+++ b/crates/cli/src/commands/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CommandError;
 use crate::output::print_json;
-use crate::signals::stop_requested;
+use crate::signals::StopSignals;
 use serde_json::json;
 use std::path::Path;
 use std::process::ExitCode;
@@ -22,8 +22,8 @@
 /// Runs a gateway for external authorisation until it is asked to stop.
 pub async fn run(file: &Path) -> Result<ExitCode, CommandError> {
     let config = parse_file(file, Config::parse)?;
-    // Watched from the start: a signal that comes during the start must not be lost.
-    let stop = tokio::spawn(stop_requested());
+    // Before anybody can know that it runs: a signal during the start must not be lost or end the process.
+    let stop = StopSignals::new();
     let running =
         weirusher_ext_authz::start(config).await.map_err(|error| CommandError::Gateway(error.into()))?;
     let mut listening =
@@ -32,7 +32,7 @@
         listening["fleet"] = json!(fleet);
     }
     print_json(&listening);
-    let _ = stop.await; // It ends with the signal, and not otherwise.
+    stop.received().await;
     warn_of_pending(running.stop().await);
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/commands/scenario.rs
+++ b/crates/cli/src/commands/scenario.rs
@@ -2,14 +2,15 @@
 
 use crate::error::{CommandError, FAILED};
 use crate::output::print_json;
-use crate::signals::stop_requested;
+use crate::signals::StopSignals;
 use serde_json::json;
+use std::cell::Cell;
 use std::fs::File;
 use std::io::{BufReader, IsTerminal};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tokio::io::AsyncReadExt;
-use weirusher_scenarios::{AuditReport, Progress, RunOptions, Scenario};
+use weirusher_scenarios::{Addresses, AuditReport, Progress, RunOptions, Scenario};
 
 /// Reads an input file.
 pub(super) fn read_input(file: &Path) -> Result<String, CommandError> {
@@ -64,15 +65,21 @@
     let scenario = parse_scenario(file)?;
     let work_dir = create_work_dir()?;
     let options = run_options(work_dir.path(), capture)?;
+    // Signals are watched from before the addresses are printed.
+    let stop = Cell::new(None);
     let until = async {
+        let stop = stop.take().unwrap_or_else(StopSignals::new);
         let mut input = tokio::io::stdin();
         let input_closed = async { while matches!(input.read(&mut [0; 64]).await, Ok(1..)) {} };
         tokio::select! {
-            () = stop_requested() => {}
+            () = stop.received() => {}
             () = input_closed => {}
         }
     };
-    let ready = |addresses: &weirusher_scenarios::Addresses| print_json(&json!(addresses));
+    let ready = |addresses: &Addresses| {
+        stop.set(Some(StopSignals::new()));
+        print_json(&json!(addresses));
+    };
     weirusher_scenarios::run_without_load(scenario, &options, ready, until).await?;
     Ok(ExitCode::SUCCESS)
 }
