--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -36,7 +36,7 @@
     pub counter: Option<CounterConfig>,
     /// Where the endpoint list comes from.
     pub discovery: DiscoveryConfig,
-    /// How the attributes of an ext_authz check become a request.
+    /// How the attributes of an `ext_authz` check become a request.
     pub request_rules: RequestRules,
     /// Seconds that a graceful shutdown waits for pending requests.
     pub drain_seconds: f64,
--- a/crates/config/src/request_rules.rs
+++ b/crates/config/src/request_rules.rs
@@ -1,4 +1,4 @@
-//! `[request]`, `[[route]]`, `[customers]` and `default_plan`: how the attributes of an ext_authz check become a request.
+//! `[request]`, `[[route]]`, `[customers]` and `default_plan`: how the attributes of an `ext_authz` check become a request.
 
 use crate::classes::Classes;
 use crate::config::MAX_AMOUNT;
@@ -34,7 +34,7 @@
     pub class: usize,
 }
 
-/// How the attributes of an ext_authz check become a request.
+/// How the attributes of an `ext_authz` check become a request.
 #[derive(Debug, Clone)]
 pub struct RequestRules {
     /// Header that names the customer.
--- a/crates/simulation/src/membership/process.rs
+++ b/crates/simulation/src/membership/process.rs
@@ -60,6 +60,9 @@
 
 impl Member {
     /// Member `me` of a fleet of `size`.
+    ///
+    /// # Panics
+    /// No fleet has this size, or `me` is none of its members.
     pub fn new(size: u16, me: u16, incarnation: u64, seed: u64, now: Millis) -> Self {
         let settings =
             Settings { instance: me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -168,6 +168,9 @@
 
 /// Runs the schedules of `count` seeds from `first_seed` on, on so many threads. `progress` is told now and then how many
 /// are finished. The report is the same on any number of threads.
+///
+/// # Panics
+/// A run panicked on one of the threads.
 pub fn run_seeds(first_seed: u64, count: u64, threads: usize, mut progress: impl FnMut(u64)) -> Report {
     let (next, finished, report) = (AtomicU64::new(0), AtomicU64::new(0), Mutex::new(Report::default()));
     std::thread::scope(|scope| {
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -3,6 +3,8 @@
 use fastrand::Rng;
 use serde::Serialize;
 
+/// Gateways of a random schedule, each entry as likely as another.
+const RANDOM_FLEET_SIZES: [u32; 10] = [2, 4, 4, 4, 4, 4, 8, 20, 20, 100];
 /// Seconds that a random schedule takes, and that it is left without faults at its start and at its end.
 const RANDOM_DURATION: f64 = 30.0;
 const FAULT_FREE_MARGIN: f64 = 2.0;
@@ -101,7 +103,7 @@
     /// The random schedule of a seed: mostly four gateways, some 20, a few 100.
     pub fn random(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let gateways = *rng.choice(&[2, 4, 4, 4, 4, 4, 8, 20, 20, 100]).expect("not empty");
+        let gateways = RANDOM_FLEET_SIZES[rng.usize(0..RANDOM_FLEET_SIZES.len())];
         let rate = 2.0 + 8.0 * rng.f64();
         let burst = (rate * (1.2 + 3.8 * rng.f64())).ceil();
         let has_ceiling = rng.u8(0..4) == 0;
