--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -6,7 +6,8 @@
 use crate::ticket::Ticket;
 use weirusher::{BackendId, Event, LoadReport, Status, Time};
 
-/// Seconds past an attempt's deadline in which its report may still arrive: the proxy sends its access log in batches.
+/// Seconds past an attempt's deadline in which its report may still arrive: the proxy sends its access log in
+/// batches.
 const REPORT_GRACE_SECONDS: f64 = 0.25;
 /// Seconds in which a check has to claim a retry; after that it counts as not sent.
 const CLAIM_TIMEOUT_SECONDS: f64 = 1.0;
@@ -108,7 +109,7 @@
             settled_units: end.settled_units.filter(|units| units.is_finite() && *units >= 0.0),
             load: LoadReport::default(),
         };
-        self.handle(now, event);
+        self.decide(now, event);
     }
 
     /// Closes an attempt that was surely not sent, together with its request.
@@ -140,8 +141,8 @@
         self.abandon_request(now, request);
     }
 
-    /// No client waits for the request any more: an unclaimed attempt will never be sent, and the decisions are
-    /// notified. Attempts in flight keep the request in the table.
+    /// No client waits for the request any more: an unclaimed attempt will never be sent, and the decisions
+    /// are notified. Attempts in flight keep the request in the table.
     pub(super) fn abandon_request(&mut self, now: Time, request: u64) {
         let Some(open) = self.requests.get(request).filter(|open| open.caller.is_none()) else { return };
         let id = open.id.clone();
@@ -149,7 +150,7 @@
         if let Some(attempt) = unclaimed {
             self.close_unsent(now, AttemptId { request, attempt: attempt as u32 });
         }
-        self.handle(now, Event::ClientGone { request: id });
+        self.decide(now, Event::ClientGone { request: id });
         self.remove_if_finished(request);
     }
 
--- a/crates/core/src/engine/report.rs
+++ b/crates/core/src/engine/report.rs
@@ -48,7 +48,7 @@
 
 impl Engine {
     /// Handles a report.
-    pub fn report(&mut self, now: Time, report: &Report<'_>) -> ReportOutcome {
+    pub fn handle_report(&mut self, now: Time, report: &Report<'_>) -> ReportOutcome {
         let ticket = match self.keyring.verify(report.ticket) {
             Ok(ticket) => ticket,
             Err(error) => {
@@ -57,7 +57,8 @@
             }
         };
         if !self.issued(&ticket) {
-            // Only the issuer knows the attempt, and closes it at its deadline (docs/external-authorisation.md).
+            // Only the issuer knows the attempt, and closes it at its deadline
+            // (docs/external-authorisation.md).
             self.metrics.foreign_reports += 1;
             return ReportOutcome::OtherIssuer { issuer: ticket.issuer };
         }
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -101,6 +101,9 @@
 
 impl Schedule {
     /// The random schedule of a seed: mostly four gateways, some 20, a few 100.
+    ///
+    /// # Panics
+    /// Never: each choice is among several values.
     pub fn random(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let gateways = RANDOM_FLEET_SIZES[rng.usize(0..RANDOM_FLEET_SIZES.len())];
--- a/crates/simulation/src/simulator/counter_link.rs
+++ b/crates/simulation/src/simulator/counter_link.rs
@@ -58,10 +58,10 @@
         let (now, delay) = (self.now, self.one_way_delay());
         let gateway = &mut self.gateways[instance];
         if !gateway.connection.connected {
-            return gateway.engine.counter_response(now, call, Status::ConnectFailed, 0.0, 0.0);
+            return gateway.engine.handle_counter_response(now, call, Status::ConnectFailed, 0.0, 0.0);
         }
         if gateway.connection.pipeline.send(now, call).is_err() {
-            return gateway.engine.counter_response(now, call, Status::Rejected, 0.0, 0.0);
+            return gateway.engine.handle_counter_response(now, call, Status::Rejected, 0.0, 0.0);
         }
         // Calls keep their order on a connection.
         let at = gateway.connection.last_call_at.max(now + delay);
@@ -99,7 +99,7 @@
         let gateway = &mut self.gateways[instance];
         gateway.connection.any_response = true;
         if let Ok(Some(ended)) = gateway.connection.pipeline.response_completed(self.now) {
-            gateway.engine.counter_response(self.now, ended.call, status, total, ended.elapsed);
+            gateway.engine.handle_counter_response(self.now, ended.call, status, total, ended.elapsed);
             self.settle(instance);
         }
     }
@@ -107,7 +107,7 @@
     fn handle_call_timeout(&mut self, instance: usize) {
         let gateway = &mut self.gateways[instance];
         for ended in gateway.connection.pipeline.take_timed_out(self.now + ROUNDING_SLACK) {
-            gateway.engine.counter_response(self.now, ended.call, Status::Timeout, 0.0, ended.elapsed);
+            gateway.engine.handle_counter_response(self.now, ended.call, Status::Timeout, 0.0, ended.elapsed);
         }
         let unresponsive = gateway.connection.pipeline.is_unresponsive(self.now);
         let next = gateway.connection.pipeline.deadline();
@@ -127,7 +127,7 @@
         }
         let (calls, backoff) = gateway.connection.disconnect(self.now);
         for ended in calls {
-            gateway.engine.counter_response(self.now, ended.call, Status::Reset, 0.0, ended.elapsed);
+            gateway.engine.handle_counter_response(self.now, ended.call, Status::Reset, 0.0, ended.elapsed);
         }
         self.push_link_event(self.now + backoff, instance, CounterLinkEvent::Reconnect);
         self.settle(instance);
--- a/crates/simulation/src/simulator/gateways.rs
+++ b/crates/simulation/src/simulator/gateways.rs
@@ -3,7 +3,7 @@
 use super::{Event, Simulation};
 use crate::counter::CounterConnection;
 use weirusher::{Class, Endpoint, EndpointListKind, Plan, Settings, Status};
-use weirusher_core::{CheckOutcome, Command, Completion, Engine, Key, Keyring, Output, Report};
+use weirusher_core::{CheckOutcome, Command, Completion, Engine, EngineOutput, Key, Keyring, Report};
 
 /// Seconds after which a call to the counter is given up.
 pub(super) const COUNTER_TIMEOUT: f64 = 0.05;
@@ -43,7 +43,7 @@
             Engine::new(settings, keyring, incarnation, seed, self.now).expect("usable settings");
         let backends =
             (0..BACKENDS).map(|n| Endpoint::warm(format!("127.0.0.1:{}", FIRST_BACKEND_PORT + n))).collect();
-        engine.update_endpoints(self.now, EndpointListKind::StaleSnapshot, backends);
+        engine.handle_endpoint_list(self.now, EndpointListKind::StaleSnapshot, backends);
         let connection = CounterConnection::new(COUNTER_TIMEOUT, seed);
         Gateway { engine, connection, incarnation, timer_at: f64::INFINITY }
     }
@@ -52,7 +52,7 @@
         let gateway = &mut self.gateways[instance];
         if gateway.incarnation == incarnation {
             gateway.timer_at = f64::INFINITY;
-            gateway.engine.advance(self.now);
+            gateway.engine.handle_timeout(self.now);
             self.settle(instance);
         }
     }
@@ -60,14 +60,14 @@
     /// Does what an engine wants until it wants nothing more, and keeps its timer in the queue.
     pub(super) fn settle(&mut self, instance: usize) {
         loop {
-            let outputs: Vec<Output> = self.gateways[instance].engine.outputs().collect();
+            let outputs: Vec<EngineOutput> = self.gateways[instance].engine.drain_outputs().collect();
             if outputs.is_empty() {
                 break;
             }
             outputs.into_iter().for_each(|output| self.handle_output(instance, output));
         }
         let gateway = &mut self.gateways[instance];
-        if let Some(at) = gateway.engine.next_deadline().filter(|at| *at < gateway.timer_at) {
+        if let Some(at) = gateway.engine.next_timeout().filter(|at| *at < gateway.timer_at) {
             // A timer that is due within the present tick stays due: without this the loop would not advance.
             let (at, incarnation) = (at.max(self.now + TIMER_TICK), gateway.incarnation);
             gateway.timer_at = at;
@@ -75,9 +75,9 @@
         }
     }
 
-    fn handle_output(&mut self, instance: usize, output: Output) {
+    fn handle_output(&mut self, instance: usize, output: EngineOutput) {
         match output {
-            Output::CheckOutcome { caller, outcome, .. } => {
+            EngineOutput::CheckOutcome { caller, outcome, .. } => {
                 let Some(customer) = self.callers.remove(&caller) else { return };
                 if let CheckOutcome::Allowed(grant) = outcome {
                     self.customers[customer].monitor.handle_forwarded(self.now);
@@ -87,13 +87,13 @@
                         elapsed: Some(SERVICE_TIME),
                         settled_units: None,
                     };
-                    self.gateways[instance].engine.report(self.now, &report);
+                    self.gateways[instance].engine.handle_report(self.now, &report);
                 }
             }
-            Output::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
+            EngineOutput::Command(Command::AddToCounter { call, counter, amount, ttl }) => {
                 self.call_counter(instance, call, counter, amount, ttl);
             }
-            Output::Command(_) => {}
+            EngineOutput::Command(_) => {}
         }
     }
 }
