--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -170,7 +170,7 @@
 /// are finished. The report is the same on any number of threads.
 ///
 /// # Panics
-/// If a thread panics.
+/// A run panicked on one of the threads.
 pub fn run_seeds(first_seed: u64, count: u64, threads: usize, mut progress: impl FnMut(u64)) -> Report {
     let (next, finished, report) = (AtomicU64::new(0), AtomicU64::new(0), Mutex::new(Report::default()));
     std::thread::scope(|scope| {
@@ -188,7 +188,7 @@
             report.lock().expect("no thread panics").merge(own);
         };
         let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(run_some)).collect();
-        while !workers.iter().all(std::thread::ScopedJoinHandle::is_finished) {
+        while !workers.iter().all(|worker| worker.is_finished()) {
             progress(finished.load(Relaxed));
             std::thread::sleep(PROGRESS_INTERVAL);
         }
