--- a/crates/cli/tests/growth.rs
+++ b/crates/cli/tests/growth.rs
@@ -10,7 +10,7 @@
     let options = GrowthOptions {
         exe: env!("CARGO_BIN_EXE_weirusher").into(),
         dir: dir.path().to_path_buf(),
-        lasts: Duration::from_secs(6),
+        duration: Duration::from_secs(6),
         seed: 1,
     };
     let usual = measure(FleetSize::USUAL, &options).await.unwrap();
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -1,6 +1,4 @@
 //! How the resources that the platform grants are divided among their uses.
-//!
-//! `crates/soak/src/growth/usage.rs` derives the same figures to check the bounds of a running process.
 
 use weirusher_platform::config::Limits;
 
--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend: it records each attempt as it came, and answers in all the ways that backends do.
+//! A backend: it records each attempt that it receives, and responds with every behaviour that the platform allows.
 
 use crate::record::{Attempt, Recorder};
 use crate::wire::backend_name;
@@ -7,62 +7,81 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tokio::io::AsyncReadExt;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::io::{AsyncReadExt, Interest};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 use tokio_util::codec::Decoder;
 use weirusher_wire::http1::{Request, ServerCodec};
 
-/// How a backend does.
+const LISTEN_BACKLOG: u32 = 1024;
+/// A slow response takes so many times its usual delay longer.
+const SLOW_FACTOR: u32 = 60;
+/// Between two responses to one request.
+const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(3);
+/// How often an attempt's connection is checked for a close while it has unread bytes.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+
+/// The health of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Quick answers, and now and then a slow one.
-    Well,
-    /// One in three answers is wrong in some way.
+    /// Quick responses, and one in 50 is slow.
+    Healthy,
+    /// One in three responses is invalid, late or missing.
     Sick,
-    /// It takes requests and answers nothing in time.
+    /// It accepts requests and responds to none.
     Hung,
-    /// It refuses connections and breaks those that it has.
+    /// It refuses connections and resets those that are open.
     Down,
 }
 
-/// What a request is answered.
+/// How a request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reply {
-    Whole,
+    /// A complete response.
+    Complete,
+    /// A complete response, [`SLOW_FACTOR`] times as late.
     Slow,
+    /// A complete response, a few bytes at a time.
     Trickled,
+    /// No response on an open connection.
     Nothing,
+    /// Status 500.
     Error,
-    NeverRan,
+    /// A rejection before execution.
+    NotExecuted,
+    /// A reset of the connection.
     Reset,
-    CutOff,
-    Noise,
+    /// Half of a response, and a close.
+    Truncated,
+    /// Bytes that are no HTTP.
+    Garbage,
+    /// Two complete responses.
     Twice,
+    /// A response without a length, which a close ends.
     WithoutLength,
 }
 
 impl Reply {
     fn draw(health: Health, rng: &mut fastrand::Rng) -> Self {
-        const WRONG: [Reply; 10] = [
+        const FAULTY: [Reply; 10] = [
             Reply::Slow,
             Reply::Trickled,
             Reply::Nothing,
             Reply::Error,
-            Reply::NeverRan,
+            Reply::NotExecuted,
             Reply::Reset,
-            Reply::CutOff,
-            Reply::Noise,
+            Reply::Truncated,
+            Reply::Garbage,
             Reply::Twice,
             Reply::WithoutLength,
         ];
         match health {
-            Health::Well if rng.u8(0..50) == 0 => Self::Slow,
-            Health::Sick if rng.u8(0..3) == 0 => WRONG[rng.usize(0..WRONG.len())],
+            Health::Healthy if rng.u8(0..50) == 0 => Self::Slow,
+            Health::Sick if rng.u8(0..3) == 0 => FAULTY[rng.usize(0..FAULTY.len())],
             Health::Hung => Self::Nothing,
-            _ => Self::Whole,
+            _ => Self::Complete,
         }
     }
 }
@@ -74,7 +93,7 @@
     rng: Mutex<fastrand::Rng>,
 }
 
-/// A backend. Dropped, it is killed.
+/// A backend. Dropping it closes its listener and resets its connections.
 pub struct Backend {
     /// Where it listens.
     pub address: SocketAddr,
@@ -83,11 +102,14 @@
 }
 
 impl Backend {
-    /// Starts one.
+    /// Starts a healthy backend.
+    ///
+    /// # Errors
+    /// No port can be bound.
     pub async fn start(number: usize, recorder: Recorder, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (health, rng) = (watch::Sender::new(Health::Well), Mutex::new(fastrand::Rng::with_seed(seed)));
+        let (health, rng) = (watch::Sender::new(Health::Healthy), Mutex::new(fastrand::Rng::with_seed(seed)));
         let shared = Arc::new(Shared { number, recorder, health, rng });
         let tasks = Mutex::new(JoinSet::new());
         let backend = Self { address, shared, tasks };
@@ -97,7 +119,7 @@
 
     fn listen(&self, listener: TcpListener) {
         let shared = self.shared.clone();
-        self.tasks.lock().expect("no holder panics").spawn(async move {
+        self.tasks.lock().expect("no task panics while it has the lock").spawn(async move {
             let mut connections = JoinSet::new();
             loop {
                 tokio::select! {
@@ -110,19 +132,20 @@
         });
     }
 
-    /// Does so from now on. Down, its connections break; up again, it listens where it did.
-    pub async fn set(&self, health: Health) {
-        let before = self.shared.health.send_replace(health);
+    /// Changes the health. [`Health::Down`] aborts the listener and all connections; after it the backend listens at its old
+    /// address again.
+    pub async fn set_health(&self, health: Health) {
+        let previous = self.shared.health.send_replace(health);
         if health == Health::Down {
-            self.tasks.lock().expect("no holder panics").abort_all();
-        } else if before == Health::Down {
-            let socket = tokio::net::TcpSocket::new_v4();
+            self.tasks.lock().expect("no task panics while it has the lock").abort_all();
+        } else if previous == Health::Down {
+            let socket = TcpSocket::new_v4();
             let bound = socket.and_then(|socket| {
                 socket.set_reuseaddr(true)?;
                 socket.bind(self.address)?;
-                socket.listen(1024)
+                socket.listen(LISTEN_BACKLOG)
             });
-            // Another process may have the port by now: then it stays down.
+            // Another process may have taken the port: the backend stays down.
             if let Ok(listener) = bound {
                 self.listen(listener);
             }
@@ -130,33 +153,33 @@
     }
 }
 
-/// An attempt that is under way; its end is noted whatever becomes of its connection.
-struct Underway<'a> {
+/// Records the end of an attempt when it is dropped, however its connection ends.
+struct AttemptGuard<'a> {
     shared: &'a Shared,
     index: usize,
 }
 
-impl Drop for Underway<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let now = Instant::now();
         self.shared.recorder.with(|records| {
-            records.attempts[self.index].ended.get_or_insert(now);
+            records.attempts[self.index].ended_at.get_or_insert(now);
         });
     }
 }
 
 async fn serve(mut stream: TcpStream, shared: Arc<Shared>) {
-    let _ = stream.set_nodelay(true); // Without it answers are merely slower.
+    let _ = stream.set_nodelay(true); // Without it responses are merely slower.
     let (mut codec, mut buffer) = (ServerCodec::default(), BytesMut::new());
-    let mut began = None;
+    let mut first_byte_at = None;
     loop {
         if !buffer.is_empty() {
-            began.get_or_insert_with(Instant::now);
+            first_byte_at.get_or_insert_with(Instant::now);
         }
         match codec.decode(&mut buffer) {
             Ok(Some(request)) => {
-                let began = began.take().unwrap_or_else(Instant::now);
-                if !answer(&mut stream, &shared, &request, began).await {
+                let first_byte_at = first_byte_at.take().unwrap_or_else(Instant::now);
+                if !answer(&stream, &shared, &request, first_byte_at).await {
                     return;
                 }
             }
@@ -164,74 +187,71 @@
                 if !matches!(stream.read_buf(&mut buffer).await, Ok(1..)) {
                     return;
                 }
-                began.get_or_insert_with(Instant::now);
+                first_byte_at.get_or_insert_with(Instant::now);
             }
             Err(_) => return,
         }
     }
 }
 
-fn told(request: &Request) -> f64 {
+/// The timeout that the gateway passed, in seconds; infinite where there is none.
+fn timeout(request: &Request) -> f64 {
     let text = request.headers.get("x-expires-in").unwrap_or("");
-    let (number, scale) = match text.strip_suffix('m') {
+    let (number, unit_seconds) = match text.strip_suffix('m') {
         Some(number) => (number, 1e-3),
         None => (text.trim_end_matches('u'), 1e-6),
     };
-    number.parse().map_or(f64::INFINITY, |number: f64| number * scale)
+    number.parse().map_or(f64::INFINITY, |number: f64| number * unit_seconds)
 }
 
-/// Answers a request; `false`: the connection is over.
-async fn answer(stream: &mut TcpStream, shared: &Shared, request: &Request, began: Instant) -> bool {
+/// Records and answers a request; returns `false` once the connection is over.
+async fn answer(stream: &TcpStream, shared: &Shared, request: &Request, first_byte_at: Instant) -> bool {
     let id = request.headers.get("x-trace-id").unwrap_or("").to_string();
-    let (reply, pause) = {
-        let rng = &mut shared.rng.lock().expect("no holder panics");
+    let (reply, delay) = {
+        let rng = &mut shared.rng.lock().expect("no task panics while it has the lock");
         (Reply::draw(*shared.health.borrow(), rng), Duration::from_micros(rng.u64(500..20_000)))
     };
+    let body = format!("done {id} {}", backend_name(shared.number));
     let attempt = Attempt {
-        id: id.clone(),
+        id,
         backend: shared.number,
-        began,
-        arrived: Instant::now(),
-        told: told(request),
-        never_ran: reply == Reply::NeverRan,
-        ended: None,
+        first_byte_at,
+        received_at: Instant::now(),
+        timeout: timeout(request),
+        not_executed: reply == Reply::NotExecuted,
+        ended_at: None,
     };
     let index = shared.recorder.with(|records| {
         records.attempts.push(attempt);
         records.attempts.len() - 1
     });
-    let _underway = Underway { shared, index };
-    let body = format!("done {id} {}", backend_name(shared.number));
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    // Whoever gives an attempt up closes its connection: that ends it here too.
+    let _guard = AttemptGuard { shared, index };
+    // The gateway closes the connection of an attempt that it cancels.
     tokio::select! {
-        goes_on = write(stream_parts(stream).1, reply, &whole, &body, pause) => goes_on,
-        () = closed(stream_parts(stream).0) => false,
+        stays_open = write_reply(stream, reply, &body, delay) => stays_open,
+        () = closed(stream) => false,
     }
 }
 
-/// The two directions of a stream, which are used at once.
-fn stream_parts(stream: &TcpStream) -> (&TcpStream, &TcpStream) {
-    (stream, stream)
-}
-
+/// Waits until the other end has closed the connection.
 async fn closed(stream: &TcpStream) {
     loop {
-        match stream.ready(tokio::io::Interest::READABLE).await {
-            Ok(ready) if !ready.is_read_closed() => sleep(Duration::from_millis(5)).await,
+        match stream.ready(Interest::READABLE).await {
+            Ok(ready) if !ready.is_read_closed() => sleep(CLOSE_CHECK_INTERVAL).await,
             _ => return,
         }
     }
 }
 
-async fn put(stream: &TcpStream, bytes: &[u8]) -> bool {
-    let mut left = bytes;
-    while !left.is_empty() {
+/// Writes all bytes; returns `false` once the connection is over.
+async fn write_all(stream: &TcpStream, bytes: &[u8]) -> bool {
+    let mut remaining = bytes;
+    while !remaining.is_empty() {
         if stream.writable().await.is_err() {
             return false;
         }
-        match stream.try_write(left) {
-            Ok(many) => left = &left[many..],
+        match stream.try_write(remaining) {
+            Ok(written) => remaining = &remaining[written..],
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(_) => return false,
         }
@@ -239,49 +259,53 @@
     true
 }
 
-async fn write(stream: &TcpStream, reply: Reply, whole: &str, body: &str, pause: Duration) -> bool {
-    sleep(pause).await;
-    let half = &whole.as_bytes()[..whole.len() / 2];
+/// Writes a reply after `delay`; returns `false` where the connection is to be closed.
+async fn write_reply(stream: &TcpStream, reply: Reply, body: &str, delay: Duration) -> bool {
+    sleep(delay).await;
+    let complete = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let complete = complete.as_bytes();
     match reply {
-        Reply::Whole => put(stream, whole.as_bytes()).await,
+        Reply::Complete => write_all(stream, complete).await,
         Reply::Slow => {
-            sleep(pause * 60).await;
-            put(stream, whole.as_bytes()).await
-        }
-        Reply::Trickled => {
-            for piece in whole.as_bytes().chunks(3) {
-                if !put(stream, piece).await {
-                    return false;
-                }
-                sleep(Duration::from_millis(2)).await;
-            }
-            true
+            sleep(delay * SLOW_FACTOR).await;
+            write_all(stream, complete).await
         }
-        Reply::Nothing => {
-            std::future::pending::<()>().await;
-            false
-        }
-        Reply::Error => put(stream, b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n").await,
-        Reply::NeverRan => {
-            put(stream, b"HTTP/1.1 503 -\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n").await
+        Reply::Trickled => write_slowly(stream, complete).await,
+        Reply::Nothing => std::future::pending().await,
+        Reply::Error => write_all(stream, b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n").await,
+        Reply::NotExecuted => {
+            write_all(stream, b"HTTP/1.1 503 -\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n").await
         }
         Reply::Reset => {
-            let _ = stream.set_zero_linger(); // Without it the connection ends in order.
+            let _ = stream.set_zero_linger(); // Without it the connection is closed, not reset.
             false
         }
-        Reply::CutOff => {
-            let _ = put(stream, half).await; // It ends in any case.
+        Reply::Truncated => {
+            write_all(stream, &complete[..complete.len() / 2]).await;
             false
         }
-        Reply::Noise => put(stream, b"\x16\x03\x01 noise\r\n\r\n").await,
+        Reply::Garbage => write_all(stream, b"\x16\x03\x01 noise\r\n\r\n").await,
         Reply::Twice => {
-            let once = put(stream, whole.as_bytes()).await;
-            sleep(Duration::from_millis(3)).await;
-            once && put(stream, whole.as_bytes()).await
+            let is_open = write_all(stream, complete).await;
+            sleep(SECOND_RESPONSE_DELAY).await;
+            is_open && write_all(stream, complete).await
         }
         Reply::WithoutLength => {
-            let _ = put(stream, format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes()).await; // It ends in any case.
+            write_all(stream, format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes()).await;
             false
         }
     }
 }
+
+/// Writes a few bytes at a time.
+async fn write_slowly(stream: &TcpStream, bytes: &[u8]) -> bool {
+    const PIECE: usize = 3;
+    const INTERVAL: Duration = Duration::from_millis(2);
+    for piece in bytes.chunks(PIECE) {
+        if !write_all(stream, piece).await {
+            return false;
+        }
+        sleep(INTERVAL).await;
+    }
+    true
+}
--- a/crates/soak/src/bin/growth.rs
+++ b/crates/soak/src/bin/growth.rs
@@ -1,5 +1,5 @@
-//! Measures what one gateway needs at the usual size of a fleet and at larger ones, and holds it against the standing
-//! test's table of growth.
+//! Measures what one gateway uses at the usual size of a fleet and at larger ones, and compares it with the platform's
+//! bounds on growth.
 
 use clap::Parser;
 use std::path::PathBuf;
@@ -7,13 +7,13 @@
 use std::time::Duration;
 use weirusher_soak::growth::{FleetSize, GrowthOptions, Row, Usage, compare, measure};
 
-/// What one gateway needs as its fleet grows.
+/// Measures what one gateway uses as its fleet grows.
 #[derive(Parser)]
 struct Arguments {
     /// The program under test.
     #[arg(long, default_value = "target/release/weirusher")]
     exe: PathBuf,
-    /// What the traffic is drawn from.
+    /// The traffic is drawn from this.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Seconds for which requests are sent at each size.
@@ -33,22 +33,22 @@
     }
 }
 
-/// Prints a table for each larger size; `false`: a row is over its bound.
+/// Prints a table for each larger size; returns `false` where a row is over its bound.
 async fn measure_all(arguments: &Arguments) -> std::io::Result<bool> {
     let dir = tempfile::tempdir()?;
     let options = GrowthOptions {
         exe: arguments.exe.clone(),
         dir: dir.path().to_path_buf(),
-        lasts: Duration::from_secs_f64(arguments.seconds),
+        duration: Duration::from_secs_f64(arguments.seconds),
         seed: arguments.seed,
     };
     let usual = measure(FleetSize::USUAL, &options).await?;
-    let mut holds = true;
+    let mut all_hold = true;
     for size in [FleetSize::MANY_GATEWAYS, FleetSize::LARGEST] {
         let large = measure(size, &options).await?;
-        holds &= print(&usual, &large, size);
+        all_hold &= print(&usual, &large, size);
     }
-    Ok(holds)
+    Ok(all_hold)
 }
 
 fn print(usual: &Usage, large: &Usage, size: FleetSize) -> bool {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,9 +1,9 @@
-//! Clients: each has one connection at a time, and behaves in one of the ways that clients do.
+//! Clients: each has one connection at a time, with one of the behaviours that the platform allows.
 
-use crate::node::{Door, Node};
+use crate::node::{Availability, Node};
 use crate::plan::Plan;
-use crate::record::{Class, End, Life, Recorder, Request};
-use crate::wire::{CAPPED, Draft, response};
+use crate::record::{Class, Incarnation, Outcome, Recorder, Request};
+use crate::wire::{Draft, LIMITED_CUSTOMERS, Response};
 use socket2::SockRef;
 use std::io;
 use std::sync::Arc;
@@ -13,31 +13,39 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// The front opens connections to a node that was told to stop for so long.
-const FRONT: Duration = Duration::from_millis(400);
-/// A client that has no response so long after its time waits no more.
-const AFTER: Duration = Duration::from_millis(900);
-/// A connection that ended in order over bytes that were not read is reset within this: the other end lingers first.
-const LATE_RESET: Duration = Duration::from_millis(700);
-/// Share of the requests that come from customers with a ceiling, in per cent.
-const CAPPED_PART: u8 = 15;
+/// Clients open connections to a stopping node for so long.
+const STOPPING_ACCEPT_TIME: Duration = Duration::from_millis(400);
+/// How long a client waits before it looks for an available node again.
+const UNAVAILABLE_DELAY: Duration = Duration::from_millis(20);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A client gives up so long after its request's deadline.
+const RESPONSE_GRACE: Duration = Duration::from_millis(900);
+/// After a close, the wait for a reset, which shows that bytes were left unread: the gateway's lingering close is shorter.
+const RESET_WAIT: Duration = Duration::from_millis(700);
+/// How often the socket is checked for the reset.
+const RESET_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// The wait for an error or a close of an incomplete request, which is due within 3 s.
+const STALLED_WAIT: Duration = Duration::from_millis(3500);
+/// Percentage of the requests that come from customers with a ceiling.
+const LIMITED_PERCENT: u8 = 15;
 
-/// How a client behaves on one connection.
+/// The behaviour of a client on one connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Behaviour {
-    /// Asks again and again.
+    /// Sends one request after another, with short pauses.
     Steady,
-    /// Asks after a long rest.
+    /// Sends each request after a long pause.
     Resting,
-    /// Sends half of a request, and the rest much later.
-    Half,
+    /// Sends a part of a request, and the rest after a long pause.
+    Split,
     /// Sends a few bytes at a time.
     Slow,
     /// Sends several requests at once.
     Pipelined,
-    /// Closes, shuts down or resets its connection before its answer.
-    Leaving,
-    /// Stops amid its request and stays.
+    /// Closes, shuts down or resets its connection before the response.
+    ClosingEarly,
+    /// Sends a part of a request and keeps the connection open.
     Stalled,
 }
 
@@ -46,22 +54,23 @@
         match rng.u8(0..20) {
             0..=6 => Self::Steady,
             7..=10 => Self::Resting,
-            11..=13 => Self::Half,
+            11..=13 => Self::Split,
             14 => Self::Slow,
             15..=16 => Self::Pipelined,
-            17..=18 => Self::Leaving,
+            17..=18 => Self::ClosingEarly,
             _ => Self::Stalled,
         }
     }
 
+    /// Its name in reports.
     fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
             Self::Resting => "resting",
-            Self::Half => "half",
+            Self::Split => "split",
             Self::Slow => "slow",
             Self::Pipelined => "pipelined",
-            Self::Leaving => "leaving",
+            Self::ClosingEarly => "closing",
             Self::Stalled => "stalled",
         }
     }
@@ -69,272 +78,285 @@
 
 /// What all clients share.
 pub struct Clients {
+    /// The nodes that requests are sent to.
     pub nodes: Vec<Arc<Node>>,
+    /// The soak.
     pub plan: Plan,
+    /// Records the requests.
     pub recorder: Recorder,
-    pub ends: Instant,
-    pub next: AtomicU64,
+    /// No request begins after this.
+    pub end: Instant,
+    /// The number of the next request.
+    pub next_request: AtomicU64,
 }
 
 impl Clients {
-    /// One client, until the soak ends.
+    /// Runs one client until the soak ends.
     pub async fn run(self: Arc<Self>, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         sleep(Duration::from_millis(rng.u64(0..300))).await;
-        while Instant::now() < self.ends {
+        while Instant::now() < self.end {
             let node = &self.nodes[rng.usize(0..self.nodes.len())];
-            let Some(life) = open_door(*node.door.borrow()) else {
-                sleep(Duration::from_millis(20)).await;
+            let Some(incarnation) = accepting_incarnation(*node.availability.borrow()) else {
+                sleep(UNAVAILABLE_DELAY).await;
+                continue;
+            };
+            let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(node.listen)).await else {
                 continue;
             };
-            let connecting = timeout(Duration::from_secs(1), TcpStream::connect(node.listen));
-            let Ok(Ok(stream)) = connecting.await else { continue };
             let _ = stream.set_nodelay(true); // Without it requests are merely later.
             let behaviour = Behaviour::draw(&mut rng);
             let connection = Connection {
                 shared: &self,
                 stream,
-                life,
+                incarnation,
                 behaviour,
                 rng: rng.fork(),
                 buffer: Vec::new(),
-                broken: None,
+                connection_outcome: None,
             };
             connection.run().await;
         }
     }
 }
 
-fn open_door(door: Door) -> Option<Life> {
-    match door {
-        Door::Closed => None,
-        Door::Open(life) => Some(life),
-        Door::Stopping(life, since) => (since.elapsed() < FRONT).then_some(life),
+/// The process that a client may connect to now.
+fn accepting_incarnation(availability: Availability) -> Option<Incarnation> {
+    match availability {
+        Availability::Unavailable => None,
+        Availability::Ready(incarnation) => Some(incarnation),
+        Availability::Stopping(incarnation, since) => {
+            (since.elapsed() < STOPPING_ACCEPT_TIME).then_some(incarnation)
+        }
     }
 }
 
 struct Connection<'a> {
     shared: &'a Clients,
     stream: TcpStream,
-    life: Life,
+    incarnation: Incarnation,
     behaviour: Behaviour,
     rng: fastrand::Rng,
-    /// Bytes that came and belong to no response yet.
+    /// Bytes that were received and belong to no response yet.
     buffer: Vec<u8>,
-    /// How the connection ended.
-    broken: Option<End>,
-}
-
-/// Until when a response is waited for.
-fn deadline(draft: &Draft, sent: Instant) -> Instant {
-    sent + Duration::from_secs_f64(draft.patience) + AFTER
+    /// How the connection ended, for all requests on it that have no response.
+    connection_outcome: Option<Outcome>,
 }
 
-/// A request that was written whole.
+/// A request that was written completely.
 struct Sent {
     draft: Draft,
     at: Instant,
 }
 
+impl Sent {
+    fn now(draft: Draft) -> Self {
+        Self { draft, at: Instant::now() }
+    }
+
+    /// Until when the client waits for the response.
+    fn wait_until(&self) -> Instant {
+        self.at + Duration::from_secs_f64(self.draft.time_budget) + RESPONSE_GRACE
+    }
+}
+
 impl Connection<'_> {
     async fn run(mut self) {
         let rounds = self.rng.usize(1..6);
         for _ in 0..rounds {
-            if Instant::now() >= self.shared.ends || !self.round().await {
+            if Instant::now() >= self.shared.end || !self.round().await {
                 return;
             }
         }
     }
 
-    /// One request or several, and their ends; `false`: the connection is over.
+    // ---- Behaviours ----
+
+    /// Sends one or several requests and waits for their outcomes; returns `false` once the connection is over.
     async fn round(&mut self) -> bool {
         match self.behaviour {
-            Behaviour::Steady => {
-                let pause = self.rng.u64(0..150);
-                self.rest(Duration::from_millis(pause)).await && self.ask().await
-            }
-            Behaviour::Resting => {
-                let pause = self.rng.u64(300..3500);
-                self.rest(Duration::from_millis(pause)).await && self.ask().await
-            }
-            Behaviour::Half => self.ask_by_halves().await,
-            Behaviour::Slow => self.ask_slowly().await,
-            Behaviour::Pipelined => self.ask_several().await,
-            Behaviour::Leaving => self.ask_and_leave().await,
-            Behaviour::Stalled => self.stall().await,
+            Behaviour::Steady => self.send_after_pause(0..150).await,
+            Behaviour::Resting => self.send_after_pause(300..3500).await,
+            Behaviour::Split => self.send_in_two_parts().await,
+            Behaviour::Slow => self.send_slowly().await,
+            Behaviour::Pipelined => self.send_pipelined().await,
+            Behaviour::ClosingEarly => self.send_and_close().await,
+            Behaviour::Stalled => self.send_incomplete().await,
         }
     }
 
-    fn draft(&mut self) -> Draft {
-        let number = self.shared.next.fetch_add(1, Ordering::Relaxed);
-        let id = format!("{:08x}{number:08x}", self.shared.plan.seed as u32);
-        let class = Class::ALL[self.rng.usize(0..3)];
-        let capped = (self.rng.u8(0..100) < CAPPED_PART).then(|| self.rng.usize(0..CAPPED));
-        // Retries have less left, down to very little.
-        let share = if self.rng.u8(0..10) == 0 { 0.02 + 0.5 * self.rng.f64() } else { 1.0 };
-        Draft::new(&self.shared.plan, id, class, capped, self.shared.plan.deadline * share, &mut self.rng)
-    }
-
-    /// Waits; `false`: the connection ended meanwhile.
-    async fn rest(&mut self, pause: Duration) -> bool {
-        let mut scrap = [0; 512];
-        timeout(pause, self.stream.read(&mut scrap)).await.is_err()
-    }
-
-    /// Writes a part of a request; `false`: the connection is over, and the request was not written whole.
-    async fn put(&mut self, bytes: &[u8]) -> bool {
-        matches!(timeout(Duration::from_secs(5), self.stream.write_all(bytes)).await, Ok(Ok(())))
-    }
-
-    async fn ask(&mut self) -> bool {
-        let draft = self.draft();
-        if !self.put(&draft.bytes).await {
+    async fn send_after_pause(&mut self, millis: std::ops::Range<u64>) -> bool {
+        let pause = Duration::from_millis(self.rng.u64(millis));
+        if !self.pause(pause).await {
             return false;
         }
-        let at = Instant::now();
-        self.finish(Sent { draft, at }).await
+        let draft = self.draft();
+        self.write(&draft.bytes).await && self.finish(Sent::now(draft)).await
     }
 
-    async fn ask_by_halves(&mut self) -> bool {
+    async fn send_in_two_parts(&mut self) -> bool {
         let draft = self.draft();
-        let half = self.rng.usize(1..draft.bytes.len());
-        let pause = self.rng.u64(0..3000);
-        let sent = self.put(&draft.bytes[..half]).await
-            && self.rest(Duration::from_millis(pause)).await
-            && self.put(&draft.bytes[half..]).await;
-        let at = Instant::now();
-        sent && self.finish(Sent { draft, at }).await
+        let split_at = self.rng.usize(1..draft.bytes.len());
+        let pause = Duration::from_millis(self.rng.u64(0..3000));
+        let (first, second) = draft.bytes.split_at(split_at);
+        let sent = self.write(first).await && self.pause(pause).await && self.write(second).await;
+        sent && self.finish(Sent::now(draft)).await
     }
 
-    async fn ask_slowly(&mut self) -> bool {
+    async fn send_slowly(&mut self) -> bool {
         let draft = self.draft();
         let size = self.rng.usize(1..12);
         for piece in draft.bytes.chunks(size) {
-            if !self.put(piece).await {
+            if !self.write(piece).await {
                 return false;
             }
             sleep(Duration::from_millis(1)).await;
         }
-        let at = Instant::now();
-        self.finish(Sent { draft, at }).await
+        self.finish(Sent::now(draft)).await
     }
 
-    async fn ask_several(&mut self) -> bool {
+    async fn send_pipelined(&mut self) -> bool {
         let drafts: Vec<Draft> = (0..self.rng.usize(2..5)).map(|_| self.draft()).collect();
         let bytes: Vec<u8> = drafts.iter().flat_map(|draft| draft.bytes.clone()).collect();
-        if !self.put(&bytes).await {
+        if !self.write(&bytes).await {
             return false;
         }
-        let mut at = Instant::now();
+        // The time of each request begins with the end of the one before it.
         for draft in drafts {
-            let end = match self.broken.clone() {
-                // What is behind a request whose connection ended, ended with it.
-                Some(end) => end,
-                None => self.response(deadline(&draft, at)).await,
+            let sent = Sent::now(draft);
+            let outcome = match self.connection_outcome.clone() {
+                Some(outcome) => outcome,
+                None => self.response(sent.wait_until()).await,
             };
-            self.note(Sent { draft, at }, end, Instant::now());
-            // The time of one behind another begins with the other's end.
-            at = Instant::now();
+            self.record(sent, outcome);
         }
-        self.broken.is_none()
+        self.connection_outcome.is_none()
     }
 
-    async fn ask_and_leave(&mut self) -> bool {
+    async fn send_and_close(&mut self) -> bool {
+        const ANY_RESPONSE: Duration = Duration::from_secs(60);
         let draft = self.draft();
-        if !self.put(&draft.bytes).await {
+        if !self.write(&draft.bytes).await {
             return false;
         }
-        let (sent, pause) = (Sent { draft, at: Instant::now() }, Duration::from_millis(self.rng.u64(0..400)));
-        match timeout(pause, self.response(sent.at + Duration::from_secs(60))).await {
-            Ok(end) => self.note(sent, end, Instant::now()),
+        let sent = Sent::now(draft);
+        let pause = Duration::from_millis(self.rng.u64(0..400));
+        match timeout(pause, self.response(sent.at + ANY_RESPONSE)).await {
+            Ok(outcome) => self.record(sent, outcome),
             Err(_) => {
+                // An error means that the connection is over already; otherwise the stream is dropped right after this.
                 match self.rng.u8(0..3) {
                     0 => drop(SockRef::from(&self.stream).set_linger(Some(Duration::ZERO))),
                     1 => drop(self.stream.shutdown().await),
                     _ => {}
                 }
-                // The stream is dropped right behind this.
-                self.note(sent, End::Left, Instant::now());
+                self.record(sent, Outcome::ClientClosed);
             }
         }
         false
     }
 
-    /// Stops amid a request: an error or a close is owed within 3 s, and nothing may be made of the half.
-    async fn stall(&mut self) -> bool {
+    /// Sends a part of a request. The gateway has to respond with an error or close, and to make no attempt.
+    async fn send_incomplete(&mut self) -> bool {
         let draft = self.draft();
-        let half = self.rng.usize(1..draft.bytes.len());
-        if self.put(&draft.bytes[..half]).await {
-            let at = Instant::now();
-            let ended = !self.rest(Duration::from_millis(3500)).await;
-            if !ended {
-                // As a request that was never answered: the oracle tells it by its behaviour.
-                self.note(Sent { draft, at }, End::Silence, Instant::now());
+        let part = self.rng.usize(1..draft.bytes.len());
+        if self.write(&draft.bytes[..part]).await {
+            let sent = Sent::now(draft);
+            if self.pause(STALLED_WAIT).await {
+                // The oracle recognizes it by its behaviour.
+                self.record(sent, Outcome::TimedOut);
             }
         }
         false
     }
 
-    /// Waits for a response and notes it; `false`: the connection is over.
+    // ---- Requests and responses ----
+
+    fn draft(&mut self) -> Draft {
+        let number = self.shared.next_request.fetch_add(1, Ordering::Relaxed);
+        let id = format!("{:08x}{number:08x}", self.shared.plan.seed as u32);
+        let class = Class::ALL[self.rng.usize(0..3)];
+        let is_limited = self.rng.u8(0..100) < LIMITED_PERCENT;
+        let limited_customer = is_limited.then(|| self.rng.usize(0..LIMITED_CUSTOMERS));
+        // A client that retries has less time left, down to very little.
+        let is_retry = self.rng.u8(0..10) == 0;
+        let remaining = if is_retry { 0.02 + 0.5 * self.rng.f64() } else { 1.0 };
+        let time_budget = self.shared.plan.deadline * remaining;
+        Draft::new(&self.shared.plan, id, class, limited_customer, time_budget, &mut self.rng)
+    }
+
+    /// Pauses; returns `false` where the connection ended meanwhile.
+    async fn pause(&mut self, pause: Duration) -> bool {
+        let mut discarded = [0; 512];
+        timeout(pause, self.stream.read(&mut discarded)).await.is_err()
+    }
+
+    /// Writes a part of a request; returns `false` where the connection is over, and the part was not written.
+    async fn write(&mut self, bytes: &[u8]) -> bool {
+        matches!(timeout(WRITE_TIMEOUT, self.stream.write_all(bytes)).await, Ok(Ok(())))
+    }
+
+    /// Waits for a response and records the outcome; returns `false` once the connection is over.
     async fn finish(&mut self, sent: Sent) -> bool {
-        let end = self.response(deadline(&sent.draft, sent.at)).await;
-        self.note(sent, end, Instant::now());
-        self.broken.is_none()
+        let outcome = self.response(sent.wait_until()).await;
+        self.record(sent, outcome);
+        self.connection_outcome.is_none()
     }
 
     /// The next response, or how the connection ended.
-    async fn response(&mut self, limit: Instant) -> End {
-        let end = self.read_response(limit).await;
-        if !matches!(end, End::Response { .. }) {
-            self.broken = Some(end.clone());
+    async fn response(&mut self, limit: Instant) -> Outcome {
+        let outcome = self.read_response(limit).await;
+        if !matches!(outcome, Outcome::Response { .. }) {
+            self.connection_outcome = Some(outcome.clone());
         }
-        end
+        outcome
     }
 
-    async fn read_response(&mut self, limit: Instant) -> End {
+    async fn read_response(&mut self, limit: Instant) -> Outcome {
         loop {
-            if let Some((status, body, bytes)) = response(&self.buffer) {
-                self.buffer.drain(..bytes);
-                return End::Response { status, body };
+            if let Some(Response { status, body, len }) = Response::parse(&self.buffer) {
+                self.buffer.drain(..len);
+                return Outcome::Response { status, body };
             }
             match timeout_at(limit, self.stream.read_buf(&mut self.buffer)).await {
-                Err(_) => return End::Silence,
+                Err(_) => return Outcome::TimedOut,
                 Ok(Ok(1..)) => {}
-                Ok(Ok(_)) => return self.end_of_the_rest().await,
-                Ok(Err(_)) => return End::Unread,
+                Ok(Ok(_)) => return self.outcome_of_close().await,
+                Ok(Err(_)) => return Outcome::ResetUnread,
             }
         }
     }
 
-    /// The connection has ended, or is to: whether it is reset, as it is over bytes that nobody read.
-    async fn end_of_the_rest(&mut self) -> End {
-        let limit = Instant::now() + LATE_RESET;
-        let mut scrap = [0; 512];
+    /// After the gateway's close: whether a reset follows, as the gateway left bytes unread.
+    async fn outcome_of_close(&mut self) -> Outcome {
+        let limit = Instant::now() + RESET_WAIT;
+        let mut discarded = [0; 512];
         loop {
             match self.stream.take_error() {
                 Ok(None) => {}
-                _ => return End::Unread,
+                _ => return Outcome::ResetUnread,
             }
             if Instant::now() >= limit {
-                return End::Unanswered;
+                return Outcome::ClosedUnanswered;
             }
-            match self.stream.try_read(&mut scrap) {
-                Err(error) if error.kind() != io::ErrorKind::WouldBlock => return End::Unread,
-                _ => sleep_until(Instant::now() + Duration::from_millis(5)).await,
+            match self.stream.try_read(&mut discarded) {
+                Err(error) if error.kind() != io::ErrorKind::WouldBlock => return Outcome::ResetUnread,
+                _ => sleep_until(Instant::now() + RESET_CHECK_INTERVAL).await,
             }
         }
     }
 
-    fn note(&self, sent: Sent, end: End, ended: Instant) {
+    /// Records a request that ended now.
+    fn record(&self, sent: Sent, outcome: Outcome) {
         let request = Request {
             id: sent.draft.id,
-            life: self.life,
+            incarnation: self.incarnation,
             class: sent.draft.class,
-            capped: sent.draft.capped,
-            sent: sent.at,
-            patience: sent.draft.patience,
-            end,
-            ended,
+            limited_customer: sent.draft.limited_customer,
+            sent_at: sent.at,
+            time_budget: sent.draft.time_budget,
+            outcome,
+            ended_at: Instant::now(),
             behaviour: self.behaviour.name(),
         };
         self.shared.recorder.with(|records| records.requests.push(request));
--- a/crates/soak/src/growth/site.rs
+++ b/crates/soak/src/growth/site.rs
@@ -1,16 +1,18 @@
-//! A gateway process with its backends, discovery, counter and clients, at a size of the fleet.
+//! Runs a gateway process with backends, discovery, counter and clients for one size of the fleet, and measures it.
 
-use super::{FleetSize, Usage};
-use crate::node::{Listed, is_ready};
+use super::fleet_size::FleetSize;
+use super::usage::Usage;
+use crate::endpoint_list::{self, Endpoint, Status};
 use crate::plan::Plan;
+use crate::readiness::is_ready;
 use crate::record::Class;
-use crate::wire::{self, Draft};
+use crate::wire::{self, Draft, NodeConfig, Response};
 use procfs::process::Process;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Stdio;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::process::{Child, Command};
@@ -19,64 +21,66 @@
 use weirusher_fakes::{Agent, Came, Reply, Scripted, counting, frame};
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Requests a second, and the connections that they come on.
-const RATE: f64 = 30.0;
+/// Requests a second of all clients together.
+const REQUEST_RATE: f64 = 30.0;
+/// The number of clients, each with one connection.
 const CLIENTS: usize = 8;
 /// The deadline of the requests, in seconds.
 const DEADLINE: f64 = 2.0;
-/// How long a backend works on a request.
-const WORK: Duration = Duration::from_millis(15);
-/// Between two changes of the list, and the share of the backends that each restarts.
-const CHANGE: Duration = Duration::from_millis(500);
-const CHANGED_SHARE: f64 = 0.01;
-/// How often the process is looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// The longest wait for whatever must come about.
-const LIMIT: Duration = Duration::from_secs(30);
-
-/// How a size is measured.
+/// The response time of the backends.
+const RESPONSE_TIME: Duration = Duration::from_millis(15);
+/// Between two changes of the list.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
+/// The fraction of the backends that restarts at a time.
+const RESTARTED_FRACTION: f64 = 0.01;
+/// How often the process is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+/// The longest wait for readiness, a response, or a poll of the list.
+const TIMEOUT: Duration = Duration::from_secs(30);
+
+/// How a fleet size is measured.
 #[derive(Debug, Clone)]
 pub struct GrowthOptions {
     /// The program.
     pub exe: PathBuf,
     /// For the configuration.
     pub dir: PathBuf,
-    /// How long requests are sent.
-    pub lasts: Duration,
-    /// What the traffic is drawn from.
+    /// For how long requests are sent.
+    pub duration: Duration,
+    /// The traffic is drawn from this.
     pub seed: u64,
 }
 
-/// Runs one gateway of a fleet of this size.
+/// Runs one gateway of a fleet of this size, and returns what it used.
 ///
 /// # Errors
-/// A party does not start, or the process ends early.
+/// A part does not start, the gateway is not ready in time, does not poll the list, or ends early.
 pub async fn measure(size: FleetSize, options: &GrowthOptions) -> io::Result<Usage> {
     let mut backends = Vec::new();
     for _ in 0..size.backends {
-        let script = |_: &_| Reply::After(WORK, frame(200, "", "done"));
+        let script = |_: &_| Reply::After(RESPONSE_TIME, frame(200, "", "done"));
         backends.push(Scripted::start(LOOPBACK, script).await?);
     }
     let mut discovery = Discovery::start(&backends, options.seed).await?;
     let counter = Scripted::start(LOOPBACK, counting()).await?;
-    let mut plan = Plan::new(options.seed, size.gateways, options.lasts.as_secs_f64());
+    let mut plan = Plan::new(options.seed, size.gateways, options.duration.as_secs_f64());
     plan.deadline = DEADLINE;
     let listen = TcpListener::bind(LOOPBACK).await?.local_addr()?;
     let child = start(&plan, listen, &discovery, counter.address, options)?;
     let process = child.id().and_then(|id| Process::new(id as i32).ok());
     let process = process.ok_or_else(|| io::Error::other("the gateway has ended"))?;
     wait_until_ready(listen).await?;
-    let ends = Instant::now() + options.lasts;
+    let end = Instant::now() + options.duration;
     let mut usage = Usage::default();
-    let (sent, served) = tokio::select! {
-        counts = clients(&plan, listen, ends) => counts,
+    let counts = tokio::select! {
+        counts = run_clients(&plan, listen, end) => counts,
         error = discovery.change_until_dropped() => return Err(error),
-        error = look(&process, &mut usage) => return Err(error),
+        error = sample(&process, &mut usage) => return Err(error),
     };
     usage.read(&process).map_err(io::Error::other)?;
     usage.connections = backends.iter().map(Scripted::connections).sum::<u64>() as f64;
     usage.list_bytes = discovery.bytes_sent() as f64;
-    usage.served = f64::from(served) / f64::from(sent).max(1.0);
+    usage.served = f64::from(counts.served) / f64::from(counts.sent).max(1.0);
     Ok(usage)
 }
 
@@ -87,11 +91,16 @@
     counter: SocketAddr,
     options: &GrowthOptions,
 ) -> io::Result<Child> {
-    let known = wire::list(1, &discovery.listed);
-    let address = discovery.agent.address();
-    let text = wire::configuration(plan, 0, listen, address, counter, known, options.seed);
+    let config = NodeConfig {
+        node: 0,
+        listen,
+        discovery: discovery.agent.address(),
+        counter,
+        known: wire::list(1, &discovery.endpoints),
+        seed: options.seed,
+    };
     let file = options.dir.join("growth.json");
-    std::fs::write(&file, text)?;
+    std::fs::write(&file, config.to_json(plan))?;
     Command::new(&options.exe)
         .arg("node")
         .env("NODE_CONFIG", file)
@@ -104,59 +113,68 @@
 async fn wait_until_ready(listen: SocketAddr) -> io::Result<()> {
     let ready = async {
         while !is_ready(listen).await {
-            sleep(LOOK).await;
+            sleep(SAMPLE_INTERVAL).await;
         }
     };
-    timeout(LIMIT, ready).await.map_err(|_| io::Error::other("the gateway is not ready in time"))
+    timeout(TIMEOUT, ready).await.map_err(|_| io::Error::other("the gateway is not ready in time"))
 }
 
-/// Looks at the process again and again; returns what goes wrong.
-async fn look(process: &Process, usage: &mut Usage) -> io::Error {
+/// Samples the usage of the process until that fails; returns the error.
+async fn sample(process: &Process, usage: &mut Usage) -> io::Error {
     loop {
         if let Err(error) = usage.read(process) {
             return io::Error::other(error);
         }
-        sleep(LOOK).await;
+        sleep(SAMPLE_INTERVAL).await;
     }
 }
 
 // ---- Clients ----
 
-/// Requests sent, and those served, by all clients.
-async fn clients(plan: &Plan, listen: SocketAddr, ends: Instant) -> (u32, u32) {
+/// Requests of one or several clients.
+#[derive(Debug, Clone, Copy, Default)]
+struct RequestCounts {
+    sent: u32,
+    /// Those with a response of status 200.
+    served: u32,
+}
+
+/// Runs all clients until `end`.
+async fn run_clients(plan: &Plan, listen: SocketAddr, end: Instant) -> RequestCounts {
     let mut tasks = JoinSet::new();
     for number in 0..CLIENTS {
-        tasks.spawn(client(plan.clone(), listen, ends, number));
+        tasks.spawn(run_client(plan.clone(), listen, end, number));
     }
-    let mut counts = (0, 0);
+    let mut total = RequestCounts::default();
     while let Some(done) = tasks.join_next().await {
-        let (sent, served) = done.unwrap_or_default();
-        counts = (counts.0 + sent, counts.1 + served);
+        let counts = done.unwrap_or_default();
+        total.sent += counts.sent;
+        total.served += counts.served;
     }
-    counts
+    total
 }
 
-/// One client with one connection, which it opens anew where it ends.
-async fn client(plan: Plan, listen: SocketAddr, ends: Instant, number: usize) -> (u32, u32) {
+/// Runs one client with one connection, which it opens again where it ends.
+async fn run_client(plan: Plan, listen: SocketAddr, end: Instant, number: usize) -> RequestCounts {
     let mut rng = fastrand::Rng::with_seed(plan.seed ^ number as u64);
-    let mut ticks = interval(Duration::from_secs_f64(CLIENTS as f64 / RATE));
-    sleep(Duration::from_secs_f64(number as f64 / RATE)).await;
-    let (mut sent, mut served) = (0, 0);
+    let mut ticks = interval(Duration::from_secs_f64(CLIENTS as f64 / REQUEST_RATE));
+    sleep(Duration::from_secs_f64(number as f64 / REQUEST_RATE)).await;
+    let mut counts = RequestCounts::default();
     let mut stream = None;
-    while Instant::now() < ends {
+    while Instant::now() < end {
         ticks.tick().await;
-        let id = format!("{:016x}", (number as u64) << 32 | u64::from(sent));
-        let draft = Draft::new(&plan, id, Class::Safe, None, DEADLINE, &mut rng);
-        sent += 1;
-        let status = timeout(LIMIT, exchange(&mut stream, listen, &draft.bytes)).await;
-        match status {
-            Ok(Ok(status)) => served += u32::from(status == 200),
+        let id = format!("{:016x}", (number as u64) << 32 | u64::from(counts.sent));
+        let draft = Draft::new(&plan, id, Class::Idempotent, None, DEADLINE, &mut rng);
+        counts.sent += 1;
+        match timeout(TIMEOUT, exchange(&mut stream, listen, &draft.bytes)).await {
+            Ok(Ok(status)) => counts.served += u32::from(status == 200),
             _ => stream = None,
         }
     }
-    (sent, served)
+    counts
 }
 
+/// Sends a request and returns the status of its response.
 async fn exchange(stream: &mut Option<TcpStream>, listen: SocketAddr, request: &[u8]) -> io::Result<u16> {
     let stream = match stream {
         Some(stream) => stream,
@@ -168,81 +186,79 @@
         if stream.read_buf(&mut bytes).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        if let Some((status, ..)) = wire::response(&bytes) {
-            return Ok(status);
+        if let Some(response) = Response::parse(&bytes) {
+            return Ok(response.status);
         }
     }
 }
 
 // ---- Discovery ----
 
-/// Discovery's agent, which tells changes: a part of the backends restarts in each step.
+/// Discovery's agent, which publishes changes: in each step a fraction of the backends restarts.
 struct Discovery {
     agent: Agent,
-    listed: Listed,
-    /// Bytes of each version, the first from version 1 on.
-    sizes: Vec<usize>,
+    endpoints: Vec<Endpoint>,
+    /// The length of each version in bytes, from version 1 on.
+    version_sizes: Vec<usize>,
     /// Draws the backends of each step.
     rng: fastrand::Rng,
 }
 
 impl Discovery {
     async fn start(backends: &[Scripted], seed: u64) -> io::Result<Self> {
-        let entry = |(number, backend): (usize, &Scripted)| (number, backend.address, "SERVING", 0);
-        let listed: Listed = backends.iter().enumerate().map(entry).collect();
-        let list = wire::list(1, &listed).to_string();
-        let sizes = vec![list.len()];
+        let endpoints = endpoint_list::serving(backends.iter().map(|backend| backend.address));
+        let list = wire::list(1, &endpoints).to_string();
+        let version_sizes = vec![list.len()];
         let agent = Agent::start(LOOPBACK, 1, list).await?;
         let rng = fastrand::Rng::with_seed(seed);
-        Ok(Self { agent, listed, sizes, rng })
+        Ok(Self { agent, endpoints, version_sizes, rng })
     }
 
-    /// Tells a change each step, for ever; returns what goes wrong.
+    /// Publishes a change in each interval until the gateway does not poll; returns the error.
     async fn change_until_dropped(&mut self) -> io::Error {
         loop {
-            let restarting = self.rng.choose_multiple(0..self.listed.len(), self.step());
-            for status in ["DRAINING", "SERVING"] {
-                sleep(CHANGE).await;
-                let index = self.tell(&restarting, status);
-                if timeout(LIMIT, self.agent.taken(index)).await.is_err() {
-                    return io::Error::other("the gateway does not ask for changes");
+            let restarting = self.rng.choose_multiple(0..self.endpoints.len(), self.restart_count());
+            for status in [Status::Draining, Status::Serving] {
+                sleep(CHANGE_INTERVAL).await;
+                let index = self.publish(&restarting, status);
+                if timeout(TIMEOUT, self.agent.taken(index)).await.is_err() {
+                    return io::Error::other("the gateway does not poll the list");
                 }
             }
         }
     }
 
-    fn step(&self) -> usize {
-        ((self.listed.len() as f64 * CHANGED_SHARE) as usize).max(1)
+    fn restart_count(&self) -> usize {
+        ((self.endpoints.len() as f64 * RESTARTED_FRACTION) as usize).max(1)
     }
 
-    /// Tells backends, by their places, in another state, as a change; returns its version.
-    fn tell(&mut self, places: &[usize], status: &'static str) -> u64 {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+    /// Publishes a change that gives the endpoints at `positions` another status; returns its version.
+    fn publish(&mut self, positions: &[usize], status: Status) -> u64 {
         let mut changed = Vec::new();
-        for place in places {
-            let entry = &mut self.listed[*place];
-            entry.2 = status;
-            if status == "SERVING" {
-                entry.3 = now;
+        for position in positions {
+            let endpoint = &mut self.endpoints[*position];
+            match status {
+                Status::Serving => endpoint.restart(),
+                Status::Draining => endpoint.status = status,
             }
-            changed.push(*entry);
+            changed.push(*endpoint);
         }
-        let index = self.sizes.len() as u64 + 1;
+        let index = self.version_sizes.len() as u64 + 1;
         let mut change = wire::list(index, &changed);
         change["snapshot"] = false.into();
         let text = change.to_string();
-        self.sizes.push(text.len());
+        self.version_sizes.push(text.len());
         self.agent.tell(index, text);
         index
     }
 
-    /// Bytes of lists that were sent: of each call that has its answer, what it was answered.
+    /// Bytes of lists and changes that were sent in response to polls.
     fn bytes_sent(&self) -> usize {
         let sent = |came: &Came| {
             let query = came.request.path.split_once('?').map_or("", |(_, query)| query);
             let since = query.split('&').find_map(|pair| pair.strip_prefix("since=")?.parse::<usize>().ok());
-            // A call that names a version is answered with the one behind it; another with the first.
-            self.sizes.get(since.unwrap_or(0)).copied().unwrap_or(0)
+            // A poll that names a version gets the next one; another gets the first.
+            self.version_sizes.get(since.unwrap_or(0)).copied().unwrap_or(0)
         };
         self.agent.came().iter().map(sent).sum()
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,9 +1,9 @@
-//! Plays soaks of many seeds, one behind another, and prints what they found.
+//! Runs soaks of several seeds, one after another, and prints their reports.
 
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use weirusher_soak::{Options, Plan, run};
+use weirusher_soak::{Options, Plan, Report, run};
 
 /// A randomized fault soak of many gateway processes.
 #[derive(Parser)]
@@ -14,16 +14,16 @@
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// How many seeds.
+    /// The number of seeds.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Gateway processes, 10 to 40; drawn from the seed without it.
+    /// The number of gateway processes; by default 10 to 40, by the seed.
     #[arg(long)]
     nodes: Option<usize>,
     /// Seconds for which clients begin requests.
     #[arg(long, default_value_t = 15.0)]
     seconds: f64,
-    /// Keeps configurations and logs of soaks that found something here.
+    /// The directory for configurations and logs of soaks with findings; without it they are deleted.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
@@ -31,22 +31,28 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let mut found = 0;
+    let mut with_findings = 0;
     for seed in arguments.from..arguments.from + arguments.seeds {
-        let nodes = arguments.nodes.unwrap_or(10 + (seed as usize * 7) % 31);
-        match play(&arguments, Plan::new(seed, nodes, arguments.seconds)).await {
-            Ok(findings) => found += usize::from(findings > 0),
+        let nodes = arguments.nodes.unwrap_or_else(|| default_nodes(seed));
+        match run_seed(&arguments, Plan::new(seed, nodes, arguments.seconds)).await {
+            Ok(report) => with_findings += usize::from(!report.findings.is_empty()),
             Err(error) => {
                 eprintln!("seed {seed}: {error}");
                 return ExitCode::from(2);
             }
         }
     }
-    println!("{} seeds, {found} with findings", arguments.seeds);
-    ExitCode::from(u8::from(found > 0))
+    println!("{} seeds, {with_findings} with findings", arguments.seeds);
+    ExitCode::from(u8::from(with_findings > 0))
 }
 
-async fn play(arguments: &Arguments, plan: Plan) -> std::io::Result<usize> {
+/// 10 to 40 processes.
+fn default_nodes(seed: u64) -> usize {
+    10 + (seed as usize * 7) % 31
+}
+
+/// Runs a plan, prints its report, and keeps its files where there are findings.
+async fn run_seed(arguments: &Arguments, plan: Plan) -> std::io::Result<Report> {
     let dir = tempfile::tempdir()?;
     let name = format!("seed-{}", plan.seed);
     let options = Options { exe: arguments.exe.clone(), dir: dir.path().to_path_buf() };
@@ -56,5 +62,5 @@
         std::fs::create_dir_all(keep)?;
         std::fs::rename(dir.keep(), keep.join(name))?;
     }
-    Ok(report.findings.len())
+    Ok(report)
 }
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,54 +1,66 @@
-//! A gateway process, what it reaches others by, and its log.
+//! A gateway: its process, its configuration, and its connections to discovery and the counter.
 
+use crate::endpoint_list::Endpoint;
 use crate::plan::Plan;
-use crate::record::{Life, Notice, Process, Recorder};
+use crate::readiness::is_ready;
+use crate::record::{BackendUpdate, Deferral, Exit, Incarnation, Kill, Process, Recorder};
 use crate::wire;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::fs::OpenOptions;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::os::unix::process::ExitStatusExt;
 use std::path::PathBuf;
-use std::process::Stdio;
+use std::process::{ExitStatus, Stdio};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
+use tokio::net::TcpListener;
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 use weirusher_fakes::{Agent, Link};
 use weirusher_fault_shim::FaultShim;
 
-/// After SIGHUP what discovery has to tell counts as told so much later.
-const RELOAD: Duration = Duration::from_secs(4);
-/// After SIGHUP the old addresses close their connections so much later.
-const OLD_ADDRESS: Duration = Duration::from_millis(1500);
+/// After SIGHUP a node may learn of updates so much later.
+const RELOAD_GRACE: Duration = Duration::from_secs(4);
+/// After SIGHUP the old addresses of discovery and counter reset their connections so much later.
+const OLD_ADDRESS_RESET_DELAY: Duration = Duration::from_millis(1500);
 /// From a process's end to the start of the next.
-const RESTART: Duration = Duration::from_millis(200);
-/// The longest that a process may take to be ready, and how often it is asked.
-const READY: (Duration, Duration) = (Duration::from_secs(10), Duration::from_millis(10));
+const RESTART_DELAY: Duration = Duration::from_millis(200);
+/// The longest that a process may take to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often a starting process is asked whether it is ready.
+const READY_INTERVAL: Duration = Duration::from_millis(10);
+const LOCALHOST: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Whether clients may come.
+/// Whether clients may open connections to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
+pub enum Availability {
     /// It is not ready, or has ended.
-    Closed,
+    Unavailable,
     /// It serves.
-    Open(Life),
-    /// It was told to stop then: the front still opens connections for a moment.
-    Stopping(Life, Instant),
+    Ready(Incarnation),
+    /// It was sent SIGTERM at this time; clients still open connections for a moment.
+    Stopping(Incarnation, Instant),
 }
 
-/// Backends as they are listed: number, address, status, last start.
-pub type Listed = Vec<(usize, SocketAddr, &'static str, u64)>;
-
-/// What a node's agent has.
-struct Held {
+/// What discovery's agent of a node serves.
+struct AgentState {
+    /// The version of the list.
     index: u64,
-    listed: Listed,
-    silent: bool,
+    endpoints: Vec<Endpoint>,
+    /// It answers nothing at present.
+    is_silent: bool,
+}
+
+/// The process of a node.
+#[derive(Debug, Clone, Copy, Default)]
+struct Running {
+    /// Its id; `None`: no process runs.
+    id: Option<u32>,
+    /// How many processes were started so far.
+    started: usize,
 }
 
 /// A node: one gateway process at a time.
@@ -57,101 +69,101 @@
     pub listen: SocketAddr,
     /// The faults of its clock and system calls.
     pub shim: FaultShim,
-    /// Whether clients may come.
-    pub door: watch::Sender<Door>,
-    /// Its two ways to discovery's agent, one of them in use.
+    /// Whether clients may connect.
+    pub availability: watch::Sender<Availability>,
+    /// Two addresses of discovery's agent, one of them in use.
     pub discovery: [Link; 2],
-    /// Its two ways to the counter, one of them in use.
+    /// Two addresses of the counter, one of them in use.
     pub counter: [Link; 2],
-    /// Its log, of all its processes.
+    /// The log of all its processes.
     pub log: PathBuf,
-    /// Held while a signal is dealt with.
-    pub busy: tokio::sync::Mutex<()>,
+    /// Held while a fault signals the process.
+    pub signal_lock: tokio::sync::Mutex<()>,
     number: usize,
     plan: Plan,
     recorder: Recorder,
     agent: Agent,
-    held: Mutex<Held>,
+    agent_state: Mutex<AgentState>,
     exe: PathBuf,
     config: PathBuf,
-    side: Mutex<usize>,
-    /// The process that runs, and how many there were.
-    process: watch::Sender<(Option<u32>, usize)>,
+    /// Which of the two addresses of discovery and counter are configured.
+    active_link: Mutex<usize>,
+    running: watch::Sender<Running>,
 }
 
-/// What a node is made of beside its own.
-pub struct Site {
+/// What the nodes of a soak have in common.
+pub struct NodeOptions {
     /// The program.
     pub exe: PathBuf,
     /// For configurations and logs.
     pub dir: PathBuf,
     /// The counter.
     pub counter: SocketAddr,
-    /// The backends.
-    pub listed: Listed,
+    /// The backends at the start.
+    pub endpoints: Vec<Endpoint>,
     /// The soak.
     pub plan: Plan,
-    /// What is recorded.
+    /// Records what happens.
     pub recorder: Recorder,
 }
 
-/// Asks as the front does whether a node is ready.
-pub async fn is_ready(listen: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(listen).await else { return false };
-    let ask = b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    let mut answer = [0; 12];
-    stream.write_all(ask).await.is_ok()
-        && stream.read_exact(&mut answer).await.is_ok()
-        && answer.ends_with(b"200")
-}
-
 impl Node {
-    /// A node that is not started yet.
-    pub async fn new(site: &Site, number: usize) -> io::Result<Arc<Self>> {
-        // Taken from the kernel and given back, at an address of this node alone: nobody else binds there.
+    /// A node whose process is not started yet.
+    ///
+    /// # Errors
+    /// An address cannot be bound.
+    pub async fn new(options: &NodeOptions, number: usize) -> io::Result<Arc<Self>> {
+        // The port is released again; nothing else binds to this address, which only this node uses.
         let [_, _, high, low] = std::process::id().to_be_bytes();
         let own = SocketAddr::from(([127, high.max(1), low, number as u8 + 1], 0));
-        let listen = tokio::net::TcpListener::bind(own).await?.local_addr()?;
-        let list = wire::list(1, &site.listed).to_string();
-        let agent = Agent::start(SocketAddr::from(([127, 0, 0, 1], 0)), 1, list).await?;
+        let listen = TcpListener::bind(own).await?.local_addr()?;
+        let list = wire::list(1, &options.endpoints).to_string();
+        let agent = Agent::start(LOCALHOST, 1, list).await?;
         let discovery =
             [Link::start(Some(agent.address())).await?, Link::start(Some(agent.address())).await?];
-        let counter = [Link::start(Some(site.counter)).await?, Link::start(Some(site.counter)).await?];
+        let counter = [Link::start(Some(options.counter)).await?, Link::start(Some(options.counter)).await?];
+        let agent_state = AgentState { index: 1, endpoints: options.endpoints.clone(), is_silent: false };
         Ok(Arc::new(Self {
             listen,
             shim: FaultShim::new()?,
-            door: watch::Sender::new(Door::Closed),
+            availability: watch::Sender::new(Availability::Unavailable),
             discovery,
             counter,
-            log: site.dir.join(format!("n{number}.log")),
-            busy: tokio::sync::Mutex::new(()),
+            log: options.dir.join(format!("n{number}.log")),
+            signal_lock: tokio::sync::Mutex::new(()),
             number,
-            plan: site.plan.clone(),
-            recorder: site.recorder.clone(),
+            plan: options.plan.clone(),
+            recorder: options.recorder.clone(),
             agent,
-            held: Mutex::new(Held { index: 1, listed: site.listed.clone(), silent: false }),
-            exe: site.exe.clone(),
-            config: site.dir.join(format!("n{number}.json")),
-            side: Mutex::new(0),
-            process: watch::Sender::new((None, 0)),
+            agent_state: Mutex::new(agent_state),
+            exe: options.exe.clone(),
+            config: options.dir.join(format!("n{number}.json")),
+            active_link: Mutex::new(0),
+            running: watch::Sender::default(),
         }))
     }
 
-    /// The life that runs, or ran last.
-    fn life(&self) -> Life {
-        Life { node: self.number, number: self.process.borrow().1.saturating_sub(1) }
+    /// The process that runs, or ran last.
+    fn incarnation(&self) -> Incarnation {
+        Incarnation { node: self.number, number: self.running.borrow().started.saturating_sub(1) }
     }
 
     fn write_config(&self) -> io::Result<()> {
-        let side = *self.side.lock().expect("no holder panics");
+        let active = *self.active_link.lock().expect("no task panics while it has the lock");
         let known = {
-            let held = self.held.lock().expect("no holder panics");
-            wire::list(held.index, &held.listed)
+            let agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
+            wire::list(agent_state.index, &agent_state.endpoints)
         };
-        let (discovery, counter) = (self.discovery[side].address, self.counter[side].address);
-        let seed = fastrand::u64(..);
-        let text = wire::configuration(&self.plan, self.number, self.listen, discovery, counter, known, seed);
-        // At once, as an operator would: a process that reads it finds the old one or the new one.
+        let text = wire::NodeConfig {
+            node: self.number,
+            listen: self.listen,
+            discovery: self.discovery[active].address,
+            counter: self.counter[active].address,
+            known,
+            seed: fastrand::u64(..),
+        }
+        .to_json(&self.plan);
+        // Renamed into place: a process that reads it finds the old file or the new one.
         let new = self.config.with_extension("new");
         std::fs::write(&new, text)?;
         std::fs::rename(new, &self.config)
@@ -159,7 +171,10 @@
 
     // ---- Its process ----
 
-    /// Starts a process; the door opens once it is ready.
+    /// Starts a process; the node is available once it is ready.
+    ///
+    /// # Errors
+    /// The configuration or log cannot be written, or the program does not start.
     pub async fn start(self: &Arc<Self>) -> io::Result<()> {
         self.write_config()?;
         let log = OpenOptions::new().create(true).append(true).open(&self.log)?;
@@ -173,170 +188,207 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        self.process.send_modify(|(id, lives)| (*id, *lives) = (child.id(), *lives + 1));
-        let (life, now) = (self.life(), Instant::now());
-        // What its agent has counts as told from its first moment on.
-        let listed = self.held.lock().expect("no holder panics").listed.clone();
-        let notice = |entry: &(usize, SocketAddr, &'static str, u64)| Notice {
+        self.running
+            .send_modify(|running| *running = Running { id: child.id(), started: running.started + 1 });
+        let incarnation = self.incarnation();
+        self.record_start(incarnation);
+        tokio::spawn(self.clone().wait_for_exit(child, incarnation));
+        tokio::spawn(self.clone().wait_until_ready(incarnation));
+        Ok(())
+    }
+
+    /// Records a new process. It counts as notified of the agent's list from its start on.
+    fn record_start(&self, incarnation: Incarnation) {
+        let now = Instant::now();
+        let endpoints =
+            self.agent_state.lock().expect("no task panics while it has the lock").endpoints.clone();
+        let update = |endpoint: &Endpoint| BackendUpdate {
             at: now,
-            backend: entry.0,
-            serving: entry.2 == "SERVING",
+            backend: endpoint.number,
+            serving: endpoint.is_serving(),
         };
-        let notices = listed.iter().map(notice).collect();
-        let process =
-            Process { started: now, term: None, killed: None, ended: None, notices, deferred: Vec::new() };
-        self.recorder.with(|records| records.processes.insert(life, process));
-        tokio::spawn(self.clone().follow(child, life));
-        tokio::spawn(self.clone().open(life));
-        Ok(())
+        let process = Process {
+            started_at: now,
+            terminated_at: None,
+            kill: None,
+            exit: None,
+            backend_updates: endpoints.iter().map(update).collect(),
+            deferrals: Vec::new(),
+        };
+        self.recorder.with(|records| records.processes.insert(incarnation, process));
     }
 
-    /// Follows a process to its end.
-    async fn follow(self: Arc<Self>, mut child: Child, life: Life) {
+    /// Records the end of a process.
+    async fn wait_for_exit(self: Arc<Self>, mut child: Child, incarnation: Incarnation) {
         let status = child.wait().await;
-        let killed = |status: &std::process::ExitStatus| status.signal() == Some(Signal::SIGKILL as i32);
-        let in_order = status.is_ok_and(|status| status.success() || killed(&status));
-        self.recorder.process(life, |process| process.ended = Some((Instant::now(), in_order)));
-        self.door.send_replace(Door::Closed);
-        self.process.send_modify(|(id, _)| *id = None);
+        let was_killed = |status: &ExitStatus| status.signal() == Some(Signal::SIGKILL as i32);
+        let is_expected = status.is_ok_and(|status| status.success() || was_killed(&status));
+        let exit = Exit { at: Instant::now(), is_expected };
+        self.recorder.update_process(incarnation, |process| process.exit = Some(exit));
+        self.availability.send_replace(Availability::Unavailable);
+        self.running.send_modify(|running| running.id = None);
     }
 
-    /// Asks as the front does whether it is ready, and lets clients come then.
-    async fn open(self: Arc<Self>, life: Life) {
+    /// Makes the node available once its process is ready, unless that is stopping by then.
+    async fn wait_until_ready(self: Arc<Self>, incarnation: Incarnation) {
         let ready = async {
             while !is_ready(self.listen).await {
-                sleep(READY.1).await;
+                sleep(READY_INTERVAL).await;
             }
         };
-        if timeout(READY.0, ready).await.is_ok() {
-            let stopping =
-                self.recorder.with(|r| r.processes.get(&life).is_none_or(|process| process.term.is_some()));
-            if !stopping && self.life() == life && self.process.borrow().0.is_some() {
-                self.door.send_replace(Door::Open(life));
-            }
+        if timeout(READY_TIMEOUT, ready).await.is_err() {
+            return;
+        }
+        let is_stopping = self.recorder.with(|records| {
+            records.processes.get(&incarnation).is_none_or(|process| process.terminated_at.is_some())
+        });
+        if !is_stopping && self.incarnation() == incarnation && self.running.borrow().id.is_some() {
+            self.availability.send_replace(Availability::Ready(incarnation));
         }
     }
 
-    /// Sends a signal to the process that runs; `false`: there is none.
+    /// Sends a signal to the process that runs; returns `false` where there is none.
     pub fn signal(&self, signal: Signal) -> bool {
-        let id = self.process.borrow().0;
+        let id = self.running.borrow().id;
         id.is_some_and(|id| kill(Pid::from_raw(id as i32), signal).is_ok())
     }
 
-    async fn until_ended(&self) {
-        let mut process = self.process.subscribe();
-        let _ = process.wait_for(|(id, _)| id.is_none()).await; // The sender lives as long as this.
+    /// Waits until no process runs.
+    async fn ended(&self) {
+        let mut running = self.running.subscribe();
+        let _ = running.wait_for(|running| running.id.is_none()).await; // `self` owns the sender: no error.
     }
 
-    /// SIGTERM, SIGKILL at the earliest moment, and a new process.
+    /// Stops the process and starts another.
+    ///
+    /// # Errors
+    /// As [`Node::start`].
     pub async fn restart(self: &Arc<Self>) -> io::Result<()> {
-        self.end().await;
-        sleep(RESTART).await;
+        self.stop().await;
+        sleep(RESTART_DELAY).await;
         self.start().await
     }
 
-    /// SIGTERM, and SIGKILL at the earliest moment.
-    pub async fn end(&self) {
-        let (life, now) = (self.life(), Instant::now());
-        self.recorder.process(life, |process| process.term = Some(now));
-        self.door.send_replace(Door::Stopping(life, now));
+    /// Sends SIGTERM, and SIGKILL as early as the platform may.
+    pub async fn stop(&self) {
+        let (incarnation, now) = (self.incarnation(), Instant::now());
+        self.recorder.update_process(incarnation, |process| process.terminated_at = Some(now));
+        self.availability.send_replace(Availability::Stopping(incarnation, now));
         if !self.signal(Signal::SIGTERM) {
             return;
         }
-        if timeout(self.plan.kill_after(), self.until_ended()).await.is_err() {
-            self.recorder.process(life, |process| process.killed = Some((Instant::now(), false)));
+        if timeout(self.plan.kill_after(), self.ended()).await.is_err() {
+            let kill = Kill { at: Instant::now(), is_crash: false };
+            self.recorder.update_process(incarnation, |process| process.kill = Some(kill));
             self.signal(Signal::SIGKILL);
-            self.until_ended().await;
+            self.ended().await;
         }
     }
 
-    /// SIGKILL, and a new process.
+    /// Kills the process and starts another.
+    ///
+    /// # Errors
+    /// As [`Node::start`].
     pub async fn crash(self: &Arc<Self>) -> io::Result<()> {
-        let life = self.life();
-        self.recorder.process(life, |process| process.killed = Some((Instant::now(), true)));
+        let kill = Kill { at: Instant::now(), is_crash: true };
+        self.recorder.update_process(self.incarnation(), |process| process.kill = Some(kill));
         self.signal(Signal::SIGKILL);
-        self.until_ended().await;
-        sleep(RESTART).await;
+        self.ended().await;
+        sleep(RESTART_DELAY).await;
         self.start().await
     }
 
-    /// A new configuration that moves discovery and the counter; the old addresses take no new connection, and close
-    /// the open ones later.
+    // ---- Its configuration ----
+
+    /// Reloads a configuration with other addresses of discovery and counter. The old addresses refuse new connections,
+    /// and reset the open ones later.
+    ///
+    /// # Errors
+    /// The configuration cannot be written.
     pub async fn reload(&self) -> io::Result<()> {
         let old = {
-            let mut side = self.side.lock().expect("no holder panics");
-            *side = 1 - *side;
-            1 - *side
+            let mut active = self.active_link.lock().expect("no task panics while it has the lock");
+            *active = 1 - *active;
+            1 - *active
         };
         self.write_config()?;
-        let (life, now) = (self.life(), Instant::now());
-        self.recorder.process(life, |process| process.deferred.push((now, now + RELOAD)));
+        let now = Instant::now();
+        self.record_deferral(Deferral { from: now, until: now + RELOAD_GRACE });
         for links in [&self.discovery, &self.counter] {
             links[1 - old].set(|fault| fault.refuse = false);
             links[old].set(|fault| fault.refuse = true);
         }
         self.signal(Signal::SIGHUP);
-        sleep(OLD_ADDRESS).await;
+        sleep(OLD_ADDRESS_RESET_DELAY).await;
         for links in [&self.discovery, &self.counter] {
             links[old].reset();
         }
         Ok(())
     }
 
-    /// No connection could be made since then: what was told meanwhile counts from now on.
-    pub fn was_cut_off(&self, since: Instant) {
-        let now = Instant::now();
-        self.recorder.process(self.life(), |process| process.deferred.push((since, now)));
-    }
-
-    /// A file that cannot be used, and then the last one again.
-    pub fn bad_reload(&self, text: &str) -> io::Result<()> {
+    /// Writes a configuration that cannot be used, and has the process reload it.
+    ///
+    /// # Errors
+    /// The file cannot be written.
+    pub fn reload_invalid(&self, text: &str) -> io::Result<()> {
         std::fs::write(&self.config, text)?;
         self.signal(Signal::SIGHUP);
         Ok(())
     }
 
-    /// The configuration as it should be.
-    pub fn mend_config(&self) -> io::Result<()> {
+    /// Writes the valid configuration again, without a reload.
+    ///
+    /// # Errors
+    /// The file cannot be written.
+    pub fn restore_config(&self) -> io::Result<()> {
         self.write_config()
     }
 
     // ---- Discovery ----
 
-    /// The list of backends changes.
-    pub fn tell(&self, listed: &Listed) {
-        let mut held = self.held.lock().expect("no holder panics");
-        held.index += 1;
-        held.listed = listed.clone();
-        if !held.silent {
-            self.pass_on(&held);
+    /// The process could not open connections since `from`: updates since then count from now on.
+    pub fn record_outage(&self, from: Instant) {
+        self.record_deferral(Deferral { from, until: Instant::now() });
+    }
+
+    fn record_deferral(&self, deferral: Deferral) {
+        self.recorder.update_process(self.incarnation(), |process| process.deferrals.push(deferral));
+    }
+
+    /// Discovery has a new list of backends.
+    pub fn publish(&self, endpoints: &[Endpoint]) {
+        let mut agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
+        agent_state.index += 1;
+        agent_state.endpoints = endpoints.to_vec();
+        if !agent_state.is_silent {
+            self.send_list(&agent_state);
         }
     }
 
-    /// The agent has a list: from now on it counts as told.
-    fn pass_on(&self, held: &Held) {
-        let now = Instant::now();
-        self.agent.tell(held.index, wire::list(held.index, &held.listed).to_string());
-        let notice = |entry: &(usize, SocketAddr, &'static str, u64)| (entry.0, entry.2 == "SERVING");
-        let now_told: Vec<_> = held.listed.iter().map(notice).collect();
-        self.recorder.process(self.life(), |process| {
-            for (backend, serving) in now_told {
-                let last = process.notices.iter().rev().find(|notice| notice.backend == backend);
+    /// Gives the agent its list, and records the changes: from now on the process counts as notified.
+    fn send_list(&self, agent_state: &AgentState) {
+        let at = Instant::now();
+        let list = wire::list(agent_state.index, &agent_state.endpoints).to_string();
+        self.agent.tell(agent_state.index, list);
+        self.recorder.update_process(self.incarnation(), |process| {
+            for endpoint in &agent_state.endpoints {
+                let (backend, serving) = (endpoint.number, endpoint.is_serving());
+                let last = process.backend_updates.iter().rev().find(|update| update.backend == backend);
                 if last.is_none_or(|last| last.serving != serving) {
-                    process.notices.push(Notice { at: now, backend, serving });
+                    process.backend_updates.push(BackendUpdate { at, backend, serving });
                 }
             }
         });
     }
 
-    /// The agent answers nothing for a while, and learns nothing.
-    pub async fn silence(&self, lasts: Duration) {
-        self.held.lock().expect("no holder panics").silent = true;
+    /// The agent answers nothing for a while, and gets no list.
+    pub async fn silence_discovery(&self, duration: Duration) {
+        self.agent_state.lock().expect("no task panics while it has the lock").is_silent = true;
         self.agent.fall_silent();
-        sleep(lasts).await;
-        let mut held = self.held.lock().expect("no holder panics");
-        held.silent = false;
+        sleep(duration).await;
+        let mut agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
+        agent_state.is_silent = false;
         self.agent.come_back();
-        self.pass_on(&held);
+        self.send_list(&agent_state);
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,65 +1,76 @@
-//! What a soak plays, drawn from its seed.
+//! What a soak does, drawn from its seed.
 
 use std::time::Duration;
 
-/// Shortest and longest deadline of a deployment, in seconds.
-const DEADLINE: (f64, f64) = (1.0, 3.5);
-/// Most seconds of the deadline that the platform waits for after SIGTERM, and how many more.
-const LONGEST_COUNTED: f64 = 3.0;
+/// The shortest and longest deadline of a deployment, in seconds.
+const DEADLINE_RANGE: (f64, f64) = (1.0, 3.5);
+/// After SIGTERM the platform waits for the deadline, at most this many seconds,
+const MAX_SHUTDOWN_DEADLINE: f64 = 3.0;
+/// and this many more before SIGKILL.
 const KILL_MARGIN: f64 = 0.7;
-/// Seconds in which nothing goes wrong, at the beginning.
-const CALM: f64 = 1.0;
+/// Seconds without faults at the start.
+const FAULT_FREE: f64 = 1.0;
+/// The shortest fault, and the most that the draw adds to it, in seconds.
+const FAULT_DURATION: (f64, f64) = (0.05, 2.5);
+/// On average each process has a fault every so many seconds: several faults overlap at any time.
+const FAULT_INTERVAL: f64 = 3.0;
+/// The least number of faults.
+const MIN_FAULTS: usize = 4;
+/// The least number of backends. Larger fleets may have one more for each [`NODES_PER_BACKEND`] nodes.
+const MIN_BACKENDS: usize = 4;
+const NODES_PER_BACKEND: usize = 4;
+const CLIENTS_PER_NODE: usize = 8;
 
-/// A kind of fault, with what it needs beside its target.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Kind {
-    /// SIGTERM, and SIGKILL at the earliest moment.
+pub enum FaultKind {
+    /// A graceful shutdown (SIGTERM, and SIGKILL as early as the platform may), and a new process.
     Restart,
-    /// SIGKILL.
+    /// SIGKILL, and a new process.
     Crash,
-    /// The process does not run for a moment, or for longer.
+    /// The process is stopped for a moment (SIGSTOP, SIGCONT).
     Pause,
-    /// SIGHUP with a configuration that moves discovery and counter.
+    /// SIGHUP with a configuration that has other addresses of discovery and counter.
     Reload,
-    /// SIGHUP with a file that cannot be used.
-    BadReload,
-    /// Discovery's agent is silent.
+    /// SIGHUP with a file that is no valid configuration.
+    InvalidReload,
+    /// Discovery's agent answers nothing.
     SilentDiscovery,
     /// Connections to discovery's agent are reset.
     ResetDiscovery,
-    /// The counter is not reached from a node.
-    CutCounter,
-    /// The counter is slow for all.
+    /// A node cannot reach the counter.
+    CounterUnreachable,
+    /// The counter is slow for all nodes.
     SlowCounter,
-    /// A backend hangs, or answers in all the wrong ways.
+    /// Some responses of a backend are invalid, late or missing.
     SickBackend,
-    /// Each answer of a backend is late, some past every deadline.
+    /// A backend responds to nothing.
     HungBackend,
-    /// A backend is told to leave, leaves, and comes back anew.
+    /// A backend is drained, removed from the list, and restarted.
     DrainBackend,
     /// A backend's connections break, and new ones are refused.
     DownBackend,
     /// A system call of a node fails.
     SystemCall,
-    /// Reads and writes of a node are short.
+    /// Reads and writes of a node transfer few bytes at once.
     ShortTransfers,
-    /// Each reading of the clock of a node may be followed by a hold-up.
-    HeldUp,
+    /// A node is delayed after it has read its clock.
+    ProcessingDelay,
     /// The wall clock of a node is stepped.
     ClockStep,
 }
 
-impl Kind {
+impl FaultKind {
     /// All kinds.
     pub const ALL: [Self; 17] = [
         Self::Restart,
         Self::Crash,
         Self::Pause,
         Self::Reload,
-        Self::BadReload,
+        Self::InvalidReload,
         Self::SilentDiscovery,
         Self::ResetDiscovery,
-        Self::CutCounter,
+        Self::CounterUnreachable,
         Self::SlowCounter,
         Self::SickBackend,
         Self::HungBackend,
@@ -67,7 +78,7 @@
         Self::DownBackend,
         Self::SystemCall,
         Self::ShortTransfers,
-        Self::HeldUp,
+        Self::ProcessingDelay,
         Self::ClockStep,
     ];
 
@@ -77,11 +88,21 @@
             Self::Restart => 6,
             Self::SystemCall | Self::DrainBackend | Self::SickBackend => 4,
             Self::HungBackend | Self::Reload => 3,
-            Self::SlowCounter | Self::DownBackend | Self::BadReload => 1,
+            Self::SlowCounter | Self::DownBackend | Self::InvalidReload => 1,
             _ => 2,
         }
     }
 
+    fn draw(rng: &mut fastrand::Rng) -> Self {
+        let mut remaining = rng.u32(0..Self::ALL.into_iter().map(Self::weight).sum());
+        let is_drawn = |kind: &Self| {
+            let found = remaining < kind.weight();
+            remaining = remaining.saturating_sub(kind.weight());
+            found
+        };
+        Self::ALL.into_iter().find(is_drawn).unwrap_or(Self::Restart)
+    }
+
     /// Its name in reports.
     pub fn name(self) -> &'static str {
         match self {
@@ -89,10 +110,10 @@
             Self::Crash => "crash",
             Self::Pause => "pause",
             Self::Reload => "reload",
-            Self::BadReload => "bad_reload",
+            Self::InvalidReload => "bad_reload",
             Self::SilentDiscovery => "silent_discovery",
             Self::ResetDiscovery => "reset_discovery",
-            Self::CutCounter => "cut_counter",
+            Self::CounterUnreachable => "cut_counter",
             Self::SlowCounter => "slow_counter",
             Self::SickBackend => "sick_backend",
             Self::HungBackend => "hung_backend",
@@ -100,23 +121,33 @@
             Self::DownBackend => "down_backend",
             Self::SystemCall => "system_call",
             Self::ShortTransfers => "short_transfers",
-            Self::HeldUp => "held_up",
+            Self::ProcessingDelay => "held_up",
             Self::ClockStep => "clock_step",
         }
     }
 }
 
-/// A fault at a time.
+/// A fault of a plan.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Planned {
-    /// When it begins.
+pub struct PlannedFault {
+    /// When it begins, since the start of the clients.
     pub at: Duration,
-    /// How long it lasts, where it does.
-    pub lasts: Duration,
-    /// What it is.
-    pub kind: Kind,
-    /// Draws its target and its details.
-    pub draw: u64,
+    /// How long it lasts, where its kind has a duration.
+    pub duration: Duration,
+    /// Its kind.
+    pub kind: FaultKind,
+    /// Its target and details are drawn from this.
+    pub seed: u64,
+}
+
+impl PlannedFault {
+    fn draw(rng: &mut fastrand::Rng, seconds: f64) -> Self {
+        let kind = FaultKind::draw(rng);
+        let at = Duration::from_secs_f64(FAULT_FREE + rng.f64() * (seconds - FAULT_FREE).max(0.1));
+        let (shortest, added) = FAULT_DURATION;
+        let duration = Duration::from_secs_f64(shortest + added * rng.f64() * rng.f64());
+        Self { at, duration, kind, seed: rng.u64(..) }
+    }
 }
 
 /// A soak.
@@ -124,57 +155,44 @@
 pub struct Plan {
     /// What it was drawn from.
     pub seed: u64,
-    /// Gateway processes.
+    /// The number of gateway processes.
     pub nodes: usize,
-    /// Backends.
+    /// The number of backends.
     pub backends: usize,
-    /// Clients, each with one connection at a time.
+    /// The number of clients, each with one connection at a time.
     pub clients: usize,
-    /// How long clients begin requests.
-    pub lasts: Duration,
+    /// For how long clients begin requests.
+    pub duration: Duration,
     /// The deadline of all classes, in seconds.
     pub deadline: f64,
-    /// The faults, in the order of their beginnings.
-    pub faults: Vec<Planned>,
+    /// The faults, in the order of their begin.
+    pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
-    /// Draws a plan for so many processes and seconds.
+    /// Draws a plan for this many gateway processes, whose clients begin requests for `seconds`.
     pub fn new(seed: u64, nodes: usize, seconds: f64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let deadline = DEADLINE.0 + rng.f64() * (DEADLINE.1 - DEADLINE.0);
-        let backends = 4 + rng.usize(0..=nodes / 4);
-        // About one fault for each process in three seconds: several are under way at any time.
-        let many = ((nodes as f64 * seconds / 3.0) as usize).max(4);
-        let weights: u32 = Kind::ALL.into_iter().map(Kind::weight).sum();
-        let mut faults: Vec<Planned> = (0..many)
-            .map(|_| {
-                let mut draw = rng.u32(0..weights);
-                let heavier = |kind: &Kind| {
-                    let found = draw < kind.weight();
-                    draw = draw.saturating_sub(kind.weight());
-                    found
-                };
-                let kind = Kind::ALL.into_iter().find(heavier).unwrap_or(Kind::Restart);
-                let at = Duration::from_secs_f64(CALM + rng.f64() * (seconds - CALM).max(0.1));
-                let lasts = Duration::from_secs_f64(0.05 + 2.5 * rng.f64() * rng.f64());
-                Planned { at, lasts, kind, draw: rng.u64(..) }
-            })
-            .collect();
+        let (shortest, longest) = DEADLINE_RANGE;
+        let deadline = shortest + rng.f64() * (longest - shortest);
+        let backends = MIN_BACKENDS + rng.usize(0..=nodes / NODES_PER_BACKEND);
+        let count = ((nodes as f64 * seconds / FAULT_INTERVAL) as usize).max(MIN_FAULTS);
+        let mut faults: Vec<PlannedFault> =
+            (0..count).map(|_| PlannedFault::draw(&mut rng, seconds)).collect();
         faults.sort_by_key(|fault| fault.at);
         Self {
             seed,
             nodes,
             backends,
-            clients: nodes * 8,
-            lasts: Duration::from_secs_f64(seconds),
+            clients: nodes * CLIENTS_PER_NODE,
+            duration: Duration::from_secs_f64(seconds),
             deadline,
             faults,
         }
     }
 
-    /// From SIGTERM to the earliest moment of SIGKILL.
+    /// From SIGTERM to the earliest SIGKILL of the platform.
     pub fn kill_after(&self) -> Duration {
-        Duration::from_secs_f64(self.deadline.min(LONGEST_COUNTED) + KILL_MARGIN)
+        Duration::from_secs_f64(self.deadline.min(MAX_SHUTDOWN_DEADLINE) + KILL_MARGIN)
     }
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,136 +1,171 @@
-//! What passed on the sockets, as clients and backends saw it on one clock.
+//! What passed on the sockets, as clients and backends observed it on one clock.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
 
-/// What a class of requests promises, as the settings tell it.
+/// How often requests of a class may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Class {
-    /// May run any number of times.
-    Safe,
-    /// Repeats are recognized within a window.
-    Keyed,
-    /// Runs once at most.
-    Unsafe,
+    /// Idempotent: any number of times.
+    Idempotent,
+    /// Backends recognize repeats within a window.
+    Deduplicated,
+    /// At most once.
+    AtMostOnce,
 }
 
 impl Class {
     /// All classes, in the order of the settings.
-    pub const ALL: [Self; 3] = [Self::Safe, Self::Keyed, Self::Unsafe];
+    pub const ALL: [Self; 3] = [Self::Idempotent, Self::Deduplicated, Self::AtMostOnce];
 
-    /// Its name in the settings.
+    /// The name of the class in the settings.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Safe => "read",
-            Self::Keyed => "mark",
-            Self::Unsafe => "write",
+            Self::Idempotent => "read",
+            Self::Deduplicated => "mark",
+            Self::AtMostOnce => "write",
         }
     }
 }
 
-/// Which process of which node.
+/// One process of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Life {
+pub struct Incarnation {
     /// The node.
     pub node: usize,
-    /// Its processes are counted from 0.
+    /// The node's processes are numbered from 0.
     pub number: usize,
 }
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq)]
-pub enum End {
-    /// A whole response.
+pub enum Outcome {
+    /// A complete response.
     Response {
-        /// Its status.
+        /// Its status code.
         status: u16,
         /// Its body.
         body: String,
     },
-    /// The connection ended, and the request's bytes had not been read.
-    Unread,
-    /// The connection ended after the request's bytes had been read, without a whole response.
-    Unanswered,
-    /// Nothing came until long after the deadline.
-    Silence,
-    /// The client closed its connection before.
-    Left,
+    /// The connection was reset: the gateway had not read the request.
+    ResetUnread,
+    /// The connection was closed after the gateway had read the request, without a complete response.
+    ClosedUnanswered,
+    /// No complete response came until well after the deadline.
+    TimedOut,
+    /// The client closed its connection first.
+    ClientClosed,
 }
 
-/// A request that was written whole to a connection that had not ended.
+/// A request that was written completely to an open connection.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// Its id.
     pub id: String,
-    /// Where it was sent.
-    pub life: Life,
+    /// The process that it was sent to.
+    pub incarnation: Incarnation,
     /// Its class.
     pub class: Class,
-    /// Its customer has a ceiling.
-    pub capped: Option<usize>,
+    /// The number of its customer, where that has a ceiling.
+    pub limited_customer: Option<usize>,
     /// When its last byte was written.
-    pub sent: Instant,
-    /// Seconds that its client waits.
-    pub patience: f64,
-    /// How it ended, and when.
-    pub end: End,
-    /// When that was.
-    pub ended: Instant,
-    /// How its client behaved.
+    pub sent_at: Instant,
+    /// How long its client waits, in seconds.
+    pub time_budget: f64,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// When it ended.
+    pub ended_at: Instant,
+    /// The name of its client's behaviour.
     pub behaviour: &'static str,
 }
 
-/// A request as a backend got it.
+/// A request as a backend received it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// The request's id.
     pub id: String,
     /// The backend's number.
     pub backend: usize,
-    /// When its first byte came.
-    pub began: Instant,
-    /// When its last byte came.
-    pub arrived: Instant,
-    /// The time that it was told to have, in seconds.
-    pub told: f64,
-    /// It surely did not run.
-    pub never_ran: bool,
-    /// When it was answered, or its connection ended.
-    pub ended: Option<Instant>,
+    /// When the first byte was received.
+    pub first_byte_at: Instant,
+    /// When the last byte was received.
+    pub received_at: Instant,
+    /// The timeout that the gateway passed with the attempt, in seconds.
+    pub timeout: f64,
+    /// The backend rejected the attempt before execution.
+    pub not_executed: bool,
+    /// When the response was written, or the connection ended.
+    pub ended_at: Option<Instant>,
 }
 
-/// What is told to a node of a backend.
+/// A change of a backend's status, as discovery sends it to a node.
 #[derive(Debug, Clone, Copy)]
-pub struct Notice {
-    /// When it counts as told.
+pub struct BackendUpdate {
+    /// From when on the node counts as notified.
     pub at: Instant,
     /// The backend.
     pub backend: usize,
-    /// It takes new requests.
+    /// Whether the backend accepts new requests.
     pub serving: bool,
 }
 
+/// The SIGKILL that a process got.
+#[derive(Debug, Clone, Copy)]
+pub struct Kill {
+    /// When it was sent.
+    pub at: Instant,
+    /// Whether it was an injected crash; otherwise it ended a graceful shutdown that took too long.
+    pub is_crash: bool,
+}
+
+/// The end of a process.
+#[derive(Debug, Clone, Copy)]
+pub struct Exit {
+    /// When it was observed.
+    pub at: Instant,
+    /// Whether the process exited with status 0 or by SIGKILL.
+    pub is_expected: bool,
+}
+
+/// A span in which updates may reach a node late: those within it count as notified at its end.
+#[derive(Debug, Clone, Copy)]
+pub struct Deferral {
+    /// Its begin.
+    pub from: Instant,
+    /// Its end.
+    pub until: Instant,
+}
+
 /// A process of a node.
 #[derive(Debug, Clone)]
 pub struct Process {
     /// When it was started.
-    pub started: Instant,
-    /// When it was told to stop.
-    pub term: Option<Instant>,
-    /// When it was killed, and whether that was a crash fault, not the end of a shutdown.
-    pub killed: Option<(Instant, bool)>,
-    /// When it had ended by itself, and whether in order.
-    pub ended: Option<(Instant, bool)>,
-    /// What it was told of backends.
-    pub notices: Vec<Notice>,
-    /// Changes within these spans count as told at their end: after a reload, and while discovery could not be reached.
-    pub deferred: Vec<(Instant, Instant)>,
+    pub started_at: Instant,
+    /// When it was sent SIGTERM.
+    pub terminated_at: Option<Instant>,
+    /// The SIGKILL that it was sent.
+    pub kill: Option<Kill>,
+    /// How it ended.
+    pub exit: Option<Exit>,
+    /// The updates that it was sent.
+    pub backend_updates: Vec<BackendUpdate>,
+    /// Reloads and outages of discovery, which defer updates.
+    pub deferrals: Vec<Deferral>,
+}
+
+impl Process {
+    /// From when on the process counts as notified of an update that was sent at `at`.
+    pub fn notified_at(&self, at: Instant) -> Instant {
+        let deferrals = self.deferrals.iter().filter(|span| span.from <= at && at <= span.until);
+        deferrals.map(|span| span.until).max().unwrap_or(at)
+    }
 }
 
-/// A backend that came back, just started.
+/// A backend that was restarted: it is listed again and in slow start.
 #[derive(Debug, Clone, Copy)]
-pub struct Start {
+pub struct BackendRestart {
     /// The backend.
     pub backend: usize,
     /// When it was listed again.
@@ -145,23 +180,23 @@
     /// Attempts in the order of their arrival.
     pub attempts: Vec<Attempt>,
     /// Processes.
-    pub processes: HashMap<Life, Process>,
-    /// Starts of backends amid the soak.
-    pub starts: Vec<Start>,
+    pub processes: HashMap<Incarnation, Process>,
+    /// Restarts of backends during the soak.
+    pub backend_restarts: Vec<BackendRestart>,
     /// How often each fault was injected.
     pub faults: HashMap<&'static str, u64>,
-    /// The longest that this program itself was late, in seconds.
-    pub lateness: f64,
+    /// The largest delay of this program's own timers, in seconds: all times are uncertain by as much.
+    pub timer_lag: f64,
 }
 
-/// The records while they are made.
+/// The records while a soak runs, shared by its tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder(Arc<Mutex<Records>>);
 
 impl Recorder {
     /// Reads or changes the records.
     pub fn with<T>(&self, change: impl FnOnce(&mut Records) -> T) -> T {
-        change(&mut self.0.lock().expect("no holder panics"))
+        change(&mut self.0.lock().expect("no task panics while it has the lock"))
     }
 
     /// Takes the records out.
@@ -169,15 +204,15 @@
         self.with(std::mem::take)
     }
 
-    /// A fault was injected.
-    pub fn fault(&self, name: &'static str) {
+    /// Counts an injected fault.
+    pub fn count_fault(&self, name: &'static str) {
         self.with(|records| *records.faults.entry(name).or_default() += 1);
     }
 
-    /// Changes what is known of a process.
-    pub fn process(&self, life: Life, change: impl FnOnce(&mut Process)) {
+    /// Changes the record of a process, where there is one.
+    pub fn update_process(&self, incarnation: Incarnation, change: impl FnOnce(&mut Process)) {
         self.with(|records| {
-            if let Some(process) = records.processes.get_mut(&life) {
+            if let Some(process) = records.processes.get_mut(&incarnation) {
                 change(process);
             }
         });
--- /dev/null
+++ b/crates/soak/src/report.rs
@@ -0,0 +1,84 @@
+//! What a soak did and found.
+
+use crate::oracle::Finding;
+use crate::plan::Plan;
+use crate::record::{Outcome, Records};
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// What a soak did and found.
+#[derive(Debug)]
+pub struct Report {
+    /// The plan.
+    pub plan: Plan,
+    /// The number of requests by outcome: the status of their response, or the name of another outcome.
+    pub outcomes: BTreeMap<String, u64>,
+    /// Attempts that backends received.
+    pub attempts: usize,
+    /// Processes that were started.
+    pub processes: usize,
+    /// Processes that were killed as their shutdown took too long.
+    pub killed: usize,
+    /// Faults by kind.
+    pub faults: BTreeMap<&'static str, u64>,
+    /// System calls and clock readings that the shim changed.
+    pub injected: u64,
+    /// The largest delay of this program's own timers, in seconds.
+    pub timer_lag: f64,
+    /// Violations of the rules.
+    pub findings: Vec<Finding>,
+}
+
+impl Report {
+    /// Sums the records up.
+    pub(crate) fn new(plan: Plan, records: &Records, injected: u64, findings: Vec<Finding>) -> Self {
+        let mut outcomes = BTreeMap::new();
+        for request in &records.requests {
+            *outcomes.entry(outcome_name(&request.outcome)).or_default() += 1;
+        }
+        let kills = records.processes.values().filter_map(|process| process.kill);
+        Self {
+            plan,
+            outcomes,
+            attempts: records.attempts.len(),
+            processes: records.processes.len(),
+            killed: kills.filter(|kill| !kill.is_crash).count(),
+            faults: records.faults.iter().map(|(name, count)| (*name, *count)).collect(),
+            injected,
+            timer_lag: records.timer_lag,
+            findings,
+        }
+    }
+}
+
+fn outcome_name(outcome: &Outcome) -> String {
+    match outcome {
+        Outcome::Response { status, .. } => status.to_string(),
+        Outcome::ResetUnread => "reset unread".into(),
+        Outcome::ClosedUnanswered => "closed unanswered".into(),
+        Outcome::TimedOut => "timed out".into(),
+        Outcome::ClientClosed => "client closed".into(),
+    }
+}
+
+impl fmt::Display for Report {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Plan { seed, nodes, deadline, .. } = &self.plan;
+        writeln!(f, "seed {seed}: {nodes} nodes, deadline {deadline:.2} s; outcomes {:?}", self.outcomes)?;
+        writeln!(
+            f,
+            "  {} attempts; {} processes, {} killed at the end of a shutdown; faults {:?}; {} calls changed; timer lag \
+             {:.0} ms at most",
+            self.attempts,
+            self.processes,
+            self.killed,
+            self.faults,
+            self.injected,
+            self.timer_lag * 1e3
+        )?;
+        for finding in &self.findings {
+            writeln!(f, "  {finding}")?;
+        }
+        write!(f, "  {} findings", self.findings.len())
+    }
+}
