--- a/crates/fault-shim/build.rs
+++ b/crates/fault-shim/build.rs
@@ -1,5 +1,4 @@
-//! Builds the library that tests preload. It is no artefact of the workspace: it stays in this package's build folder,
-//! and only tests depend on the package.
+//! Builds the library that tests preload, in this package's build directory: it is no artefact of the workspace.
 
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/fault-shim/shim/layout.rs
+++ b/crates/fault-shim/shim/layout.rs
@@ -1,45 +1,47 @@
-// The control file as the preloaded library and the tests share it: a clock offset, then rules. Both sides include this
-// file; all fields are 64-bit words.
+// The layout of the control file: a clock offset, then rules, all in 64-bit words. The preloaded library and the crate
+// both include this file.
 
-/// Rules that a control file holds.
+/// The number of rules in a control file.
 pub const RULES: usize = 32;
-/// Words of a rule.
+/// The length of a rule in words.
 pub const RULE_WORDS: usize = 10;
-/// Words before the first rule: the offset of the wall clock in nanoseconds.
+/// The word with the offset of the wall clock, in nanoseconds.
+pub const CLOCK_OFFSET: usize = 0;
+/// The number of words before the first rule.
 pub const HEADER_WORDS: usize = 1;
-/// Bytes of a control file.
+/// The length of a control file in bytes.
 pub const FILE_BYTES: usize = 8 * (HEADER_WORDS + RULES * RULE_WORDS);
 
-/// Words of a rule, by their place.
+/// The words of a rule.
 pub mod word {
-    /// 1 while the rule holds; written last.
+    /// 1 while the rule is active; written last.
     pub const ACTIVE: usize = 0;
-    /// Which calls, one of [`super::call`].
+    /// The calls that it applies to, one of [`super::call`].
     pub const CALL: usize = 1;
-    /// What happens, one of [`super::action`].
+    /// What happens to them, one of [`super::action`].
     pub const ACTION: usize = 2;
-    /// What the action needs: an errno, a number of bytes, or nanoseconds.
+    /// The action's parameter: an errno, a number of bytes, or nanoseconds.
     pub const VALUE: usize = 3;
     /// For a translation, the errno that is replaced.
-    pub const FROM: usize = 4;
-    /// How many more calls are hit; negative: no limit.
+    pub const REPLACED_ERRNO: usize = 4;
+    /// How many more calls it applies to; negative: no limit.
     pub const TIMES: usize = 5;
-    /// How many calls pass before the first is hit.
+    /// How many more calls it skips first.
     pub const SKIP: usize = 6;
     /// Only sockets whose peer has this port; 0: all.
     pub const PEER_PORT: usize = 7;
     /// Only sockets whose own port is this; 0: all.
     pub const LOCAL_PORT: usize = 8;
-    /// How many calls were hit.
+    /// How many calls it has changed.
     pub const INJECTED: usize = 9;
 }
 
-/// Calls, by the names of system calls where one covers several.
+/// Kinds of calls.
 pub mod call {
     pub const ACCEPT: u64 = 1;
     pub const SOCKET: u64 = 2;
     pub const CONNECT: u64 = 3;
-    /// Waits for events.
+    /// `epoll_wait`.
     pub const WAIT: u64 = 4;
     /// Reads from sockets.
     pub const RECEIVE: u64 = 5;
@@ -47,7 +49,7 @@
     pub const SEND: u64 = 6;
     /// Writes to files.
     pub const WRITE_FILE: u64 = 7;
-    /// Syncs of files and folders.
+    /// `fsync` and `fdatasync`.
     pub const SYNC: u64 = 8;
     pub const RENAME: u64 = 9;
     /// Opens of files for writing.
@@ -60,16 +62,16 @@
 pub mod action {
     /// It fails with an errno, and does nothing.
     pub const FAIL: u64 = 1;
-    /// Where it fails with one errno, it tells another.
+    /// Where it fails with one errno, it returns another.
     pub const TRANSLATE: u64 = 2;
-    /// It is given so many bytes at most.
+    /// It transfers so many bytes at most.
     pub const SHORT: u64 = 3;
-    /// It takes so long; for a clock reading, after the clock was read.
+    /// It is delayed; a clock reading, after the clock was read.
     pub const DELAY: u64 = 4;
-    /// The process is killed instead.
+    /// The process is killed before the call.
     pub const KILL: u64 = 5;
-    /// A write is done by half, and then the process is killed.
+    /// The process is killed after half of a write.
     pub const KILL_HALFWAY: u64 = 6;
-    /// It is done, and then the process is killed.
+    /// The process is killed after the call.
     pub const KILL_AFTER: u64 = 7;
 }
