--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -164,11 +164,11 @@
 /// The counter receives and answers nothing from a node for a while; then the connections are reset.
 async fn disconnect_counter(node: &Node, duration: Duration) {
     for link in &node.counter {
-        link.set(|fault| (fault.stall_up, fault.stall_down) = (true, true));
+        link.set(|fault| (fault.stall_to_target, fault.stall_from_target) = (true, true));
     }
     sleep(duration).await;
     for link in &node.counter {
-        link.set(|fault| (fault.stall_up, fault.stall_down) = (false, false));
+        link.set(|fault| (fault.stall_to_target, fault.stall_from_target) = (false, false));
         link.reset();
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::time::timeout;
-use weirusher_fakes::{Reply, Scripted, counting};
+use weirusher_fakes::{Reply, ScriptedServer, counting};
 
 /// The longest that the nodes may take to be ready at the start.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
@@ -39,7 +39,7 @@
     /// While set, the counter responds late.
     pub slow_counter: Arc<AtomicBool>,
     endpoints: Mutex<EndpointList>,
-    _counter: Scripted,
+    _counter: ScriptedServer,
 }
 
 impl Fleet {
@@ -111,10 +111,10 @@
 }
 
 /// A counter that responds late while `slow` is set.
-async fn start_counter(slow: Arc<AtomicBool>) -> io::Result<Scripted> {
+async fn start_counter(slow: Arc<AtomicBool>) -> io::Result<ScriptedServer> {
     let count = counting();
-    Scripted::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), move |request| match count(request) {
-        Reply::Bytes(bytes) if slow.load(Ordering::Relaxed) => Reply::After(SLOW_COUNTER_DELAY, bytes),
+    ScriptedServer::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), move |request| match count(request) {
+        Reply::Bytes(bytes) if slow.load(Ordering::Relaxed) => Reply::Delayed(SLOW_COUNTER_DELAY, bytes),
         reply => reply,
     })
     .await
--- a/crates/soak/src/growth/site.rs
+++ b/crates/soak/src/growth/site.rs
@@ -18,7 +18,7 @@
 use tokio::process::{Child, Command};
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep, timeout};
-use weirusher_fakes::{Agent, Came, Reply, Scripted, counting, frame};
+use weirusher_fakes::{DiscoveryAgent, ReceivedRequest, Reply, ScriptedServer, counting, frame};
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 /// Requests a second of all clients together.
@@ -58,11 +58,11 @@
 pub async fn measure(size: FleetSize, options: &GrowthOptions) -> io::Result<Usage> {
     let mut backends = Vec::new();
     for _ in 0..size.backends {
-        let script = |_: &_| Reply::After(RESPONSE_TIME, frame(200, "", "done"));
-        backends.push(Scripted::start(LOOPBACK, script).await?);
+        let script = |_: &_| Reply::Delayed(RESPONSE_TIME, frame(200, "", "done"));
+        backends.push(ScriptedServer::start(LOOPBACK, script).await?);
     }
     let mut discovery = Discovery::start(&backends, options.seed).await?;
-    let counter = Scripted::start(LOOPBACK, counting()).await?;
+    let counter = ScriptedServer::start(LOOPBACK, counting()).await?;
     let mut plan = Plan::new(options.seed, size.gateways, options.duration.as_secs_f64());
     plan.deadline = DEADLINE;
     let listen = TcpListener::bind(LOOPBACK).await?.local_addr()?;
@@ -78,7 +78,7 @@
         error = sample(&process, &mut usage) => return Err(error),
     };
     usage.read(&process).map_err(io::Error::other)?;
-    usage.connections = backends.iter().map(Scripted::connections).sum::<u64>() as f64;
+    usage.connections = backends.iter().map(ScriptedServer::connections).sum::<u64>() as f64;
     usage.list_bytes = discovery.bytes_sent() as f64;
     usage.served = f64::from(counts.served) / f64::from(counts.sent).max(1.0);
     Ok(usage)
@@ -196,7 +196,7 @@
 
 /// Discovery's agent, which publishes changes: in each step a fraction of the backends restarts.
 struct Discovery {
-    agent: Agent,
+    agent: DiscoveryAgent,
     endpoints: Vec<Endpoint>,
     /// The length of each version in bytes, from version 1 on.
     version_sizes: Vec<usize>,
@@ -205,11 +205,11 @@
 }
 
 impl Discovery {
-    async fn start(backends: &[Scripted], seed: u64) -> io::Result<Self> {
+    async fn start(backends: &[ScriptedServer], seed: u64) -> io::Result<Self> {
         let endpoints = endpoint_list::serving(backends.iter().map(|backend| backend.address));
         let list = wire::list(1, &endpoints).to_string();
         let version_sizes = vec![list.len()];
-        let agent = Agent::start(LOOPBACK, 1, list).await?;
+        let agent = DiscoveryAgent::start(LOOPBACK, 1, list).await?;
         let rng = fastrand::Rng::with_seed(seed);
         Ok(Self { agent, endpoints, version_sizes, rng })
     }
@@ -221,7 +221,7 @@
             for status in [Status::Draining, Status::Serving] {
                 sleep(CHANGE_INTERVAL).await;
                 let index = self.publish(&restarting, status);
-                if timeout(TIMEOUT, self.agent.taken(index)).await.is_err() {
+                if timeout(TIMEOUT, self.agent.wait_until_list_received(index)).await.is_err() {
                     return io::Error::other("the gateway does not poll the list");
                 }
             }
@@ -248,18 +248,18 @@
         change["snapshot"] = false.into();
         let text = change.to_string();
         self.version_sizes.push(text.len());
-        self.agent.tell(index, text);
+        self.agent.set_list(index, text);
         index
     }
 
     /// Bytes of lists and changes that were sent in response to polls.
     fn bytes_sent(&self) -> usize {
-        let sent = |came: &Came| {
-            let query = came.request.path.split_once('?').map_or("", |(_, query)| query);
+        let sent = |poll: &ReceivedRequest| {
+            let query = poll.request.path.split_once('?').map_or("", |(_, query)| query);
             let since = query.split('&').find_map(|pair| pair.strip_prefix("since=")?.parse::<usize>().ok());
             // A poll that names a version gets the next one; another gets the first.
             self.version_sizes.get(since.unwrap_or(0)).copied().unwrap_or(0)
         };
-        self.agent.came().iter().map(sent).sum()
+        self.agent.received().iter().map(sent).sum()
     }
 }
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -19,7 +19,7 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
-use weirusher_fakes::{Agent, Link};
+use weirusher_fakes::{DiscoveryAgent, Link};
 use weirusher_fault_shim::FaultShim;
 
 /// After SIGHUP a node may learn of updates so much later.
@@ -82,7 +82,7 @@
     number: usize,
     plan: Plan,
     recorder: Recorder,
-    agent: Agent,
+    agent: DiscoveryAgent,
     agent_state: Mutex<AgentState>,
     exe: PathBuf,
     config: PathBuf,
@@ -118,7 +118,7 @@
         let own = SocketAddr::from(([127, high.max(1), low, number as u8 + 1], 0));
         let listen = TcpListener::bind(own).await?.local_addr()?;
         let list = wire::list(1, &options.endpoints).to_string();
-        let agent = Agent::start(LOCALHOST, 1, list).await?;
+        let agent = DiscoveryAgent::start(LOCALHOST, 1, list).await?;
         let discovery =
             [Link::start(Some(agent.address())).await?, Link::start(Some(agent.address())).await?];
         let counter = [Link::start(Some(options.counter)).await?, Link::start(Some(options.counter)).await?];
@@ -315,8 +315,8 @@
         let now = Instant::now();
         self.record_deferral(Deferral { from: now, until: now + RELOAD_GRACE });
         for links in [&self.discovery, &self.counter] {
-            links[1 - old].set(|fault| fault.refuse = false);
-            links[old].set(|fault| fault.refuse = true);
+            links[1 - old].set(|fault| fault.refuse_connections = false);
+            links[old].set(|fault| fault.refuse_connections = true);
         }
         self.signal(Signal::SIGHUP);
         sleep(OLD_ADDRESS_RESET_DELAY).await;
@@ -369,7 +369,7 @@
     fn send_list(&self, agent_state: &AgentState) {
         let at = Instant::now();
         let list = wire::list(agent_state.index, &agent_state.endpoints).to_string();
-        self.agent.tell(agent_state.index, list);
+        self.agent.set_list(agent_state.index, list);
         self.recorder.update_process(self.incarnation(), |process| {
             for endpoint in &agent_state.endpoints {
                 let (backend, serving) = (endpoint.number, endpoint.is_serving());
@@ -384,11 +384,11 @@
     /// The agent answers nothing for a while, and gets no list.
     pub async fn silence_discovery(&self, duration: Duration) {
         self.agent_state.lock().expect("no task panics while it has the lock").is_silent = true;
-        self.agent.fall_silent();
+        self.agent.stop_answering();
         sleep(duration).await;
         let mut agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
         agent_state.is_silent = false;
-        self.agent.come_back();
+        self.agent.resume_answering();
         self.send_list(&agent_state);
     }
 }
