--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -1,13 +1,15 @@
 #!/usr/bin/env bash
-# Takes out one guard at a time, in a copy of the tree, and rehearses the day that is there for it, or, for `test:NAME`,
-# runs the tests of a package: they must fail.
-# Usage: tools/mutants.sh [NAME …]; prints one line a mutant, ends with 1 where one lives.
+# Mutation tests: each mutant removes one safeguard in a copy of the tree. The scenario that covers the safeguard
+# (days/NAME.toml), or the tests of a package (test:PACKAGE), must fail then.
+# Usage: tools/mutants.sh [NAME …]       all mutants without a name
+# Prints a line for each mutant; exits with 1 where one survives, does not build, or does not match exactly one place.
 set -euo pipefail
 root="$(cd "$(dirname "$0")/.." && pwd)"
 work="$(mktemp -d)"
 trap 'rm -rf "$work"' EXIT
 
-# name | file | what stands there | what the mutant has | day or test:package
+# name | file | code that occurs once in it | what replaces it | scenario or test:package; in code, `\|` is a bar and `\&`
+# an ampersand, and `.stop. .stop` is `|stop| *stop`.
 mutants=(
   "ticket-used-twice|crates/core/src/ticket_validator.rs|if self.used.contains(&id) {|if false {|effects"
   "ticket-code|crates/core/src/ticket.rs|.verify_truncated_left(&code)|.verify_truncated_left(\&key.over(signed).finalize().into_bytes()[..CODE_BYTES])|effects"
@@ -79,29 +81,34 @@
 
 failed=0
 for line in "${mutants[@]}"; do
-  # A bar within code is written `\|`.
-  IFS='|' read -r name file from to day <<<"${line//\\|/$'\x01'}"
+  IFS='|' read -r name file from to check <<<"${line//\\|/$'\x01'}"
   from="${from//$'\x01'/|}"
   if [ "$#" -gt 0 ] && [[ ! " $* " == *" $name "* ]]; then continue; fi
   rm -rf "$work/tree"
   copy
-  python3 - "$work/tree/$file" "$from" "$to" <<'PY'
+  if ! python3 - "$work/tree/$file" "$from" "$to" <<'PY'
 import sys
 path, old, new = sys.argv[1], sys.argv[2].replace("\\&", "&"), sys.argv[3].replace("\\&", "&")
 text = open(path).read()
 flat = old.replace(".stop. .stop", "|stop| *stop")
-if flat not in text:
-    sys.exit(f"the guard is not there any more: {flat}")
-text = text.replace(flat, new, 1)
-open(path, "w").write(text)
+if text.count(flat) != 1:
+    sys.exit(f"{path}: {text.count(flat)} places instead of one have: {flat}")
+open(path, "w").write(text.replace(flat, new))
 PY
-  if [[ "$day" == test:* ]]; then
-    tests=(cargo test --quiet --locked -p "${day#test:}" --manifest-path "$work/tree/Cargo.toml")
+  then
+    echo "$name: no mutant"
+    failed=1
+    continue
+  fi
+  if [[ "$check" == test:* ]]; then
+    tests=(cargo test --quiet --locked -p "${check#test:}" --manifest-path "$work/tree/Cargo.toml")
     export CARGO_TARGET_DIR="$root/target/mutants"
     if ! "${tests[@]}" --no-run 2>/dev/null; then
-      echo "$name: does not build"; failed=1
+      echo "$name: does not build"
+      failed=1
     elif out="$(timeout 300 "${tests[@]}" 2>/dev/null)"; then
-      echo "$name: LIVES in the tests of ${day#test:}"; failed=1
+      echo "$name: SURVIVES in the tests of ${check#test:}"
+      failed=1
     else
       echo "$name: found by $(grep -m1 -oE "^test [a-z_:]+ \.\.\. FAILED|^    [a-z_:]+$" <<<"$out" | tr -s ' ' | cut -c1-120)"
     fi
@@ -109,11 +116,11 @@
   fi
   CARGO_TARGET_DIR="$root/target/mutants" cargo build --quiet --release --locked -p weirusher-cli \
     --manifest-path "$work/tree/Cargo.toml" 2>/dev/null || { echo "$name: does not build"; failed=1; continue; }
-  if out="$(cd "$work/tree" && timeout 120 "$root/target/mutants/release/weirusher" scenario "days/$day.toml" 2>/dev/null)"; then
-    echo "$name: LIVES on $day"
+  if out="$(cd "$work/tree" && timeout 120 "$root/target/mutants/release/weirusher" scenario "days/$check.toml" 2>/dev/null)"; then
+    echo "$name: SURVIVES on $check"
     failed=1
   else
-    echo "$name: found on $day: $(grep -m1 -oE '(NoRequestLost|NoDuplicateEffect|DrainsRespected|ColdBackendsNotOverloaded|CeilingsRespected|QuotasRespected|AdmittedIsCounted).*' <<<"$out" | cut -c1-120)"
+    echo "$name: found on $check: $(grep -m1 -oE '(NoRequestLost|NoDuplicateEffect|DrainsRespected|ColdBackendsNotOverloaded|CeilingsRespected|QuotasRespected|AdmittedIsCounted).*' <<<"$out" | cut -c1-120)"
   fi
 done
 exit "$failed"
