--- a/crates/cli/tests/node/system_calls.rs
+++ b/crates/cli/tests/node/system_calls.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use std::time::{Duration, Instant};
 use weirusher_fakes::{Reply, counting};
-use weirusher_fault_shim::{Action, Call, Errno, Fault, FaultShim};
+use weirusher_fault_shim::{Action, Call, Errno, Fault, FaultShim, Injected};
 use weirusher_wire::http1::Request;
 
 /// Sends idempotent and other requests one after another: each is served, and faster than a stalled transfer would allow.
@@ -168,6 +168,13 @@
     futures::future::join_all((0..6).map(ask)).await.into_iter().sum()
 }
 
+/// Waits until one of the faults has changed a call.
+async fn until_injected(shim: &FaultShim, faults: &[Injected]) {
+    while !faults.iter().any(|fault| shim.injected(*fault) > 0) {
+        tokio::time::sleep(Duration::from_millis(2)).await;
+    }
+}
+
 /// One fault under load: no response is lost, there is no busy loop and no leaked descriptor, and requests are served again
 /// at once.
 async fn survives(call: Call, errno: Errno, way: Way, once: bool) {
@@ -198,11 +205,7 @@
             site.discovery.stop_answering();
         }
         if once {
-            let hit = async {
-                while !faults.iter().any(|fault| shim.injected(*fault) > 0) {
-                    tokio::time::sleep(Duration::from_millis(2)).await;
-                }
-            };
+            let hit = until_injected(&shim, &faults);
             let called = tokio::time::timeout(LIMIT, hit).await;
             called.unwrap_or_else(|_| panic!("the call is made: {call:?} {errno:?} {way:?}"));
         } else {
@@ -232,15 +235,16 @@
     let ((before, took), sent) = tokio::join!(again, load);
     assert!(took <= SERVING_AGAIN, "served again after {took:?}: {call:?} {errno:?} {way:?}");
     assert!(sent > 20, "{sent} requests");
-    // The clients have closed: what is left is the process's own, and its connections to the servers.
-    let settled = async {
-        while descriptors(&site) > before {
-            tokio::time::sleep(Duration::from_millis(10)).await;
-        }
-    };
-    tokio::time::timeout(LIMIT, settled)
-        .await
-        .unwrap_or_else(|_| panic!("no descriptor is leaked: {call:?} {errno:?} {way:?}"));
+    let no_leak = tokio::time::timeout(LIMIT, settled(&site, before)).await;
+    no_leak.unwrap_or_else(|_| panic!("no descriptor is leaked: {call:?} {errno:?} {way:?}"));
+}
+
+/// Waits until a process has no more descriptors than before. The clients have closed: what is left is the process's own,
+/// and its connections to the servers.
+async fn settled(site: &Site, descriptors_before: usize) {
+    while descriptors(site) > descriptors_before {
+        tokio::time::sleep(Duration::from_millis(10)).await;
+    }
 }
 
 async fn all_survive(once: bool) {
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -236,6 +236,9 @@
     }
 
     /// How many calls all faults have changed, ended ones too.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held a lock of this.
     pub fn total(&self) -> u64 {
         let used = *self.used.lock().expect("no thread panics while it has the lock");
         let active: u64 =
@@ -244,6 +247,9 @@
     }
 
     /// Ends a fault; returns how many calls it changed.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held a lock of this.
     pub fn end(&self, fault: Injected) -> u64 {
         self.write(rule_start(fault.0) + word::ACTIVE, 0);
         let changed = self.injected(fault);
--- a/crates/scenarios/tests/gateway/audit_rules.rs
+++ b/crates/scenarios/tests/gateway/audit_rules.rs
@@ -40,29 +40,44 @@
 async fn every_violation_is_found_under_its_rule() {
     let lines = capture().await;
     assert!(violated_rules(&lines).is_empty());
-    let last = end(&lines);
-    let answer = position(&lines, "answer");
-    let (done, got, sent) = (position(&lines, "final"), position(&lines, "got"), position(&lines, "sent"));
+    assert_lost_requests_are_found(&lines);
+    assert_duplicate_effects_are_found(&lines);
+    assert_attempts_after_a_drain_are_found(&lines);
+    assert_overloads_in_slow_start_are_found(&lines);
+    assert_excess_of_quotas_is_found(&lines);
+}
 
+/// Rule 1.
+fn assert_lost_requests_are_found(lines: &[Value]) {
+    let answer = position(lines, "answer");
+    let done = position(lines, "final");
+    let sent = position(lines, "sent");
+    let last = end(lines);
     let lost = Rule::NoRequestLost;
-    assert_eq!(with(&lines, |l| drop(l.remove(done))), [lost], "no response");
-    assert_eq!(with(&lines, |l| l.push(lines[done].clone())), [lost], "two responses");
-    assert_eq!(with(&lines, |l| drop(l.remove(answer)))[0], lost, "a check without an answer");
-    assert_eq!(with(&lines, |l| l.push(lines[answer].clone())), [lost], "a check answered twice");
+    assert_eq!(with(lines, |l| drop(l.remove(done))), [lost], "no response");
+    assert_eq!(with(lines, |l| l.push(lines[done].clone())), [lost], "two responses");
+    assert_eq!(with(lines, |l| drop(l.remove(answer)))[0], lost, "a check without an answer");
+    assert_eq!(with(lines, |l| l.push(lines[answer].clone())), [lost], "a check answered twice");
     let later = |line: &Value| {
         let mut line = line.clone();
         line["t"] = json!(last + 60.0);
         line
     };
-    assert_eq!(with(&lines, |l| l[done] = later(&lines[done])), [lost], "a response too late");
-    assert_eq!(with(&lines, |l| l.push(later(&lines[sent]))), [lost], "an attempt after the response");
-    assert_eq!(with(&lines, |l| l[answer]["verdict"] = json!("broken"))[0], lost, "broken off while it ran");
+    assert_eq!(with(lines, |l| l[done] = later(&lines[done])), [lost], "a response too late");
+    assert_eq!(with(lines, |l| l.push(later(&lines[sent]))), [lost], "an attempt after the response");
+    assert_eq!(with(lines, |l| l[answer]["verdict"] = json!("broken"))[0], lost, "broken off while it ran");
+}
 
+/// Rule 2.
+fn assert_duplicate_effects_are_found(lines: &[Value]) {
+    let answer = position(lines, "answer");
+    let done = position(lines, "final");
+    let got = position(lines, "got");
     let twice = Rule::NoDuplicateEffect;
-    assert_eq!(with(&lines, |l| l.push(lines[got].clone())), [twice], "a ticket ran twice");
-    assert_eq!(with(&lines, |l| l[got]["ticket"] = json!("w1.1.x.y")), [twice], "a ticket from nowhere ran");
-    assert_eq!(with(&lines, |l| l[got]["server"] = json!("127.0.0.1:1")), [twice], "ran at another backend");
-    let again = with(&lines, |l| {
+    assert_eq!(with(lines, |l| l.push(lines[got].clone())), [twice], "a ticket ran twice");
+    assert_eq!(with(lines, |l| l[got]["ticket"] = json!("w1.1.x.y")), [twice], "a ticket from nowhere ran");
+    assert_eq!(with(lines, |l| l[got]["server"] = json!("127.0.0.1:1")), [twice], "ran at another backend");
+    let again = with(lines, |l| {
         l[0]["rules"]["effects"] = json!(["unsafe"]);
         let (mut allowed, mut run) = (lines[answer].clone(), lines[got].clone());
         allowed["call"] = json!(9999);
@@ -74,11 +89,15 @@
         l.splice(done..done, [ask, allowed, run]);
     });
     assert_eq!(again, [twice], "a request that is not idempotent ran twice");
+}
 
+/// Rule 3.
+fn assert_attempts_after_a_drain_are_found(lines: &[Value]) {
+    let answer = position(lines, "answer");
     let server = lines[answer]["verdict"]["allowed"]["server"].clone();
     // With lists that were sent to the gateway, or acknowledged by it, ten seconds before the rest.
     let drained = |lists: &[(&str, Value)]| {
-        let broken = with(&lines, |l| {
+        let broken = with(lines, |l| {
             l.retain(|line| line["what"] != "knows" && line["what"] != "told");
             for line in &mut l[1..] {
                 line["t"] = json!(line["t"].as_f64().unwrap() + 10.0);
@@ -100,24 +119,33 @@
     assert!(!drained(&late), "an older list that is acknowledged late");
     let again = [&back[..], &[("told", stopped.clone()), ("knows", stopped)]].concat();
     assert!(drained(&again), "and stopped once more");
+}
 
+/// Rule 4.
+fn assert_overloads_in_slow_start_are_found(lines: &[Value]) {
+    let got = position(lines, "got");
+    let last = end(lines);
     let fell = json!({"t": last, "what": "server", "server": "127.0.0.1:1", "state": "fell"});
-    assert_eq!(with(&lines, |l| l.push(fell)), [Rule::ColdBackendsNotOverloaded]);
+    assert_eq!(with(lines, |l| l.push(fell)), [Rule::ColdBackendsNotOverloaded]);
     // A capacity of a hundredth of a unit a second: each run is more than the backend bears in its slow start.
     let cold = json!({"capacity": 0.01, "from": 0.5, "seconds": 100.0, "multiple": 2.0, "fall": 60.0, "chance": 0.1});
-    let pushed = with(&lines, |l| {
+    let pushed = with(lines, |l| {
         l[0]["rules"]["cold"] = cold;
         l.insert(1, json!({"t": 0.0, "what": "server", "server": lines[got]["server"], "state": "started"}));
     });
     assert!(!pushed.is_empty() && pushed.iter().all(|r| *r == Rule::ColdBackendsNotOverloaded), "{pushed:?}");
+}
 
-    let plan = |plan: Value| with(&lines, |l| l[0]["rules"]["plans"] = json!([plan]));
+/// Rule 5, quotas, and units that are not counted.
+fn assert_excess_of_quotas_is_found(lines: &[Value]) {
+    let answer = position(lines, "answer");
+    let plan = |plan: Value| with(lines, |l| l[0]["rules"]["plans"] = json!([plan]));
     assert!(plan(json!([1e6, 1e6, 0.01, 1.0])).contains(&Rule::CeilingsRespected), "beyond the ceiling");
     assert!(plan(json!([0.01, 1.0, 0.0, 0.0])).contains(&Rule::QuotasRespected), "beyond the quota");
     // Five are admitted within milliseconds, from a bucket of one: four are beyond it. With one gateway and requests
     // of up to 2.5 units the bound is 2.5 and half a burst; each restart adds 5, each loss of the counter 0.5.
     let bound = |largest: f64, more: Vec<Value>| {
-        with(&lines, |l| {
+        with(lines, |l| {
             (l[0]["rules"]["plans"], l[0]["rules"]["max_units"]) =
                 (json!([[1e-9, 1.0, 0.0, 0.0]]), json!(largest));
             let first = position(l, "answer") + 1;
@@ -134,7 +162,7 @@
     );
     let process = |running: bool| json!({"t": at, "what": "gatekeeper", "gk": 7, "running": running});
     assert!(bound(2.5, vec![process(false), process(true)]).is_empty(), "a restart allows more");
-    let uncounted = with(&lines, |l| {
+    let uncounted = with(lines, |l| {
         (l[0]["rules"]["counted"], l[0]["rules"]["plans"]) = (json!(true), json!([[1e6, 1.0, 0.0, 0.0]]));
         l.retain(|line| line["what"] != "added");
     });
--- a/crates/scenarios/tests/gateway/site.rs
+++ b/crates/scenarios/tests/gateway/site.rs
@@ -74,38 +74,48 @@
     Keyring::new(vec![Key { id: 1, secret: SECRET.as_bytes().to_vec() }]).unwrap()
 }
 
+fn audit_parameters(gateways: usize) -> AuditParameters {
+    AuditParameters {
+        drain_grace_seconds: 0.5,
+        plans: vec![[1e6, 1e6, 0.0, 0.0].into()],
+        customers: [("school".to_string(), 0)].into(),
+        effects: vec!["safe".into()],
+        ceiling_slack: 0.1,
+        gateways,
+        counter_available: false,
+        largest_request_units: 1.0,
+        idempotency_window_seconds: 0.0,
+        slow_start: None,
+    }
+}
+
+fn backend_spec(service_seconds: f64) -> FakeBackendSpec {
+    FakeBackendSpec {
+        cores: 4,
+        service_seconds,
+        queue_limit: 1000,
+        slow_start: None,
+        keyring: keyring(),
+        advertised_address: String::new(),
+        ticket_header: "x-weirusher-ticket".into(),
+        units_header: "x-units".into(),
+    }
+}
+
 impl Site {
     pub async fn start(options: SiteOptions) -> Self {
         let memory = Memory::default();
         let recorder = Recorder::new(Some(Box::new(memory.clone())));
-        let parameters = AuditParameters {
-            drain_grace_seconds: 0.5,
-            plans: vec![[1e6, 1e6, 0.0, 0.0].into()],
-            customers: [("school".to_string(), 0)].into(),
-            effects: vec!["safe".into()],
-            ceiling_slack: 0.1,
-            gateways: options.gateways,
-            counter_available: false,
-            largest_request_units: 1.0,
-            idempotency_window_seconds: 0.0,
-            slow_start: None,
-        };
-        recorder.record(CaptureEvent::RunStarted { name: "test".into(), parameters });
+        recorder.record(CaptureEvent::RunStarted {
+            name: "test".into(),
+            parameters: audit_parameters(options.gateways),
+        });
         let counter = Counter::start(ANY_PORT.parse().unwrap(), recorder.clone()).await.unwrap();
         let discovery =
             Discovery::start(ANY_PORT.parse().unwrap(), Duration::ZERO, recorder.clone()).await.unwrap();
         let mut backends = Vec::new();
         for seed in 0..2 {
-            let spec = FakeBackendSpec {
-                cores: 4,
-                service_seconds: options.service_seconds,
-                queue_limit: 1000,
-                slow_start: None,
-                keyring: keyring(),
-                advertised_address: String::new(),
-                ticket_header: "x-weirusher-ticket".into(),
-                units_header: "x-units".into(),
-            };
+            let spec = backend_spec(options.service_seconds);
             backends.push(
                 FakeBackend::start(ANY_PORT.parse().unwrap(), spec, recorder.clone(), seed).await.unwrap(),
             );
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -6,6 +6,7 @@
 use serde::Serialize;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::thread::ScopedJoinHandle;
 use std::time::Duration;
 use weirusher_core::OvershootBound;
 
@@ -188,7 +189,7 @@
             report.lock().expect("no thread panics").merge(own);
         };
         let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(run_some)).collect();
-        while !workers.iter().all(|worker| worker.is_finished()) {
+        while !workers.iter().all(ScopedJoinHandle::is_finished) {
             progress(finished.load(Relaxed));
             std::thread::sleep(PROGRESS_INTERVAL);
         }
