--- a/crates/cli/tests/kept_list.rs
+++ b/crates/cli/tests/kept_list.rs
@@ -140,7 +140,7 @@
         let mut gateway = site.start(true);
         assert!(announced(&mut gateway));
         let failed = async {
-            while site.shim.injected(fails) == 0 || !site.log_text().contains("could not be kept") {
+            while site.shim.injected(fails) == 0 || !site.log_text().contains("could not be cached") {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
--- /dev/null
+++ b/crates/ext-authz/src/services/ext_authz.rs
@@ -0,0 +1,154 @@
+//! `envoy.service.auth.v3.Authorization/Check`: whether an attempt may be sent, and to which backend.
+
+use crate::attributes::parse_check;
+use crate::engine_task::{PendingCheck, ServiceEvent};
+use crate::metrics::Metrics;
+use envoy_types::pb::envoy::config::core::v3::header_value_option::HeaderAppendAction;
+use envoy_types::pb::envoy::config::core::v3::{HeaderValue, HeaderValueOption};
+use envoy_types::pb::envoy::service::auth::v3::{
+    CheckRequest, CheckResponse, DeniedHttpResponse, OkHttpResponse, authorization_server::Authorization,
+    check_response::HttpResponse,
+};
+use envoy_types::pb::envoy::r#type::v3::{HttpStatus, StatusCode};
+use envoy_types::pb::google::protobuf::{Struct, Value, value};
+use envoy_types::pb::google::rpc::Status as RpcStatus;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use tokio::sync::{mpsc, oneshot};
+use tonic::{Code, Request, Response, Status};
+use weirusher_config::RequestRules;
+use weirusher_core::{CallerId, CheckFailure, CheckOutcome, DeliveryId, Grant};
+
+/// Retry-After, in seconds, when the engine's queue is full: about the time that it takes to empty it.
+const QUEUE_FULL_RETRY_AFTER_SECONDS: f64 = 1.0;
+
+/// The authorisation service.
+pub struct ExtAuthz {
+    pub rules: Arc<RequestRules>,
+    pub engine: mpsc::Sender<ServiceEvent>,
+    pub next_caller: Arc<AtomicU64>,
+    pub metrics: Arc<Metrics>,
+}
+
+/// Waits for a check's outcome. If it is dropped first, as the client reset its stream or its connection
+/// broke, the engine is notified. With a full queue it is not, and the attempt is closed at its deadline.
+struct OutcomeWaiter {
+    caller: CallerId,
+    outcome: oneshot::Receiver<(CheckOutcome, DeliveryId)>,
+    engine: mpsc::Sender<ServiceEvent>,
+    received: bool,
+}
+
+impl Drop for OutcomeWaiter {
+    fn drop(&mut self) {
+        if self.received {
+            return;
+        }
+        let event = match self.outcome.try_recv() {
+            Ok((_, delivery)) => ServiceEvent::Undelivered(delivery),
+            Err(_) => ServiceEvent::ClientClosed(self.caller),
+        };
+        let _ = self.engine.try_send(event);
+    }
+}
+
+#[tonic::async_trait]
+impl Authorization for ExtAuthz {
+    async fn check(&self, request: Request<CheckRequest>) -> Result<Response<CheckResponse>, Status> {
+        let check = match parse_check(&self.rules, request.get_ref().attributes.as_ref()) {
+            Ok(check) => check,
+            Err(error) => {
+                self.metrics.increment(|m| &m.invalid_checks);
+                return Ok(Response::new(denied(
+                    StatusCode::BadRequest,
+                    Code::InvalidArgument,
+                    &error.to_string(),
+                    None,
+                )));
+            }
+        };
+        let (sender, outcome) = oneshot::channel();
+        let caller = self.next_caller.fetch_add(1, Relaxed);
+        let pending = PendingCheck { caller, check, outcome: sender };
+        if self.engine.try_send(ServiceEvent::Check(Box::new(pending))).is_err() {
+            self.metrics.increment(|m| &m.queue_full);
+            return Ok(Response::new(rejected(QUEUE_FULL_RETRY_AFTER_SECONDS)));
+        }
+        let mut waiter = OutcomeWaiter { caller, outcome, engine: self.engine.clone(), received: false };
+        let outcome = (&mut waiter.outcome).await;
+        waiter.received = true;
+        Ok(Response::new(match outcome {
+            Ok((CheckOutcome::Allowed(grant), _)) => allowed(&self.rules, &grant),
+            Ok((CheckOutcome::Rejected { retry_after }, _)) => rejected(retry_after),
+            Ok((CheckOutcome::Failed(failure), _)) => failed(failure),
+            Err(_) => {
+                denied(StatusCode::ServiceUnavailable, Code::Unavailable, "the gateway is stopping", None)
+            }
+        }))
+    }
+}
+
+fn header(key: &str, value: String) -> HeaderValueOption {
+    let header = Some(HeaderValue { key: key.to_string(), value, raw_value: Vec::new() });
+    // The default would append to what a client sent under that name.
+    let append_action = HeaderAppendAction::OverwriteIfExistsOrAdd.into();
+    HeaderValueOption { header, append_action, ..HeaderValueOption::default() }
+}
+
+fn status(code: Code, message: &str) -> Option<RpcStatus> {
+    Some(RpcStatus { code: code as i32, message: message.to_string(), details: Vec::new() })
+}
+
+/// Permission: headers for the backend and the proxy, and the same values as dynamic metadata.
+fn allowed(rules: &RequestRules, grant: &Grant) -> CheckResponse {
+    let values = [
+        (&rules.ticket_header, grant.ticket.clone()),
+        (&rules.backend_header, grant.backend.to_string()),
+        (&rules.timeout_header, format!("{:.3}", grant.timeout)),
+    ];
+    let field = |(name, text): &(&String, String)| {
+        (name.to_string(), Value { kind: Some(value::Kind::StringValue(text.clone())) })
+    };
+    let metadata = Struct { fields: values.iter().map(field).collect() };
+    let headers = values.into_iter().map(|(name, value)| header(name, value)).collect();
+    let ok = OkHttpResponse { headers, ..OkHttpResponse::default() };
+    CheckResponse {
+        status: status(Code::Ok, ""),
+        dynamic_metadata: Some(metadata),
+        http_response: Some(HttpResponse::OkResponse(ok)),
+    }
+}
+
+fn rejected(retry_after: f64) -> CheckResponse {
+    let message = "over the quota or the fleet's capacity";
+    denied(StatusCode::TooManyRequests, Code::ResourceExhausted, message, Some(retry_after))
+}
+
+fn failed(failure: CheckFailure) -> CheckResponse {
+    let (code, message) = match failure {
+        CheckFailure::RequestFailed => (Code::Unavailable, "failed; it may have run"),
+        CheckFailure::InvalidTicket => (Code::Unauthenticated, "the ticket is not valid"),
+        CheckFailure::Duplicate => (Code::AlreadyExists, "this request is being decided already"),
+        CheckFailure::UnknownAttempt => (Code::Unavailable, "its earlier attempt is not known here"),
+    };
+    denied(StatusCode::ServiceUnavailable, code, message, None)
+}
+
+/// A response that denies the attempt. `http` and `message` are what the client gets; `retry_after` is in
+/// seconds.
+fn denied(http: StatusCode, code: Code, message: &str, retry_after: Option<f64>) -> CheckResponse {
+    // Rounded up to HTTP's whole seconds, as a client that retries too early is rejected again.
+    let retry_after =
+        retry_after.map(|seconds| header("retry-after", format!("{}", seconds.ceil().max(0.0) as u64)));
+    let status_code = Some(HttpStatus { code: http as i32 });
+    let headers = retry_after.into_iter().collect();
+    let response = DeniedHttpResponse { status: status_code, headers, body: message.to_string() };
+    CheckResponse {
+        status: status(code, message),
+        dynamic_metadata: None,
+        http_response: Some(HttpResponse::DeniedResponse(response)),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -88,6 +88,9 @@
     }
 
     /// Loses all counts, as a restart without persistence does.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn clear(&self) {
         lock(&self.shared.counts).clear();
         self.shared.recorder.record(CaptureEvent::CounterCleared);
--- a/crates/fakes/src/recorder.rs
+++ b/crates/fakes/src/recorder.rs
@@ -28,6 +28,9 @@
     }
 
     /// Records an event. Its time is taken under the lock, so that lines are in the order of their times.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn record(&self, event: CaptureEvent) {
         let mut sink = lock(&self.sink);
         let record = CaptureRecord { time_seconds: self.now(), event };
@@ -40,6 +43,9 @@
     }
 
     /// Writes out what is buffered.
+    ///
+    /// # Panics
+    /// If another thread has panicked while it held the lock.
     pub fn flush(&self) {
         if let Some(sink) = lock(&self.sink).as_mut() {
             let _ = sink.flush(); // A truncated capture fails its audit.
--- a/crates/simulation/src/simulator/customers.rs
+++ b/crates/simulation/src/simulator/customers.rs
@@ -84,7 +84,7 @@
             instances: InstanceRange { count: self.schedule.gateways, first: 0 },
             ticket: None,
         };
-        self.gateways[instance].engine.check(self.now, self.next_caller, &check);
+        self.gateways[instance].engine.handle_check(self.now, self.next_caller, &check);
         self.settle(instance);
     }
 }
