--- a/crates/cli/tests/node/main.rs
+++ b/crates/cli/tests/node/main.rs
@@ -1,18 +1,19 @@
-//! The gateway on the platform as a real process between scripted parties; judged from what passed on the
-//! sockets.
+//! The gateway on the platform as a process between scripted servers; judged from what passed on the sockets.
 
-#[path = "../common/mod.rs"]
-mod common;
+#[path = "../support/platform.rs"]
+mod platform;
+#[path = "../support/process.rs"]
+mod process;
 
 mod backends;
 mod clients;
-mod clocks;
-mod crossing;
+mod close_races;
 mod discovery;
-mod ends;
-mod held_up;
-mod limits;
-mod quiet;
-mod shutdown;
+mod graceful_shutdown;
+mod idle_connections;
+mod resource_limits;
+mod scheduling_delay;
+mod shutdown_deadline;
 mod support;
 mod system_calls;
+mod wall_clock;
--- a/crates/ext-authz/src/attributes.rs
+++ b/crates/ext-authz/src/attributes.rs
@@ -75,15 +75,15 @@
     let customer = customer(rules, &headers)?;
     let class = class(rules, http);
     let plan = rules.plans.get(customer).copied().or(rules.default_plan).ok_or(AttributeError::NoPlan)?;
-    let units = match &rules.units.0 {
+    let units = match &rules.units.header {
         Some(name) => headers.number(name, 0.0, rules.max_units)?,
         None => None,
     };
-    let time_budget = match &rules.patience {
+    let time_budget = match &rules.time_budget_header {
         Some(name) => headers.number(name, 0.0, MAX_TIME_BUDGET_SECONDS * MILLIS_PER_SECOND)?,
         None => None,
     };
-    let instances = match &rules.spread {
+    let instances = match &rules.instances_header {
         Some(name) => headers.one(name)?.map(|text| instance_range(name, text)).transpose()?,
         None => None,
     };
@@ -91,15 +91,15 @@
         customer: customer.into(),
         plan,
         class,
-        units: units.unwrap_or(rules.units.1),
-        time_budget: time_budget.map_or(rules.class_patience[class], |millis| millis / MILLIS_PER_SECOND),
+        units: units.unwrap_or(rules.units.default),
+        time_budget: time_budget.map_or(rules.class_time_budgets[class], |millis| millis / MILLIS_PER_SECOND),
         instances: instances.unwrap_or(ALL_INSTANCES),
-        ticket: headers.one(&rules.headers[0])?.map(String::from),
+        ticket: headers.one(&rules.ticket_header)?.map(String::from),
     })
 }
 
 fn customer<'a>(rules: &RequestRules, headers: &Headers<'a>) -> Result<&'a str, AttributeError> {
-    let name = &rules.customer;
+    let name = &rules.customer_header;
     let customer = match headers.all(name)[..] {
         [] => return Err(AttributeError::MissingCustomer(name.clone())),
         [customer] => customer,
@@ -117,11 +117,7 @@
 }
 
 fn class(rules: &RequestRules, http: &HttpRequest) -> usize {
-    rules
-        .routes
-        .iter()
-        .find(|(prefix, _)| http.path.starts_with(prefix.as_str()))
-        .map_or(0, |(_, class)| *class)
+    rules.routes.iter().find(|route| http.path.starts_with(&route.prefix)).map_or(0, |route| route.class)
 }
 
 /// Reads `count/first`: how many instances serve the customer, and the number of the first.
--- a/crates/ext-authz/src/attributes/tests.rs
+++ b/crates/ext-authz/src/attributes/tests.rs
@@ -6,7 +6,7 @@
 
 fn rules() -> RequestRules {
     let text = include_str!("../../../../deploy/gatekeeper.toml");
-    weirusher_config::Config::parse(text).expect("the shipped configuration is valid").request
+    weirusher_config::Config::parse(text).expect("the shipped configuration is valid").request_rules
 }
 
 fn context(headers: &[(&str, &str)]) -> AttributeContext {
--- a/crates/ext-authz/src/gateway.rs
+++ b/crates/ext-authz/src/gateway.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 use weirusher_clock::Clock;
-use weirusher_config::{Config, CounterConfig, DiscoveryConfig, RequestRules};
+use weirusher_config::{Config, ConnectionLimits, CounterConfig, DiscoveryConfig, RequestRules};
 use weirusher_core::{Engine, EngineError, Keyring};
 use weirusher_net::Listener;
 use weirusher_peers::{Peers, page};
@@ -92,12 +92,12 @@
 pub async fn start(config: Config) -> Result<GatewayHandle, StartError> {
     let (clock, metrics) = (Clock::start(), Arc::new(Metrics::default()));
     let (seed, incarnation) = (fastrand::u64(..), fastrand::u64(..));
-    let keyring = Keyring::new(config.keys.clone()).ok_or(StartError::NoKey)?;
+    let keyring = Keyring::new(config.ticket_keys.clone()).ok_or(StartError::NoKey)?;
     let instance = config.settings.instance;
     let call_timeout = config.settings.counter_timeout;
     let engine = Engine::new(config.settings, keyring, incarnation, seed, clock.now())?;
-    let (grpc_listener, ext_authz) = listen(config.ext_authz).await?;
-    let (admin_listener, admin) = listen(config.admin).await?;
+    let (grpc_listener, ext_authz) = listen(config.ext_authz_address).await?;
+    let (admin_listener, admin) = listen(config.admin_address).await?;
 
     let (service_sender, service_events) = mpsc::channel(SERVICE_QUEUE);
     let (client_sender, client_events) = mpsc::channel(CLIENT_QUEUE);
@@ -124,8 +124,13 @@
         discovery_client(config.discovery, instance, client_sender, watch_endpoints, &metrics, seed);
     tasks.push(tokio::spawn(discovery.run()));
     let engine_sender = service_sender.clone();
-    let server =
-        grpc_server(config.request, config.connections, engine_sender, &metrics, reports_done_receiver);
+    let server = grpc_server(
+        config.request_rules,
+        config.connection_limits,
+        engine_sender,
+        &metrics,
+        reports_done_receiver,
+    );
     let server = tokio::spawn(server.serve(grpc_listener, stopped));
     let fleet = peers.as_ref().map(|peers| peers.address);
     let admin_page = AdminPage { engine: service_sender, peers };
@@ -144,7 +149,7 @@
         pending_checks: HashMap::new(),
     };
     tasks.push(tokio::spawn(engine_task.run()));
-    let drain_timeout = Duration::from_secs_f64(config.drain);
+    let drain_timeout = Duration::from_secs_f64(config.drain_seconds);
     Ok(GatewayHandle { ext_authz, admin, fleet, stop, reports_done, pending, drain_timeout, server, tasks })
 }
 
@@ -158,7 +163,7 @@
     seed: u64,
 ) -> DiscoveryClient {
     DiscoveryClient {
-        cache: config.keep.clone().map(EndpointCache::start),
+        cache: config.cache_file.clone().map(EndpointCache::start),
         config,
         node: format!("gatekeeper-{instance}"),
         engine,
@@ -168,16 +173,16 @@
     }
 }
 
-/// The gRPC server with both services. `limits` are the connections, and the streams of each.
+/// The gRPC server with both services.
 fn grpc_server(
     rules: RequestRules,
-    limits: (u32, u32),
+    limits: ConnectionLimits,
     engine: mpsc::Sender<ServiceEvent>,
     metrics: &Arc<Metrics>,
     reports_done: watch::Receiver<bool>,
 ) -> GrpcServer {
     let rules = Arc::new(rules);
-    let (max_connections, max_streams_per_connection) = limits;
+    let ConnectionLimits { connections: max_connections, streams_per_connection } = limits;
     let check = ExtAuthz {
         rules: rules.clone(),
         engine: engine.clone(),
@@ -185,7 +190,13 @@
         metrics: metrics.clone(),
     };
     let access_log = AccessLog { rules, engine, metrics: metrics.clone(), reports_done };
-    GrpcServer { max_connections, max_streams_per_connection, check, access_log, metrics: metrics.clone() }
+    GrpcServer {
+        max_connections,
+        max_streams_per_connection: streams_per_connection,
+        check,
+        access_log,
+        metrics: metrics.clone(),
+    }
 }
 
 async fn listen(address: SocketAddr) -> Result<(Listener, SocketAddr), StartError> {
--- a/crates/ext-authz/src/services/access_log.rs
+++ b/crates/ext-authz/src/services/access_log.rs
@@ -48,7 +48,7 @@
             let Some(message) = message else { break };
             let Some(LogEntries::HttpLogs(entries)) = message.log_entries else { continue };
             for entry in &entries.log_entry {
-                match attempt_report(&self.rules.headers[0], entry) {
+                match attempt_report(&self.rules.ticket_header, entry) {
                     Some(report) => {
                         // Reports are not dropped: a full queue holds this stream back, and no other.
                         let sent = self.engine.send(ServiceEvent::Report(report)).await;
--- a/crates/ext-authz/src/services/ext_authz.rs
+++ b/crates/ext-authz/src/services/ext_authz.rs
@@ -101,11 +101,10 @@
 
 /// Permission: headers for the backend and the proxy, and the same values as dynamic metadata.
 fn allowed(rules: &RequestRules, grant: &Grant) -> CheckResponse {
-    let [ticket, backend, timeout] = &rules.headers;
     let values = [
-        (ticket, grant.ticket.clone()),
-        (backend, grant.backend.to_string()),
-        (timeout, format!("{:.3}", grant.timeout)),
+        (&rules.ticket_header, grant.ticket.clone()),
+        (&rules.backend_header, grant.backend.to_string()),
+        (&rules.timeout_header, format!("{:.3}", grant.timeout)),
     ];
     let field = |(name, text): &(&String, String)| {
         (name.to_string(), Value { kind: Some(value::Kind::StringValue(text.clone())) })
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,6 +7,15 @@
 //! and `retry_budget` allow. `observation` learns from the outcome of each attempt. `response` is the
 //! gateway's own response.
 //!
+//! Terms:
+//! - *count*: the units of a customer's quota that are used or leased in one window; kept by the counter
+//!   service.
+//! - *lease*: units that a gateway has added to the count before it spends them.
+//! - *level*: what remains of the quota, as a count showed it.
+//! - *uncounted*: spent without a lease, not on the count yet.
+//! - *fallback limit*: what a gateway spends without a lease while the count is not known.
+//! - *ceiling headroom*: what stands between a plan's quota and its hard ceiling.
+//!
 //! Times are seconds on the caller's clock, quantities quota units.
 
 mod admission;
@@ -15,6 +24,7 @@
 mod call_pacing;
 mod ceiling;
 mod concurrency_limit;
+mod count_reading;
 mod counter;
 mod customer;
 mod endpoint_list;
@@ -39,13 +49,13 @@
 mod tuning;
 mod window;
 
-use crate::interface::{Action, CustomerId, Event, RequestId, Settings, SettingsError, Time};
+use crate::interface::{Action, Event, RequestId, Settings, SettingsError, Time};
 use crate::validation::validate;
 use attempts::AttemptOutcome;
 use backend::BackendTable;
 use concurrency_limit::ConcurrencyLimit;
 use counter::CounterCalls;
-use customer::Customer;
+use customer::CustomerTable;
 use fractional_share::FractionalShares;
 use latency::LatencyEstimate;
 use request::OpenRequest;
@@ -66,7 +76,7 @@
     actions: Vec<Action>,
     timers: Timers,
     requests: HashMap<RequestId, OpenRequest>,
-    customers: HashMap<CustomerId, Customer>,
+    customers: CustomerTable,
     counter: CounterCalls,
     /// By plan.
     fractional_shares: Vec<FractionalShares>,
@@ -92,7 +102,7 @@
             actions: Vec::new(),
             timers: Timers::default(),
             requests: HashMap::new(),
-            customers: HashMap::new(),
+            customers: CustomerTable::default(),
             counter: CounterCalls::new(&settings),
             fractional_shares: vec![FractionalShares::default(); settings.plans.len()],
             backends: BackendTable::default(),
@@ -106,7 +116,7 @@
     }
 
     /// Takes one event at `now` and appends the actions to be carried out, in order.
-    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle_event(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
             Event::EndpointList { kind, endpoints } => self.update_endpoints(kind, &endpoints),
@@ -135,8 +145,6 @@
             Event::CounterResponse { counter, status, total, elapsed } => {
                 self.counter_response(counter, status, total, elapsed);
             }
-            // No health check is asked for.
-            Event::HealthChecked { .. } => {}
         }
         actions.append(&mut self.actions);
     }
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,15 +1,16 @@
-//! Outlier ejection: when a backend gets no attempts for a while because its own fail.
+//! Outlier ejection: when a backend gets no attempts for a while because those sent to it have failed.
 //!
 //! [`EJECT_AFTER_FAILURES`] failures in a row eject a backend, a refused connection at once: its process is
-//! gone. Each further ejection is twice as long, until an attempt is served. Nothing is ejected while many
-//! backends are: failures at so many have a common cause, and the rest could not carry the load. Inputs: the
-//! status of each attempt, the seconds since it was sent, the connect timeout in seconds.
+//! gone. Each further ejection is twice as long, until an attempt is served. No backend is ejected while many
+//! others are: failures at so many have a common cause, and the rest could not carry the load.
+//!
+//! Inputs: the status of each attempt, the seconds since it was sent, the connect timeout in seconds.
 
 use super::Gateway;
 use super::backend::Backend;
 use super::tuning::{
-    EJECT_AFTER_FAILURES, INITIAL_EJECTION_SECONDS, MAX_EJECTED_FRACTION, MAX_EJECTION_SECONDS,
-    REFUSED_CONNECT_FRACTION,
+    EJECT_AFTER_FAILURES, EJECTION_GROWTH, INITIAL_EJECTION_SECONDS, MAX_EJECTED_FRACTION,
+    MAX_EJECTION_SECONDS, REFUSED_CONNECT_FRACTION,
 };
 use crate::interface::{Status, Time};
 
@@ -24,10 +25,9 @@
     ) -> bool {
         match status {
             Status::Ok => self.record_success(now),
-            // It runs, and is full.
-            Status::Rejected => {}
-            // Its latency shows it: in an overload all backends time out, and none is an outlier.
-            Status::Timeout => {}
+            // One that rejects is running, and full. A timeout shows in the latency: in an overload all
+            // backends time out, and none is an outlier.
+            Status::Rejected | Status::Timeout => {}
             // A connection that does not come up in time may be slow, and counts once.
             Status::ConnectFailed if elapsed < REFUSED_CONNECT_FRACTION * connect_timeout => {
                 self.failures = EJECT_AFTER_FAILURES;
@@ -56,7 +56,8 @@
         if ejected < table.running.len() as f64 * MAX_EJECTED_FRACTION {
             let backend = &mut table.all[index];
             backend.ejected_until = self.now + backend.next_ejection_seconds;
-            backend.next_ejection_seconds = (backend.next_ejection_seconds * 2.0).min(MAX_EJECTION_SECONDS);
+            backend.next_ejection_seconds =
+                (backend.next_ejection_seconds * EJECTION_GROWTH).min(MAX_EJECTION_SECONDS);
         }
     }
 }
