--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -188,7 +188,7 @@
             report.lock().expect("no thread panics").merge(own);
         };
         let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(run_some)).collect();
-        while !workers.iter().all(|worker| worker.is_finished()) {
+        while !workers.iter().all(std::thread::ScopedJoinHandle::is_finished) {
             progress(finished.load(Relaxed));
             std::thread::sleep(PROGRESS_INTERVAL);
         }
