--- a/crates/ext-authz/src/gateway.rs
+++ b/crates/ext-authz/src/gateway.rs
@@ -123,11 +123,10 @@
     let discovery =
         discovery_client(config.discovery, instance, client_sender, watch_endpoints, &metrics, seed);
     tasks.push(tokio::spawn(discovery.run()));
-    let engine_sender = service_sender.clone();
     let server = grpc_server(
         config.request_rules,
         config.connection_limits,
-        engine_sender,
+        service_sender.clone(),
         &metrics,
         reports_done_receiver,
     );
