--- a/crates/core/src/engine/check.rs
+++ b/crates/core/src/engine/check.rs
@@ -1,7 +1,7 @@
 //! Checks: whether an attempt may be sent, and to which backend.
 
 use super::request_table::{AttemptId, AttemptState, OpenRequest, request_id};
-use super::{Engine, Output, Timer};
+use super::{Engine, EngineOutput, Timer};
 use weirusher::{BackendId, CustomerId, Event, Idempotency, Request, Time};
 
 /// Seconds that a retry's check waits for the report of the attempt before it, as the two arrive on separate
@@ -83,13 +83,13 @@
     Failed(CheckFailure),
 }
 
-/// Names an outcome that is being delivered, for [`Engine::undelivered`].
+/// Names an outcome that is being delivered, for [`Engine::handle_undelivered`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeliveryId(pub(super) Option<AttemptId>);
 
 impl Engine {
-    /// Handles a check. Its outcome follows as an [`Output`] for `caller`.
-    pub fn check(&mut self, now: Time, caller: CallerId, check: &Check) {
+    /// Handles a check. Its outcome follows as an [`EngineOutput`] for `caller`.
+    pub fn handle_check(&mut self, now: Time, caller: CallerId, check: &Check) {
         self.metrics.checks += 1;
         match &check.ticket {
             None => self.start_request(now, caller, check, false),
@@ -108,7 +108,7 @@
     }
 
     /// The client closed before its check had an outcome.
-    pub fn client_closed(&mut self, now: Time, caller: CallerId) {
+    pub fn handle_client_closed(&mut self, now: Time, caller: CallerId) {
         let Some(request) = self.callers.remove(&caller) else { return };
         self.metrics.client_closed += 1;
         if let Some(open) = self.requests.get_mut(request) {
@@ -117,9 +117,9 @@
         self.abandon_request(now, request);
     }
 
-    /// An outcome could not be delivered: the client closed after the decision. Nobody holds the ticket, so the
-    /// attempt was not sent.
-    pub fn undelivered(&mut self, now: Time, delivery: DeliveryId) {
+    /// An outcome could not be delivered: the client closed after the decision. Nobody holds the ticket, so
+    /// the attempt was not sent.
+    pub fn handle_undelivered(&mut self, now: Time, delivery: DeliveryId) {
         let Some(attempt) = delivery.0 else { return };
         self.metrics.undelivered += 1;
         self.close_unsent(now, attempt);
@@ -160,7 +160,7 @@
             customer: check.customer.clone(),
             is_retry,
         };
-        self.handle(now, Event::Request(request));
+        self.decide(now, Event::Request(request));
     }
 
     /// A retry after an attempt whose ticket this incarnation issued.
@@ -176,7 +176,8 @@
         }
         let last = open.attempts.len() as u32 - 1;
         let state = open.attempts[last as usize].state;
-        // An unclaimed attempt is claimed with the ticket before it; otherwise the last ticket has to be shown.
+        // An unclaimed attempt is claimed with the ticket before it; otherwise the last ticket has to be
+        // shown.
         let expected = if state == AttemptState::Unclaimed { last.checked_sub(1) } else { Some(last) };
         if open.caller.is_some() || expected != Some(previous.attempt) {
             self.metrics.duplicate_checks += 1;
@@ -200,8 +201,8 @@
         }
     }
 
-    /// A retry whose ticket another instance, or an earlier incarnation of this one, issued. That request table is not known here: an
-    /// idempotent request starts anew and pays again, any other fails.
+    /// A retry whose ticket another instance, or an earlier incarnation of this one, issued. That request
+    /// table is not known here: an idempotent request starts anew and pays again, any other fails.
     fn retry_of_other_issuer(&mut self, now: Time, caller: CallerId, check: &Check, class: usize) {
         self.metrics.foreign_checks += 1;
         if self.is_idempotent(class) && check.class == class {
@@ -232,7 +233,8 @@
         self.push_outcome(caller, CheckOutcome::Failed(failure), None);
     }
 
-    /// Gives the outcome to the request's pending check, if there is one. `granted` is the attempt that it allows.
+    /// Gives the outcome to the request's pending check, if there is one. `granted` is the attempt that it
+    /// allows.
     pub(super) fn respond(&mut self, request: u64, outcome: CheckOutcome, granted: Option<AttemptId>) {
         let Some(caller) = self.requests.get_mut(request).and_then(|open| open.caller.take()) else { return };
         self.callers.remove(&caller);
@@ -245,6 +247,6 @@
             CheckOutcome::Rejected { .. } => self.metrics.rejected += 1,
             CheckOutcome::Failed(_) => self.metrics.failed += 1,
         }
-        self.outputs.push(Output::CheckOutcome { caller, outcome, delivery: DeliveryId(granted) });
+        self.outputs.push(EngineOutput::CheckOutcome { caller, outcome, delivery: DeliveryId(granted) });
     }
 }
