--- a/crates/simulation/src/membership/process.rs
+++ b/crates/simulation/src/membership/process.rs
@@ -62,7 +62,7 @@
     /// Member `me` of a fleet of `size`.
     ///
     /// # Panics
-    /// If the fleet is too small for the member's number.
+    /// No fleet has this size, or `me` is none of its members.
     pub fn new(size: u16, me: u16, incarnation: u64, seed: u64, now: Millis) -> Self {
         let settings =
             Settings { instance: me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
