--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -20,9 +20,9 @@
 
 /// Seconds before a client's deadline by which its response is written: time for the network, which the client's deadline
 /// includes, and for a short stall of the process.
-const RESPONSE_LEAD: f64 = 0.02;
+const DEADLINE_LEAD: f64 = 0.02;
 /// Largest part of a client's time budget that the lead may take, so that short budgets keep most of theirs.
-const MAX_RESPONSE_LEAD_FRACTION: f64 = 0.1;
+const MAX_DEADLINE_LEAD_FRACTION: f64 = 0.1;
 /// Seconds that have to be left of a shutdown for a request to be accepted. With less it is rejected, which is safe to
 /// retry.
 const MIN_ACCEPT_TIME: f64 = 0.05;
@@ -68,7 +68,7 @@
         if time_budget <= 0.0 {
             return Err(Reason::DeadlineExceeded);
         }
-        let lead = RESPONSE_LEAD.min(MAX_RESPONSE_LEAD_FRACTION * time_budget);
+        let lead = DEADLINE_LEAD.min(MAX_DEADLINE_LEAD_FRACTION * time_budget);
         let deadline = now + time_budget - lead;
         match self.shutdown {
             None => Ok(deadline),
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -12,7 +12,7 @@
 const KILL_MARGIN: f64 = 0.7;
 /// Seconds before the kill by which the last response has to be written: one stall before the signal is noticed, and one
 /// before the response is written.
-const RESPONSE_LEAD: f64 = 2.0 * MAX_STALL;
+const KILL_LEAD: f64 = 2.0 * MAX_STALL;
 /// Seconds after the signal for which new connections are accepted: the platform's front end opens some for 0.4 s.
 const ACCEPT_PERIOD: f64 = 0.5;
 
@@ -38,7 +38,7 @@
 
     /// By when the last response has to be written.
     pub fn respond_by(&self) -> Time {
-        self.kill_at - RESPONSE_LEAD
+        self.kill_at - KILL_LEAD
     }
 }
 
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -11,7 +11,7 @@
 /// Most bytes of the body of a backend's response.
 pub const MAX_RESPONSE_BYTES: usize = MAX_BODY_BYTES;
 /// Microseconds in a second, the unit of the time budget that a backend is sent.
-const MICROS: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The part of a client's request that is forwarded, the same bytes at every attempt.
 #[derive(Debug, Clone, PartialEq)]
@@ -43,7 +43,9 @@
     /// Writes the head of an attempt with a time budget of `timeout` seconds; the body follows it.
     pub fn write_head(&self, dst: &mut BytesMut, timeout: f64) {
         dst.put_slice(&self.head);
-        dst.put_slice(format!("X-Expires-In: {}u\r\n\r\n", (timeout * MICROS).max(1.0) as u64).as_bytes());
+        dst.put_slice(
+            format!("X-Expires-In: {}u\r\n\r\n", (timeout * MICROS_PER_SECOND).max(1.0) as u64).as_bytes(),
+        );
     }
 }
 
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -7,7 +7,7 @@
 //! attempts.
 
 use super::Gateway;
-use super::request::{Attempt, OpenRequest, Progress};
+use super::request::{Attempt, Execution, OpenRequest};
 use super::selection::Placement;
 use super::timers::Timer;
 use super::tuning::{
@@ -70,7 +70,7 @@
         backend.slow_start.level -= request.units.max(1.0);
         self.concurrency.attempt_started();
         if let Some(customer) = self.customers.find(&request.customer) {
-            customer.open_attempts += 1;
+            customer.attempts_in_flight += 1;
         }
         self.load.record_sent(self.now, request.units);
         self.actions.push(Action::Forward {
@@ -79,7 +79,7 @@
             timeout,
             start_within: placement.start_within,
         });
-        let attempt = Attempt { backend: placement.backend, sent: self.now, progress: Progress::Pending };
+        let attempt = Attempt { backend: placement.backend, sent: self.now, execution: Execution::InFlight };
         open.attempts.push(attempt);
     }
 
@@ -95,7 +95,8 @@
     /// Sends a hedged request where one attempt is in flight without a response and there is capacity to
     /// spare.
     pub(super) fn send_hedge(&mut self, id: &RequestId) {
-        let unanswered = |open: &OpenRequest| !open.closed && !open.streaming && open.pending_attempts() == 1;
+        let unanswered =
+            |open: &OpenRequest| !open.closed && !open.streaming && open.attempts_in_flight() == 1;
         if self.requests.get(id).is_some_and(unanswered)
             && self.retry_budget.allows_one()
             && self.has_capacity(SPARE_CAPACITY_FRACTION)
@@ -109,7 +110,7 @@
     /// responded to.
     pub(super) fn attempt_ended(&mut self, id: &RequestId, outcome: AttemptOutcome) {
         let Some(open) = self.record_outcome(id, outcome) else { return };
-        let (in_flight, streaming) = (open.pending_attempts() > 0, open.streaming);
+        let (in_flight, streaming) = (open.attempts_in_flight() > 0, open.streaming);
         if outcome.request_ended || open.closed {
             return self.close_request(id);
         }
@@ -131,13 +132,13 @@
     fn record_outcome(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Option<&OpenRequest> {
         let open = self.requests.get_mut(id)?;
         let attempt = open.attempts.get_mut(outcome.attempt as usize)?;
-        if attempt.progress == Progress::Pending {
-            attempt.progress = match outcome.status {
-                Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
-                _ => Progress::MayHaveRun,
+        if attempt.execution == Execution::InFlight {
+            attempt.execution = match outcome.status {
+                Status::Rejected | Status::ConnectFailed | Status::NotSent => Execution::NotExecuted,
+                _ => Execution::MayHaveExecuted,
             };
             if let Some(customer) = self.customers.find(&open.request.customer) {
-                customer.open_attempts = customer.open_attempts.saturating_sub(1);
+                customer.attempts_in_flight = customer.attempts_in_flight.saturating_sub(1);
                 if let Some(units) = outcome.settled_units {
                     customer.uncounted.add(self.now, units - open.request.units);
                 }
--- a/src/policy/count_reading.rs
+++ b/src/policy/count_reading.rs
@@ -27,7 +27,7 @@
 impl CountHistory {
     /// Whether this gateway restores a count that was lost: the first one to find it so does, others only
     /// where it is still lost after `grace_seconds`.
-    pub(super) fn restores(&mut self, reading: &CountReading, now: Time, grace_seconds: f64) -> bool {
+    pub(super) fn decide_restore(&mut self, reading: &CountReading, now: Time, grace_seconds: f64) -> bool {
         let since = if self.reset_since > 0.0 { self.reset_since } else { now };
         let restores = reading.reset && (reading.first || now - since > grace_seconds);
         self.reset_since = if reading.reset && !restores { since } else { 0.0 };
--- a/src/policy/customer.rs
+++ b/src/policy/customer.rs
@@ -39,14 +39,14 @@
     /// Requests that wait for that call.
     pub(super) waiting: VecDeque<RequestId>,
     /// Attempts in flight.
-    pub(super) open_attempts: u32,
+    pub(super) attempts_in_flight: u32,
     pub(super) last_used: Time,
 }
 
 impl Customer {
     /// Whether nothing of it is in flight.
     fn is_idle(&self) -> bool {
-        self.open_attempts == 0 && self.pending_call.is_none()
+        self.attempts_in_flight == 0 && self.pending_call.is_none()
     }
 
     /// This gateway's even share of `units` among the gateways that serve the customer.
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -16,8 +16,8 @@
     fn fallback_level(&mut self, now: Time, plan: &Plan, units: f64) -> f64 {
         let rate = self.even_share(plan.rate);
         let burst = self.even_share(plan.burst).max(units);
-        let unreported = (self.uncounted.units - rate * (now - self.uncounted.since)).max(0.0);
-        self.fallback.refill(now, rate, burst - unreported)
+        let uncounted = (self.uncounted.units - rate * (now - self.uncounted.since)).max(0.0);
+        self.fallback.refill(now, rate, burst - uncounted)
     }
 
     /// Refills the fallback limit without a bound, before it is set from a known level.
--- a/src/policy/fractional_share.rs
+++ b/src/policy/fractional_share.rs
@@ -39,12 +39,12 @@
 
     /// Units that a call which requests `units` at a fractional share adds for those spent without a lease.
     pub(super) fn record_request(&mut self, now: Time, units: f64, plan: &Plan) -> f64 {
-        self.age(now, units, plan);
+        self.add_requested(now, units, plan);
         (units * self.uncounted.sum / self.requested.sum).min(plan.burst)
     }
 
     /// Lets time pass, and counts the units of a request.
-    pub(super) fn age(&mut self, now: Time, requested: f64, plan: &Plan) {
+    pub(super) fn add_requested(&mut self, now: Time, requested: f64, plan: &Plan) {
         let memory = plan.burst / plan.rate;
         self.requested.add(now, requested, memory);
         self.uncounted.add(now, 0.0, memory);
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -36,13 +36,13 @@
     /// The token of the timer that ends the wait for it.
     token: u64,
     /// No request waits for it any more.
-    overdue: bool,
+    wait_ended: bool,
 }
 
 impl Customer {
     /// Whether a request may wait for the call in flight.
     pub(super) fn may_wait(&self) -> bool {
-        self.pending_call.is_some_and(|call| !call.overdue)
+        self.pending_call.is_some_and(|call| !call.wait_ended)
     }
 
     /// Units to request where the waiting requests need `needed`: with spare ones for the recent demand, up
@@ -67,7 +67,7 @@
         let estimate = if is_fractional(plan, customer.instances, needed) {
             shares.record_request(self.now, needed, plan)
         } else {
-            shares.age(self.now, 0.0, plan);
+            shares.add_requested(self.now, 0.0, plan);
             0.0
         };
         let uncounted = self.take_uncounted(customer_id, plan);
@@ -77,7 +77,7 @@
         let token = self.set_timer(self.now + wait, Timer::LeaseWait(customer_id.clone()));
         let customer = self.customers.known(customer_id);
         customer.lease_window = window;
-        customer.pending_call = Some(PendingCall { token, overdue: false });
+        customer.pending_call = Some(PendingCall { token, wait_ended: false });
     }
 
     /// While the counter is unavailable: calls it to report what was spent without a lease, or, while calls
@@ -94,7 +94,7 @@
         self.add_to_count(customer_id, window, uncounted, purpose, plan);
         let token = self.timers.next_token();
         let customer = self.customers.known(customer_id);
-        customer.pending_call = Some(PendingCall { token, overdue: true });
+        customer.pending_call = Some(PendingCall { token, wait_ended: true });
     }
 
     /// Takes the units that the next call has to report, without those that the refill has paid for during an
@@ -139,20 +139,25 @@
     pub(super) fn end_lease_wait(&mut self, customer_id: &CustomerId, token: u64) {
         let Some(customer) = self.customers.find(customer_id) else { return };
         let Some(call) = customer.pending_call.as_mut().filter(|call| call.token == token) else { return };
-        call.overdue = true;
+        call.wait_ended = true;
         let plan = self.settings.plans[customer.plan].clone();
         let waiting = std::mem::take(&mut customer.waiting);
         self.admit_waiting(waiting, false, &plan);
     }
 
-    /// Decides requests that waited for a lease; `settled`: the count's total is known now.
-    fn admit_waiting(&mut self, waiting: impl IntoIterator<Item = RequestId>, settled: bool, plan: &Plan) {
+    /// Decides requests that waited for a lease; `total_known`: the count's total is known now.
+    fn admit_waiting(
+        &mut self,
+        waiting: impl IntoIterator<Item = RequestId>,
+        total_known: bool,
+        plan: &Plan,
+    ) {
         for id in waiting {
             let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { continue };
             let units = open.request.units;
             if self.customers.known(&open.request.customer).lease >= units {
                 self.spend(&id, units, Funding::Lease);
-            } else if settled {
+            } else if total_known {
                 self.over_quota(&id, plan);
             } else {
                 self.admit_by_fallback(&id, plan);
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -137,8 +137,8 @@
             customer.ceiling_headroom.take(units);
         }
         // Each gateway has an even share of the plan's concurrency limit, of one attempt at least.
-        let max_attempts = (plan.max_concurrent / customer.instances).max(1);
-        if plan.max_concurrent == 0 || customer.open_attempts < max_attempts {
+        let max_concurrent = (plan.max_concurrent / customer.instances).max(1);
+        if plan.max_concurrent == 0 || customer.attempts_in_flight < max_concurrent {
             self.send_first_attempt(id);
         } else {
             customer.lease += units; // Not sent, so not spent.
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -4,13 +4,13 @@
 
 /// Whether an attempt may have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Progress {
+pub(super) enum Execution {
     /// It is in flight.
-    Pending,
+    InFlight,
     /// It surely never ran.
-    NeverRan,
+    NotExecuted,
     /// It may have run.
-    MayHaveRun,
+    MayHaveExecuted,
 }
 
 /// One attempt of a request.
@@ -19,7 +19,7 @@
     /// Index of its backend.
     pub(super) backend: usize,
     pub(super) sent: Time,
-    pub(super) progress: Progress,
+    pub(super) execution: Execution,
 }
 
 /// A request without a response, or with attempts in flight.
@@ -41,12 +41,12 @@
     }
 
     /// How many attempts are in flight.
-    pub(super) fn pending_attempts(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.progress == Progress::Pending).count()
+    pub(super) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count()
     }
 
     /// Whether no attempt can have taken effect.
-    pub(super) fn never_ran(&self) -> bool {
-        self.attempts.iter().all(|attempt| attempt.progress == Progress::NeverRan)
+    pub(super) fn never_executed(&self) -> bool {
+        self.attempts.iter().all(|attempt| attempt.execution == Execution::NotExecuted)
     }
 }
--- a/src/policy/response.rs
+++ b/src/policy/response.rs
@@ -3,7 +3,7 @@
 //! A request is rejected where a retry by the client is known to do no harm, and fails otherwise: the client
 //! must then assume that it may have run.
 //!
-//! Inputs: the idempotency of the request's class, the progress of its attempts, the longest Retry-After in
+//! Inputs: the idempotency of the request's class, the execution of its attempts, the longest Retry-After in
 //! seconds.
 
 use super::Gateway;
@@ -28,8 +28,8 @@
     /// Whether a retry by the client cannot take effect twice, wherever it goes.
     fn safe_to_retry(&self, open: &OpenRequest) -> bool {
         match self.settings.classes.get(open.request.class).map(|class| class.idempotency) {
-            Some(Idempotency::NonIdempotent) => open.never_ran(),
-            Some(Idempotency::Keyed { scope, .. }) => scope == DedupScope::All || open.never_ran(),
+            Some(Idempotency::NonIdempotent) => open.never_executed(),
+            Some(Idempotency::Keyed { scope, .. }) => scope == DedupScope::All || open.never_executed(),
             Some(Idempotency::Idempotent) | None => true,
         }
     }
@@ -38,7 +38,7 @@
     pub(super) fn close_request(&mut self, id: &RequestId) {
         if let Some(open) = self.requests.get_mut(id) {
             open.closed = true;
-            if open.pending_attempts() == 0 {
+            if open.attempts_in_flight() == 0 {
                 self.requests.remove(id);
             }
         }
--- a/src/policy/retry_scope.rs
+++ b/src/policy/retry_scope.rs
@@ -8,7 +8,7 @@
 
 use super::Gateway;
 use super::backend::Backend;
-use super::request::{OpenRequest, Progress};
+use super::request::{Execution, OpenRequest};
 use crate::interface::{DedupScope, Idempotency};
 
 /// Where an attempt may go.
@@ -38,10 +38,11 @@
 impl Gateway {
     /// Where the next attempt of a request may go; `None`: none is allowed.
     pub(super) fn retry_scope(&self, open: &OpenRequest) -> Option<RetryScope> {
-        if open.pending_attempts() > 0 && !self.settings.hedging {
+        if open.attempts_in_flight() > 0 && !self.settings.hedging {
             return None;
         }
-        let Some(first) = open.attempts.iter().find(|attempt| attempt.progress != Progress::NeverRan) else {
+        let Some(first) = open.attempts.iter().find(|attempt| attempt.execution != Execution::NotExecuted)
+        else {
             return Some(RetryScope::ANYWHERE);
         };
         match self.settings.classes[open.request.class].idempotency {
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -88,11 +88,11 @@
     ) -> FollowUp {
         let Conditions { now, plan, unavailable, .. } = *conditions;
         let reading = CountReading::new(call, total, plan, now, &self.count);
-        // The gateway's own debt comes off before anything expires; others report theirs after that.
-        let debt = if unavailable { lease.uncounted + self.uncounted.units.max(0.0) } else { 0.0 };
-        let unexpired = reading.remaining.min(plan.burst + debt);
+        // The gateway's own uncounted units come off before anything expires; others report theirs later.
+        let own_uncounted = if unavailable { lease.uncounted + self.uncounted.units.max(0.0) } else { 0.0 };
+        let unexpired = reading.remaining.min(plan.burst + own_uncounted);
         let remaining = self.reconcile(&reading, unexpired, conditions);
-        let restores = self.count.restores(&reading, now, conditions.restore_after_seconds);
+        let restores = self.count.decide_restore(&reading, now, conditions.restore_after_seconds);
 
         let grant = Grant::new(call, lease, remaining, plan);
         self.lease += grant.granted;
@@ -101,14 +101,14 @@
 
         self.refill_fallback(now, plan);
         if unavailable {
-            self.cap_fallback(grant.level + lease.uncounted - debt);
+            self.cap_fallback(grant.level + lease.uncounted - own_uncounted);
         } else if !is_fractional(plan, self.instances, conditions.max_request_units) {
             self.set_fallback(grant.level);
         }
 
         let mut correction = grant.correction;
         let expired = reading.remaining - if restores { remaining } else { unexpired };
-        // Exact where others rely on it: at the start of a window, and while debts are still to come off.
+        // Exact where others rely on it: at the start of a window, and while uncounted units are still to come off.
         let slack = if reading.first || unavailable { 0.0 } else { EXPIRY_SLACK_FRACTION * plan.burst };
         if expired > slack || restores {
             correction += expired;
