--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -6,7 +6,8 @@
 //! step was decided, because any of these may have ended in between.
 //!
 //! The decisions follow the same rules by themselves. A decision that does not is not carried out, and [`Violations`]
-//! counts it. All times are in seconds.
+//! counts it. One rule is theirs alone: which backends may get a retry of a keyed request (`policy::retry_scope`). All
+//! times are in seconds.
 
 mod attempt;
 mod violation;
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -259,7 +259,7 @@
 
     // ---- Ends of requests and attempts ----
 
-    /// A request fails whose deadline has passed without an answer of the decisions.
+    /// The deadline of a request has passed and the decisions have not answered it: it fails.
     fn fail_undecided(&mut self, now: Time, id: &RequestId) {
         if !self.complete(id) {
             return;
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -6,9 +6,9 @@
 use crate::stall::MAX_STALL;
 use weirusher::{Class, Time};
 
-/// Largest part of the longest deadline that the platform waits for, in seconds.
+/// The platform waits for the longest deadline, but no longer than these seconds ...
 const MAX_KILL_DEADLINE: f64 = 3.0;
-/// Seconds that the platform waits beyond the longest deadline.
+/// ... and these seconds beyond it.
 const KILL_MARGIN: f64 = 0.7;
 /// Seconds before the kill by which the last response has to be written: one stall before the signal is noticed, and one
 /// before the response is written.
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -18,7 +18,7 @@
 /// Replaces [`EVICTION_GRACE`] for a new connection during a shutdown: its request has had time to arrive while the
 /// connection waited to be accepted.
 const SHUTDOWN_EVICTION_GRACE: f64 = 0.02;
-/// One in so many slots is freed at once when none is free.
+/// When no slot is free, the capacity divided by this (rounded up) is freed at once.
 const EVICTION_DIVISOR: usize = 8;
 
 /// Identifies a client connection within the process.
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -10,8 +10,8 @@
 use std::collections::VecDeque;
 use weirusher::Time;
 
-/// The wait of a long poll, as a fraction of the time within which the gateway has to stop sending. With twice the grace
-/// it makes half of that time; the rest is for reading the list and acting on it.
+/// The wait of a long poll, as a fraction of the time within which the gateway has to stop sending to a draining backend.
+/// With twice the grace it makes half of that time; the rest is for reading the list and acting on it.
 const WAIT_FRACTION: f64 = 0.25;
 /// The grace of a response, as a fraction of the same time.
 const GRACE_FRACTION: f64 = 0.125;
@@ -22,7 +22,8 @@
 /// The timing where discovery itself is polled, to which each poll costs work. A change that a silent poll misses counts
 /// as notified 6 s after the silence began at the earliest.
 const DIRECT: PollTiming = PollTiming { wait: 4.0, grace: 0.75 };
-/// Most connections at once: the oldest, as discovery may be slow, and later ones, as it may have lost the first poll.
+/// Most connections at once. Beyond it the second oldest is closed: the oldest is kept because discovery may only be slow,
+/// the later ones because it may have lost the first poll.
 const MAX_CONNECTIONS: usize = 4;
 /// The random fraction of a pause, so that the gateways of a fleet do not poll in step.
 const JITTER: f64 = 0.25;
--- a/crates/node/src/close_request.rs
+++ b/crates/node/src/close_request.rs
@@ -1,4 +1,4 @@
-//! A request to the task of a client connection to close it.
+//! Asks the task of a client connection to close it. No request of a client is meant here.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -69,14 +69,16 @@
     pub write_started: Rc<Cell<bool>>,
 }
 
-/// An add to a number of the counter.
+/// A call that adds units to one count of the counter service.
 #[derive(Debug, Clone, Copy)]
 pub struct CounterCall {
+    /// Identifies the call within the process.
     pub call: u64,
-    /// Name of the number.
+    /// Name of the count.
     pub counter: u64,
+    /// Quota units to add.
     pub amount: f64,
-    /// Seconds until a new number expires.
+    /// Seconds until a new count expires.
     pub ttl: f64,
 }
 
--- a/crates/platform/src/counter.rs
+++ b/crates/platform/src/counter.rs
@@ -8,7 +8,7 @@
 pub const MAX_RESPONSE_BYTES: usize = 1024;
 /// Largest amount of a call, either way.
 const MAX_AMOUNT: f64 = 1e9;
-/// Longest time to live of a new number, in milliseconds.
+/// Longest time to live of a new count, in milliseconds.
 const MAX_TTL_MS: f64 = 60_000.0;
 
 /// What a response of the counter says.
@@ -16,11 +16,11 @@
 pub struct AddResult {
     /// How the call ended.
     pub status: Status,
-    /// The number after the call; 0 unless the call succeeded.
+    /// The count's total after the call; 0 unless the call succeeded.
     pub total: f64,
 }
 
-/// Writes a call that adds `amount` to the number `name`, which expires `ttl` seconds after its creation.
+/// Writes a call that adds `amount` units to the count `name`, which expires `ttl` seconds after its creation.
 pub fn write_add(dst: &mut BytesMut, name: u64, amount: f64, ttl: f64) {
     // The counter takes decimals without an exponent, and keeps seven digits.
     let delta = amount.clamp(-MAX_AMOUNT, MAX_AMOUNT);
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -14,9 +14,9 @@
     /// As many requests are open as [`Settings::max_open_requests`](super::Settings::max_open_requests)
     /// allows.
     TooManyOpenRequests,
-    /// The concurrency limit of the gateway is reached.
+    /// The concurrency limit of the gateway, over all customers, is reached.
     Overload,
-    /// Its customer is beyond its quota.
+    /// Its customer is beyond its quota: the only reason that the quota gives.
     Quota,
     /// Its customer has as many attempts in flight as its plan allows.
     ConcurrencyLimit,
@@ -24,7 +24,7 @@
     NoBackend,
     /// Its attempts ended without a response that may be passed on, and no retry is allowed.
     AttemptsFailed,
-    /// Its deadline passed before a decision.
+    /// Its deadline passed before a decision, or while it was unread.
     DeadlineExceeded,
     /// The gateway shuts down before it could be answered.
     Stopping,
@@ -94,7 +94,7 @@
         /// Why.
         reason: Reason,
     },
-    /// Respond with a failure: the request may have run.
+    /// Respond with a failure: the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -7,19 +7,19 @@
 pub enum Status {
     /// Served.
     Ok,
-    /// An error response; it may have run.
+    /// An error response; the request may have been executed.
     Error,
-    /// Rejected before execution.
+    /// Rejected by the backend before execution; the request was not executed.
     Rejected,
-    /// No response in time; it may have run.
+    /// No response in time; the request may have been executed.
     Timeout,
-    /// No connection.
+    /// No connection; the request was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Cancelled by the gateway; it may have run.
+    /// Cancelled by the gateway; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// Never sent; the request was not executed.
     NotSent,
 }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -16,7 +16,7 @@
 /// What repeating a request may do.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// It may be executed any number of times.
     Idempotent,
     /// It carries an idempotency key, by which backends discard repeats.
     Keyed {
@@ -25,7 +25,7 @@
         /// Seconds after the first attempt for which the key is remembered.
         window: f64,
     },
-    /// It may run once at most.
+    /// It may be executed once at most.
     NonIdempotent,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct Class {
-    /// Seconds within which a response has its full value.
+    /// Seconds after its arrival within which the response to a request has its full value.
     pub latency_objective: f64,
     /// Fraction of its value that a later response has.
     pub late_weight: f64,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,8 +1,10 @@
 //! Admission: the checks that a new request passes, in order.
 //!
-//! A request is rejected at once when it is invalid, too close to its deadline to be decided in time, or
-//! beyond the number of open requests; then when the concurrency limit is reached. After that its customer's
-//! quota decides (`quota`).
+//! 1. It is rejected at once when it is invalid, when its deadline is too close to decide it in time, or when
+//!    as many requests are open as the settings allow.
+//! 2. It is rejected when the gateway's `concurrency_limit` is reached.
+//! 3. A plan without a rate has no quota: only the customer's number of attempts in flight is checked
+//!    (`quota`, `spend`). Otherwise the customer's quota decides (`quota`, `admit`).
 //!
 //! Inputs: the request, its deadline (seconds on the caller's clock), the settings.
 
@@ -83,9 +85,9 @@
     }
 }
 
-/// Units that the fallback limit of a new customer holds: this gateway's share of the burst, one request at
-/// least at most gateways. Nothing under a ceiling: a gateway that has restarted does not know what it spent
-/// before.
+/// Units that the fallback limit of a new customer holds: this gateway's share of the burst, and at most of
+/// the customer's gateways no less than one request. Nothing under a ceiling: a gateway that has restarted
+/// does not know what it spent before.
 fn initial_fallback(request: &Request, plan: &Plan, customer_instances: u32, instance: u32) -> f64 {
     if plan.ceiling_rate > 0.0 {
         return 0.0;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,14 @@
 //! Attempts: the first one of a request, its retries and its hedged requests.
 //!
-//! A retry follows a failed attempt, a hedged request an attempt that takes long. Both need the retry budget,
-//! the concurrency limit and the retry scope. A timed-out attempt is not retried: no useful time is left.
+//! A retry follows a failed attempt, a hedged request starts while a slow attempt is in flight. Both are
+//! sent only if all of these allow it:
+//! - the retry budget (`retry_budget`) and the concurrency limit (`concurrency_limit`);
+//! - the settings' number of attempts, and the time that is left of the request;
+//! - the retry scope (`retry_scope`): whether and where an earlier attempt that may have been executed can
+//!   be repeated;
+//! - a backend in that scope that was not tried before (`selection`).
+//!
+//! A timed-out attempt is not retried: no useful time is left.
 //!
 //! Inputs: the class of the request (latency objective, deadline), the settings' limits, the status of
 //! attempts.
--- a/src/policy/count_reading.rs
+++ b/src/policy/count_reading.rs
@@ -25,8 +25,8 @@
 }
 
 impl CountHistory {
-    /// Whether this gateway restores a count that was lost: the first one to find it so does, others only
-    /// where it is still lost after `grace_seconds`.
+    /// Decides whether this gateway restores a count that the counter has lost. The first gateway that
+    /// finds it lost does; another only if it is still lost `grace_seconds` after that one first saw it so.
     pub(super) fn decide_restore(&mut self, reading: &CountReading, now: Time, grace_seconds: f64) -> bool {
         let since = if self.reset_since > 0.0 { self.reset_since } else { now };
         let restores = reading.reset && (reading.first || now - since > grace_seconds);
@@ -45,7 +45,8 @@
 pub(super) struct CountReading {
     /// Seconds since the present window began.
     pub(super) window_age: f64,
-    /// Units that remain of the window's limit, more than the burst where some have expired.
+    /// Units that remain of the window's limit. More than the burst if the bucket was full for a while: the
+    /// excess has expired and is still to be added to the count.
     pub(super) remaining: f64,
     /// Nothing had been counted before.
     pub(super) first: bool,
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -1,8 +1,8 @@
 //! The fallback limit: what a gateway grants a customer by itself while the count is not known.
 //!
 //! It is an even share of rate and burst, less what the gateway has spent without a lease: that stays taken
-//! until the count knows of it. A share under one request holds one, else too few would be served; but not
-//! under a ceiling, where the headroom decides.
+//! until the count knows of it. A share of less than one request is raised to one request, or a small
+//! customer would hardly be served. Under a ceiling it is the headroom that decides about such a share.
 //!
 //! Inputs: the plan, the number of gateways that serve the customer, the units of the request.
 
--- a/src/policy/fractional_share.rs
+++ b/src/policy/fractional_share.rs
@@ -43,7 +43,7 @@
         (units * self.uncounted.sum / self.requested.sum).min(plan.burst)
     }
 
-    /// Lets time pass, and counts the units of a request.
+    /// Counts `requested` units, and lets both sums decay; 0 units only let them decay.
     pub(super) fn add_requested(&mut self, now: Time, requested: f64, plan: &Plan) {
         let memory = plan.burst / plan.rate;
         self.requested.add(now, requested, memory);
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -35,7 +35,7 @@
 pub(super) struct PendingCall {
     /// The token of the timer that ends the wait for it.
     token: u64,
-    /// No request waits for it any more.
+    /// Requests no longer wait for it, or none ever did.
     wait_ended: bool,
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions of a gateway, one module for each rule; the interface's types are in `src/interface.rs`.
+//! The decisions of a gateway, one module for each rule; the interface's types are in `src/interface/`.
 //!
 //! A new request passes `admission` and `quota`: it spends its customer's `lease`, waits for a new one, or is
 //! decided by the local `fallback` limit and the `ceiling`. `counter` and `call_pacing` make the calls for
@@ -11,10 +11,16 @@
 //! - *count*: the units of a customer's quota that are used or leased in one window; kept by the counter
 //!   service.
 //! - *lease*: units that a gateway has added to the count before it spends them.
-//! - *level*: what remains of the quota, as a count showed it.
+//! - *level*: of a quota, what remains of it, as a count showed it; of a token bucket, the units that it
+//!   holds.
 //! - *uncounted*: spent without a lease, not on the count yet.
 //! - *fallback limit*: what a gateway spends without a lease while the count is not known.
-//! - *ceiling headroom*: what stands between a plan's quota and its hard ceiling.
+//! - *ceiling headroom*: the units between a plan's quota and its hard ceiling.
+//! - *in flight*: an attempt that has not ended. *open*: a request without a response, or with attempts in
+//!   flight.
+//!
+//! A request beyond its quota is one of several reasons to reject a request: they are the variants of
+//! [`Reason`](crate::Reason).
 //!
 //! Times are seconds on the caller's clock, quantities quota units.
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -136,12 +136,13 @@
         if plan.ceiling_rate > 0.0 {
             customer.ceiling_headroom.take(units);
         }
-        // Each gateway has an even share of the plan's concurrency limit, of one attempt at least.
+        // Each gateway has an even share of the attempts that the plan allows in flight, of one at least.
         let max_concurrent = (plan.max_concurrent / customer.instances).max(1);
         if plan.max_concurrent == 0 || customer.attempts_in_flight < max_concurrent {
             self.send_first_attempt(id);
         } else {
-            customer.lease += units; // Not sent, so not spent.
+            // Not sent. Whatever paid for it, the units are or will be on the count, so they are leased now.
+            customer.lease += units;
             self.respond_locally(id, self.latency.mean, Reason::ConcurrencyLimit);
         }
     }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -2,14 +2,14 @@
 
 use crate::interface::{Request, Time};
 
-/// Whether an attempt may have taken effect.
+/// Whether an attempt was executed by its backend, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Execution {
     /// It is in flight.
     InFlight,
-    /// It surely never ran.
+    /// It ended and was certainly not executed.
     NotExecuted,
-    /// It may have run.
+    /// It ended and may have been executed.
     MayHaveExecuted,
 }
 
@@ -45,7 +45,7 @@
         self.attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count()
     }
 
-    /// Whether no attempt can have taken effect.
+    /// Whether no attempt was or may be executed. Also false while one is in flight.
     pub(super) fn never_executed(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.execution == Execution::NotExecuted)
     }
--- a/src/policy/response.rs
+++ b/src/policy/response.rs
@@ -1,9 +1,12 @@
 //! The response of the gateway itself: a rejection or a failure, once for each request.
 //!
 //! A request is rejected where a retry by the client is known to do no harm, and fails otherwise: the client
-//! must then assume that it may have run.
+//! must then assume that it may have been executed.
 //!
-//! Inputs: the idempotency of the request's class, the execution of its attempts, the longest Retry-After in
+//! So the same reason, say [`Reason::AttemptsFailed`], rejects an idempotent request and fails a
+//! non-idempotent one.
+//!
+//! Inputs: the idempotency of the request's class, the state of its attempts, the longest Retry-After in
 //! seconds.
 
 use super::Gateway;
--- a/src/policy/retry_scope.rs
+++ b/src/policy/retry_scope.rs
@@ -1,8 +1,8 @@
 //! Retry safety: whether a request may be attempted again, where and until when.
 //!
-//! An attempt that may have run is repeated only where the repeat cannot take effect twice: an idempotent
-//! request anywhere, a keyed one at the backends that deduplicate it and before they forget the key, any
-//! other one nowhere.
+//! An attempt that may have been executed is repeated only where the repeat cannot take effect twice: an
+//! idempotent request anywhere, a keyed one at the backends that deduplicate it and before they forget the
+//! key, any other one nowhere.
 //!
 //! Inputs: the idempotency of the request's class, its window in seconds, the attempts so far.
 
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -108,7 +108,8 @@
 
         let mut correction = grant.correction;
         let expired = reading.remaining - if restores { remaining } else { unexpired };
-        // Exact where others rely on it: at the start of a window, and while uncounted units are still to come off.
+        // Exact where others rely on it: at the start of a window, and while uncounted units are still to
+        // come off.
         let slack = if reading.first || unavailable { 0.0 } else { EXPIRY_SLACK_FRACTION * plan.burst };
         if expired > slack || restores {
             correction += expired;
--- a/src/policy/token_bucket.rs
+++ b/src/policy/token_bucket.rs
@@ -19,7 +19,7 @@
         self.level
     }
 
-    /// Takes `units` out of the bucket, which is empty at least.
+    /// Takes `units` out of the bucket; its level does not fall below 0.
     pub(super) fn take(&mut self, units: f64) {
         self.level = (self.level - units).max(0.0);
     }
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -56,7 +56,7 @@
 
 /// Fraction of the counter's timeout from which on a response shows a crowded counter.
 pub(super) const SLOW_CALL_FRACTION: f64 = 0.6;
-/// Least calls a second: the trials while the counter is unavailable.
+/// Least calls a second; while the counter is unavailable they show whether it responds again.
 pub(super) const MIN_CALL_RATE: f64 = 1.0;
 /// Calls a second at the start, over all gateways.
 pub(super) const INITIAL_FLEET_CALL_RATE: f64 = 200.0;
@@ -122,7 +122,8 @@
 
 // Slow start.
 
-/// Fraction of the load that a backend in slow start can bear which all gateways together plan to send.
+/// Fraction of the load that would overload a backend in slow start that all gateways together plan to send
+/// to it.
 pub(super) const SLOW_START_FRACTION: f64 = 0.4;
 /// Units that may be saved up for a backend in slow start, as a fraction of those in the time to overload.
 pub(super) const SLOW_START_BURST_FRACTION: f64 = 0.5;
@@ -133,7 +134,8 @@
 
 // Backend selection.
 
-/// A backend counts as slow from a mean latency of one over this, relative to that of all backends.
+/// A backend's score rises once its mean latency, times this, exceeds the mean of all backends: an average
+/// backend scores this many times as high as a fast one.
 pub(super) const SLOW_BACKEND_FACTOR: f64 = 1.5;
 /// Memory of what attempts have shown of a backend.
 pub(super) const OBSERVATION_MEMORY_SECONDS: f64 = 14.0;
