--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -164,7 +164,7 @@
 
     /// The client closed its connection before its response.
     pub fn handle_client_gone(&mut self, now: Time, id: &RequestId) {
-        if self.complete(id) {
+        if self.end_pending(id) {
             self.metrics.client_gone += 1;
             self.withdraw(now, id);
         }
@@ -187,7 +187,7 @@
         let Some(ended) = self.requests.end_attempt(now, id, attempt, status) else { return false };
         self.driver.timers.cancel(ended.timer);
         self.metrics.count_attempt_end(status);
-        let serves = status == Status::Ok && self.complete(id);
+        let serves = status == Status::Ok && self.end_pending(id);
         self.metrics.served += u64::from(serves);
         let event = Event::AttemptEnded {
             request: id.clone(),
@@ -261,7 +261,7 @@
 
     /// The deadline of a request has passed and the decisions have not answered it: it fails.
     fn fail_undecided(&mut self, now: Time, id: &RequestId) {
-        if !self.complete(id) {
+        if !self.end_pending(id) {
             return;
         }
         self.metrics.undecided += 1;
@@ -269,9 +269,9 @@
         self.withdraw(now, id);
     }
 
-    /// The decisions answered a request.
-    fn finish(&mut self, id: RequestId, outcome: Outcome) {
-        if self.complete(&id) {
+    /// The decisions answered a request: its client gets the outcome, unless it has a response already.
+    fn answer(&mut self, id: RequestId, outcome: Outcome) {
+        if self.end_pending(&id) {
             self.requests.remove_finished(&id);
             self.respond(id, outcome);
         }
@@ -299,8 +299,8 @@
     }
 
     /// A request stops being pending; `true` the first time.
-    fn complete(&mut self, id: &RequestId) -> bool {
-        let Some(timer) = self.requests.complete(id) else { return false };
+    fn end_pending(&mut self, id: &RequestId) -> bool {
+        let Some(timer) = self.requests.end_pending(id) else { return false };
         self.driver.timers.cancel(timer);
         true
     }
@@ -322,9 +322,9 @@
                 self.start_attempt(now, request, backend, timeout, start_within);
             }
             Action::Reject { request, retry_after, reason } => {
-                self.finish(request, Outcome::Rejected { retry_after, reason });
+                self.answer(request, Outcome::Rejected { retry_after, reason });
             }
-            Action::Fail { request, reason } => self.finish(request, Outcome::Failed { reason }),
+            Action::Fail { request, reason } => self.answer(request, Outcome::Failed { reason }),
             _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
         }
     }
--- a/crates/core/src/proxy/table.rs
+++ b/crates/core/src/proxy/table.rs
@@ -150,7 +150,7 @@
     }
 
     /// A request has its response or was withdrawn: returns the timer of its deadline, the first time.
-    pub fn complete(&mut self, id: &str) -> Option<TimerKey> {
+    pub fn end_pending(&mut self, id: &str) -> Option<TimerKey> {
         let timer = self.requests.get_mut(id)?.deadline_timer.take()?;
         self.pending -= 1;
         Some(timer)
--- a/crates/node/src/client_slot.rs
+++ b/crates/node/src/client_slot.rs
@@ -1,6 +1,6 @@
 //! The slot of a client connection.
 
-use crate::close_request::CloseRequest;
+use crate::close_signal::CloseSignal;
 use crate::context::NodeContext;
 use std::rc::Rc;
 use weirusher::Time;
@@ -14,14 +14,14 @@
 
 impl ClientSlot {
     /// Takes a slot for a connection that was accepted, and creates the handle by which its task is asked to close it.
-    pub fn take(node: &Rc<NodeContext>) -> (Self, Rc<CloseRequest>) {
+    pub fn take(node: &Rc<NodeContext>) -> (Self, Rc<CloseSignal>) {
         let state = &mut *node.state.borrow_mut();
         state.last_slot += 1;
-        let (id, close_request) = (state.last_slot, Rc::new(CloseRequest::default()));
+        let (id, close_signal) = (state.last_slot, Rc::new(CloseSignal::default()));
         state.slots.insert(node.now(), id);
-        state.close_requests.insert(id, close_request.clone());
+        state.close_signals.insert(id, close_signal.clone());
         node.eviction_wakeup.set(state.slots.next_eviction());
-        (Self { node: node.clone(), id }, close_request)
+        (Self { node: node.clone(), id }, close_signal)
     }
 
     /// A part of a request was received.
@@ -53,7 +53,7 @@
     fn drop(&mut self) {
         let state = &mut *self.node.state.borrow_mut();
         state.slots.remove(self.id);
-        state.close_requests.remove(&self.id);
+        state.close_signals.remove(&self.id);
         self.node.slot_freed.notify_one();
     }
 }
--- a/crates/node/src/close_request.rs
+++ b/crates/node/src/close_signal.rs
@@ -1,24 +1,24 @@
-//! Asks the task of a client connection to close it. No request of a client is meant here.
+//! Asks the task of a client connection to close it.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Asks one task to close its connection. The request is withdrawn when a client request arrives on the connection, which
+/// Asks one task to close its connection. The signal is withdrawn when a request arrives on the connection, which
 /// is served first.
 #[derive(Debug, Default)]
-pub struct CloseRequest {
+pub struct CloseSignal {
     requested: Cell<bool>,
     changed: Notify,
 }
 
-impl CloseRequest {
+impl CloseSignal {
     /// Asks for the close.
     pub fn request(&self) {
         self.requested.set(true);
         self.changed.notify_one();
     }
 
-    /// Withdraws the request.
+    /// Withdraws the signal.
     pub fn withdraw(&self) {
         self.requested.set(false);
     }
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -9,7 +9,7 @@
 use crate::byte_budget::BytePermit;
 use crate::client_slot::ClientSlot;
 use crate::client_socket::ClientSocket;
-use crate::close_request::CloseRequest;
+use crate::close_signal::CloseSignal;
 use crate::context::{ClientResponse, NodeContext};
 use crate::log::log_step;
 use crate::metrics::CloseReason;
@@ -53,7 +53,7 @@
 pub struct Connection {
     slot: ClientSlot,
     socket: ClientSocket,
-    close_request: Rc<CloseRequest>,
+    close_signal: Rc<CloseSignal>,
     buffer: BytesMut,
     head_search: HeadSearch,
     /// A part of a request was received.
@@ -69,12 +69,12 @@
 
 impl Connection {
     /// A connection that was accepted just now.
-    pub fn new(slot: ClientSlot, socket: ClientSocket, close_request: Rc<CloseRequest>) -> Self {
+    pub fn new(slot: ClientSlot, socket: ClientSocket, close_signal: Rc<CloseSignal>) -> Self {
         let accepted_at = slot.node.now();
         Self {
             slot,
             socket,
-            close_request,
+            close_signal,
             buffer: BytesMut::with_capacity(BUFFER_CAPACITY),
             head_search: HeadSearch::default(),
             is_reading: false,
@@ -129,7 +129,7 @@
         self.log_request_read(&request, unread_for);
         self.requests += 1;
         self.is_pending = true;
-        self.close_request.withdraw();
+        self.close_signal.withdraw();
         self.slot.set_active();
         let close = request.closes_connection;
         let id = request.id.clone();
@@ -192,7 +192,7 @@
         if std::mem::replace(&mut self.is_reading, true) {
             return;
         }
-        self.close_request.withdraw();
+        self.close_signal.withdraw();
         self.first_byte_at = self.slot.node.now();
         self.slot.set_reading(self.first_byte_at);
     }
--- a/crates/node/src/connection/read.rs
+++ b/crates/node/src/connection/read.rs
@@ -96,7 +96,7 @@
         let read = tokio::select! {
             biased;
             read = self.socket.read(&mut self.buffer) => read,
-            () = self.close_request.requested() => {
+            () = self.close_signal.requested() => {
                 // Bytes that were received just now are served: the client could not know of the close.
                 let before = self.buffer.len();
                 let is_gone = self.socket.read_ahead(&mut self.buffer).is_err();
--- a/crates/node/src/connection/tests.rs
+++ b/crates/node/src/connection/tests.rs
@@ -130,12 +130,12 @@
 async fn a_request_that_arrives_with_a_close_request_is_read() {
     on_one_thread(async |node| {
         let (connection, mut client) = connected(&node, "").await;
-        let close_request = connection.close_request.clone();
+        let close_signal = connection.close_signal.clone();
         let mut serve = std::pin::pin!(connection.serve());
         assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "it is idle");
         // Both before the runtime is notified of either.
         client.write_all(request(0).as_bytes()).unwrap();
-        close_request.request();
+        close_signal.request();
         assert_eq!(poll_once(serve.as_mut()), Poll::Pending);
         assert_eq!(node.state.borrow().proxy.pending(), 1);
     })
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -5,7 +5,7 @@
 use crate::budget::ResourceBudget;
 use crate::byte_budget::{ByteBudget, BytePermit};
 use crate::client_socket::ClientSocket;
-use crate::close_request::CloseRequest;
+use crate::close_signal::CloseSignal;
 use crate::metrics::ConnectionMetrics;
 use crate::wakeup::Wakeup;
 use bytes::Bytes;
@@ -93,7 +93,7 @@
     pub addresses: HashMap<BackendId, SocketAddr>,
     pub slots: ConnectionSlots,
     pub last_slot: SlotId,
-    pub close_requests: HashMap<SlotId, Rc<CloseRequest>>,
+    pub close_signals: HashMap<SlotId, Rc<CloseSignal>>,
     /// Counter calls that were not written yet.
     pub counter_calls: VecDeque<CounterCall>,
     /// Spare memory for the outputs of the proxy core.
@@ -161,7 +161,7 @@
                 addresses: HashMap::new(),
                 slots: ConnectionSlots::new(budget.client_connections),
                 last_slot: 0,
-                close_requests: HashMap::new(),
+                close_signals: HashMap::new(),
                 counter_calls: VecDeque::new(),
                 outputs: Vec::new(),
             }),
@@ -214,6 +214,6 @@
 impl NodeState {
     /// Asks the tasks of client connections to close them.
     pub fn request_close(&self, ids: &[SlotId]) {
-        ids.iter().filter_map(|id| self.close_requests.get(id)).for_each(|close| close.request());
+        ids.iter().filter_map(|id| self.close_signals.get(id)).for_each(|close| close.request());
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -13,7 +13,7 @@
 mod byte_budget;
 mod client_slot;
 mod client_socket;
-mod close_request;
+mod close_signal;
 mod connection;
 mod context;
 mod counter;
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -26,7 +26,7 @@
 
 fn serve(node: &Rc<NodeContext>, stream: TcpStream) {
     node.connections.accepted();
-    let (slot, close_request) = ClientSlot::take(node);
-    let connection = Connection::new(slot, ClientSocket::new(stream), close_request);
+    let (slot, close_signal) = ClientSlot::take(node);
+    let connection = Connection::new(slot, ClientSocket::new(stream), close_signal);
     tokio::task::spawn_local(connection.serve());
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions of a gateway, one module for each rule; the interface's types are in `src/interface/`.
+//! The decisions of a gateway, one module for each rule; the interface's types are in `src/interface.rs`.
 //!
 //! A new request passes `admission` and `quota`: it spends its customer's `lease`, waits for a new one, or is
 //! decided by the local `fallback` limit and the `ceiling`. `counter` and `call_pacing` make the calls for
