--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,13 +1,20 @@
 //! Attempts: the first one of a request, its retries and its hedged requests.
 //!
-//! A retry follows a failed attempt, a hedged request an attempt that takes long. Both need the retry budget,
-//! the concurrency limit and the retry scope. A timed-out attempt is not retried: no useful time is left.
+//! A retry follows a failed attempt, a hedged request starts while a slow attempt is in flight. Both are
+//! sent only if all of these allow it:
+//! - the retry budget (`retry_budget`) and the concurrency limit (`concurrency_limit`);
+//! - the settings' number of attempts, and the time that is left of the request;
+//! - the retry scope (`retry_scope`): whether and where an earlier attempt that may have been executed can
+//!   be repeated;
+//! - a backend in that scope that was not tried before (`selection`).
+//!
+//! A timed-out attempt is not retried: no useful time is left.
 //!
 //! Inputs: the class of the request (latency objective, deadline), the settings' limits, the status of
 //! attempts.
 
 use super::Gateway;
-use super::request::{Attempt, OpenRequest, Progress};
+use super::request::{Attempt, Execution, OpenRequest};
 use super::selection::Placement;
 use super::timers::Timer;
 use super::tuning::{
@@ -70,7 +77,7 @@
         backend.slow_start.level -= request.units.max(1.0);
         self.concurrency.attempt_started();
         if let Some(customer) = self.customers.find(&request.customer) {
-            customer.open_attempts += 1;
+            customer.attempts_in_flight += 1;
         }
         self.load.record_sent(self.now, request.units);
         self.actions.push(Action::Forward {
@@ -79,7 +86,7 @@
             timeout,
             start_within: placement.start_within,
         });
-        let attempt = Attempt { backend: placement.backend, sent: self.now, progress: Progress::Pending };
+        let attempt = Attempt { backend: placement.backend, sent: self.now, execution: Execution::InFlight };
         open.attempts.push(attempt);
     }
 
@@ -95,7 +102,8 @@
     /// Sends a hedged request where one attempt is in flight without a response and there is capacity to
     /// spare.
     pub(super) fn send_hedge(&mut self, id: &RequestId) {
-        let unanswered = |open: &OpenRequest| !open.closed && !open.streaming && open.pending_attempts() == 1;
+        let unanswered =
+            |open: &OpenRequest| !open.closed && !open.streaming && open.attempts_in_flight() == 1;
         if self.requests.get(id).is_some_and(unanswered)
             && self.retry_budget.allows_one()
             && self.has_capacity(SPARE_CAPACITY_FRACTION)
@@ -109,7 +117,7 @@
     /// responded to.
     pub(super) fn attempt_ended(&mut self, id: &RequestId, outcome: AttemptOutcome) {
         let Some(open) = self.record_outcome(id, outcome) else { return };
-        let (in_flight, streaming) = (open.pending_attempts() > 0, open.streaming);
+        let (in_flight, streaming) = (open.attempts_in_flight() > 0, open.streaming);
         if outcome.request_ended || open.closed {
             return self.close_request(id);
         }
@@ -131,13 +139,13 @@
     fn record_outcome(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Option<&OpenRequest> {
         let open = self.requests.get_mut(id)?;
         let attempt = open.attempts.get_mut(outcome.attempt as usize)?;
-        if attempt.progress == Progress::Pending {
-            attempt.progress = match outcome.status {
-                Status::Rejected | Status::ConnectFailed | Status::NotSent => Progress::NeverRan,
-                _ => Progress::MayHaveRun,
+        if attempt.execution == Execution::InFlight {
+            attempt.execution = match outcome.status {
+                Status::Rejected | Status::ConnectFailed | Status::NotSent => Execution::NotExecuted,
+                _ => Execution::MayHaveExecuted,
             };
             if let Some(customer) = self.customers.find(&open.request.customer) {
-                customer.open_attempts = customer.open_attempts.saturating_sub(1);
+                customer.attempts_in_flight = customer.attempts_in_flight.saturating_sub(1);
                 if let Some(units) = outcome.settled_units {
                     customer.uncounted.add(self.now, units - open.request.units);
                 }
--- a/src/policy/response.rs
+++ b/src/policy/response.rs
@@ -1,9 +1,12 @@
 //! The response of the gateway itself: a rejection or a failure, once for each request.
 //!
 //! A request is rejected where a retry by the client is known to do no harm, and fails otherwise: the client
-//! must then assume that it may have run.
+//! must then assume that it may have been executed.
 //!
-//! Inputs: the idempotency of the request's class, the progress of its attempts, the longest Retry-After in
+//! So the same reason, say [`Reason::AttemptsFailed`], rejects an idempotent request and fails a
+//! non-idempotent one.
+//!
+//! Inputs: the idempotency of the request's class, the state of its attempts, the longest Retry-After in
 //! seconds.
 
 use super::Gateway;
@@ -28,8 +31,8 @@
     /// Whether a retry by the client cannot take effect twice, wherever it goes.
     fn safe_to_retry(&self, open: &OpenRequest) -> bool {
         match self.settings.classes.get(open.request.class).map(|class| class.idempotency) {
-            Some(Idempotency::NonIdempotent) => open.never_ran(),
-            Some(Idempotency::Keyed { scope, .. }) => scope == DedupScope::All || open.never_ran(),
+            Some(Idempotency::NonIdempotent) => open.never_executed(),
+            Some(Idempotency::Keyed { scope, .. }) => scope == DedupScope::All || open.never_executed(),
             Some(Idempotency::Idempotent) | None => true,
         }
     }
@@ -38,7 +41,7 @@
     pub(super) fn close_request(&mut self, id: &RequestId) {
         if let Some(open) = self.requests.get_mut(id) {
             open.closed = true;
-            if open.pending_attempts() == 0 {
+            if open.attempts_in_flight() == 0 {
                 self.requests.remove(id);
             }
         }
--- a/src/policy/retry_scope.rs
+++ b/src/policy/retry_scope.rs
@@ -1,14 +1,14 @@
 //! Retry safety: whether a request may be attempted again, where and until when.
 //!
-//! An attempt that may have run is repeated only where the repeat cannot take effect twice: an idempotent
-//! request anywhere, a keyed one at the backends that deduplicate it and before they forget the key, any
-//! other one nowhere.
+//! An attempt that may have been executed is repeated only where the repeat cannot take effect twice: an
+//! idempotent request anywhere, a keyed one at the backends that deduplicate it and before they forget the
+//! key, any other one nowhere.
 //!
 //! Inputs: the idempotency of the request's class, its window in seconds, the attempts so far.
 
 use super::Gateway;
 use super::backend::Backend;
-use super::request::{OpenRequest, Progress};
+use super::request::{Execution, OpenRequest};
 use crate::interface::{DedupScope, Idempotency};
 
 /// Where an attempt may go.
@@ -38,10 +38,11 @@
 impl Gateway {
     /// Where the next attempt of a request may go; `None`: none is allowed.
     pub(super) fn retry_scope(&self, open: &OpenRequest) -> Option<RetryScope> {
-        if open.pending_attempts() > 0 && !self.settings.hedging {
+        if open.attempts_in_flight() > 0 && !self.settings.hedging {
             return None;
         }
-        let Some(first) = open.attempts.iter().find(|attempt| attempt.progress != Progress::NeverRan) else {
+        let Some(first) = open.attempts.iter().find(|attempt| attempt.execution != Execution::NotExecuted)
+        else {
             return Some(RetryScope::ANYWHERE);
         };
         match self.settings.classes[open.request.class].idempotency {
