--- a/crates/ext-authz/src/gateway.rs
+++ b/crates/ext-authz/src/gateway.rs
@@ -123,11 +123,10 @@
     let discovery =
         discovery_client(config.discovery, instance, client_sender, watch_endpoints, &metrics, seed);
     tasks.push(tokio::spawn(discovery.run()));
-    let engine_sender = service_sender.clone();
     let server = grpc_server(
         config.request_rules,
         config.connection_limits,
-        engine_sender,
+        service_sender.clone(),
         &metrics,
         reports_done_receiver,
     );
@@ -173,7 +172,7 @@
     }
 }
 
-/// The gRPC server with both services.
+/// The gRPC server with both services. `limits` are the connections, and the streams of each.
 fn grpc_server(
     rules: RequestRules,
     limits: ConnectionLimits,
@@ -182,7 +181,6 @@
     reports_done: watch::Receiver<bool>,
 ) -> GrpcServer {
     let rules = Arc::new(rules);
-    let ConnectionLimits { connections: max_connections, streams_per_connection } = limits;
     let check = ExtAuthz {
         rules: rules.clone(),
         engine: engine.clone(),
@@ -191,8 +189,8 @@
     };
     let access_log = AccessLog { rules, engine, metrics: metrics.clone(), reports_done };
     GrpcServer {
-        max_connections,
-        max_streams_per_connection: streams_per_connection,
+        max_connections: limits.connections,
+        max_streams_per_connection: limits.streams_per_connection,
         check,
         access_log,
         metrics: metrics.clone(),
