--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,9 +1,10 @@
 //! The state machine for external authorisation, without I/O, around one [`Gateway`](weirusher::Gateway).
 //!
-//! Checks, reports, counter responses and endpoint lists go in; check outcomes and commands come out. Each
-//! check gets one outcome, unless its client closes first. An allowed check carries a ticket away; the
-//! attempt stays in the request table until a report closes it, or its deadline. What comes late, twice or
-//! from another issuer changes nothing and is counted. Points in time are Unix seconds, spans are seconds.
+//! Inputs are checks, reports, counter responses and endpoint lists; outputs are check outcomes and commands.
+//! Each check gets one outcome, unless its client closes first. An allowed check returns a ticket; the
+//! attempt stays in the request table until a report or its deadline closes it. Reports that are late,
+//! duplicate or for another issuer's ticket change nothing and are counted. Points in time are Unix seconds,
+//! durations are seconds.
 
 mod attempts;
 mod check;
@@ -16,7 +17,7 @@
 pub use report::{Completion, Report, ReportOutcome};
 pub use request_table::AttemptId;
 
-use crate::driver::{Command, DecisionDriver, DecisionTimer};
+use crate::driver::{Command, PolicyDriver, PolicyTimer};
 use crate::ticket::Keyring;
 use request_table::{Attempt, RequestTable, request_number};
 use std::collections::HashMap;
@@ -24,7 +25,7 @@
     Action, Endpoint, EndpointListKind, Event, Idempotency, RequestId, Settings, SettingsError, Status, Time,
 };
 
-/// What the engine wants done, in order.
+/// An effect for the caller to carry out. Outputs must be carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineOutput {
     /// Deliver a check's outcome.
@@ -33,10 +34,10 @@
         caller: CallerId,
         /// Its outcome.
         outcome: CheckOutcome,
-        /// Handed back if the outcome could not be delivered.
+        /// To be passed to [`Engine::handle_undelivered`] if the outcome could not be delivered.
         delivery: DeliveryId,
     },
-    /// What the decisions want done outside of the request table.
+    /// An effect that does not concern a request.
     Command(Command),
 }
 
@@ -48,55 +49,55 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Timer {
-    /// One of the decisions', by its token.
-    Decision(u64),
-    /// The attempt's report should have come.
+    /// A policy timer, by its token.
+    Policy(u64),
+    /// No report of the attempt has arrived in time.
     AttemptDeadline(AttemptId),
-    /// A check should have claimed the request's last attempt.
+    /// No check has claimed the request's last attempt in time.
     UnclaimedRetry(u64),
-    /// A check waits for the report of the request's last attempt.
+    /// A check has waited in vain for the report of the request's last attempt.
     MissingReport(u64),
-    /// The request's deadline is over, and the time for late checks.
+    /// The request's deadline and the grace period for late checks have passed.
     RequestExpiry(u64),
 }
 
-impl From<DecisionTimer> for Timer {
-    fn from(DecisionTimer(token): DecisionTimer) -> Self {
-        Self::Decision(token)
+impl From<PolicyTimer> for Timer {
+    fn from(PolicyTimer(token): PolicyTimer) -> Self {
+        Self::Policy(token)
     }
 }
 
 /// Why an engine cannot start.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// The decisions cannot work with the settings.
-    #[error("the settings cannot work: {0}")]
+    /// The policy rejects the settings.
+    #[error("invalid settings: {0}")]
     Settings(SettingsError),
 }
 
-/// One gateway instance without its sockets.
+/// The state of one gateway instance, without its sockets.
 #[derive(Debug)]
 pub struct Engine {
     instance: u32,
     incarnation: u64,
     keyring: Keyring,
-    /// By class.
+    /// Indexed by class.
     class_idempotency: Vec<Idempotency>,
-    driver: DecisionDriver<Timer>,
+    driver: PolicyDriver<Timer>,
     requests: RequestTable,
-    /// The requests of pending checks.
+    /// The request number of each pending check.
     callers: HashMap<CallerId, u64>,
-    /// Attempts whose ticket was issued and that are not closed.
+    /// Number of attempts with an issued ticket that are not closed.
     in_flight: usize,
     outputs: Vec<EngineOutput>,
     metrics: EngineMetrics,
 }
 
 impl Engine {
-    /// An engine that starts its `incarnation` at `now`; `seed` feeds all randomness.
+    /// Creates an engine for this `incarnation`, starting at `now`. `seed` seeds all random numbers.
     ///
     /// # Errors
-    /// The decisions cannot work with the settings.
+    /// The policy rejects the settings.
     pub fn new(
         settings: Settings,
         keyring: Keyring,
@@ -110,7 +111,7 @@
             keyring,
             class_idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
             requests: RequestTable::new(settings.max_open_requests as usize),
-            driver: DecisionDriver::new(settings, seed, now).map_err(EngineError::Settings)?,
+            driver: PolicyDriver::new(settings, seed, now).map_err(EngineError::Settings)?,
             callers: HashMap::new(),
             in_flight: 0,
             outputs: Vec::new(),
@@ -118,17 +119,17 @@
         })
     }
 
-    /// What was counted so far.
+    /// The counters so far.
     pub fn metrics(&self) -> EngineMetrics {
         self.metrics
     }
 
-    /// Requests in the table.
+    /// Number of requests in the table.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Pending checks and attempts in flight: what a graceful shutdown has to wait for.
+    /// Number of pending checks and attempts in flight. A graceful shutdown waits until it is 0.
     pub fn pending(&self) -> usize {
         self.callers.len() + self.in_flight
     }
@@ -138,12 +139,13 @@
         self.driver.timers.next_expiry()
     }
 
-    /// Takes what is to be done, in order.
+    /// Takes the pending outputs, in order.
     pub fn drain_outputs(&mut self) -> std::vec::Drain<'_, EngineOutput> {
         self.outputs.drain(..)
     }
 
-    /// A counter call ended. `total` is in units, `elapsed` in seconds.
+    /// Handles the end of a counter call. `total` is the counter's new value in units, `elapsed` is in
+    /// seconds.
     pub fn handle_counter_response(
         &mut self,
         now: Time,
@@ -153,21 +155,21 @@
         elapsed: f64,
     ) {
         for event in self.driver.counter_response(call, status, total, elapsed) {
-            self.decide(now, event);
+            self.run_policy(now, event);
         }
     }
 
-    /// A list of endpoints arrived.
+    /// Handles a new endpoint list, or changes to it.
     pub fn handle_endpoint_list(&mut self, now: Time, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
         let event = self.driver.endpoint_list(now, kind, endpoints);
-        self.decide(now, event);
+        self.run_policy(now, event);
     }
 
-    /// Handles the timers that have expired by now.
+    /// Handles the timers that have expired by `now`.
     pub fn handle_timeout(&mut self, now: Time) {
         for timer in self.driver.timers.expire(now) {
             match timer {
-                Timer::Decision(token) => self.decide(now, Event::Timer { token }),
+                Timer::Policy(token) => self.run_policy(now, Event::Timer { token }),
                 Timer::AttemptDeadline(id) => self.close_at_deadline(now, id),
                 Timer::UnclaimedRetry(request) => {
                     self.metrics.unclaimed_retries += 1;
@@ -184,8 +186,8 @@
         }
     }
 
-    /// Hands an event to the decisions, and carries out what they want done.
-    fn decide(&mut self, now: Time, event: Event) {
+    /// Passes an event to the policy and carries out the resulting actions.
+    fn run_policy(&mut self, now: Time, event: Event) {
         let mut actions = self.driver.handle(now, event, &mut self.outputs);
         for action in actions.drain(..) {
             self.carry_out(now, action);
@@ -205,11 +207,11 @@
             Action::Fail { request, .. } => {
                 self.set_outcome(&request, CheckOutcome::Failed(CheckFailure::RequestFailed));
             }
-            _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
+            _ => self.outputs.push(Command::Log("ignored an unsupported policy action".into()).into()),
         }
     }
 
-    /// The decisions' final outcome: for the pending check, or kept for one that may still come.
+    /// Sends the policy's final outcome to the pending check, or keeps it for a check that may still arrive.
     fn set_outcome(&mut self, request: &RequestId, outcome: CheckOutcome) {
         let request = request_number(request);
         let Some(open) = self.requests.get_mut(request) else { return };
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: started by the decisions, claimed by a check, closed by a report or a timer.
+//! The life cycle of an attempt: started by the policy, claimed by a check, closed by a report or a timer.
 
 use super::check::{CheckFailure, CheckOutcome, Grant};
 use super::request_table::{Attempt, AttemptId, AttemptState};
@@ -6,10 +6,10 @@
 use crate::ticket::Ticket;
 use weirusher::{Event, LoadReport, Status, Time};
 
-/// Seconds past an attempt's deadline in which its report may still arrive: the proxy sends its access log in
-/// batches.
+/// Seconds after an attempt's deadline during which its report is still accepted: the proxy sends its access
+/// log in batches.
 const REPORT_GRACE_SECONDS: f64 = 0.25;
-/// Seconds in which a check has to claim a retry; after that it counts as not sent.
+/// Seconds within which a check must claim a retry. An unclaimed retry counts as not sent.
 const CLAIM_TIMEOUT_SECONDS: f64 = 1.0;
 
 /// How an attempt ended.
@@ -17,23 +17,24 @@
 pub(super) struct AttemptEnd {
     pub status: Status,
     pub request_ended: bool,
-    /// A report stated it.
+    /// Whether a report stated the end.
     pub reported: bool,
-    /// Seconds that the attempt took, as reported.
+    /// Duration of the attempt in seconds, as reported.
     pub elapsed: Option<f64>,
-    /// The units really used, as reported.
+    /// The units actually used, as reported.
     pub settled_units: Option<f64>,
 }
 
 impl AttemptEnd {
-    /// An end that no report stated.
+    /// An end without a report.
     fn unreported(status: Status, request_ended: bool) -> Self {
         Self { status, request_ended, reported: false, elapsed: None, settled_units: None }
     }
 }
 
 impl Engine {
-    /// The decisions start an attempt: the pending check gets its ticket, or a later one has to claim it.
+    /// Starts an attempt for the policy. A pending check gets its ticket; otherwise a later check must claim
+    /// it.
     pub(super) fn start_attempt(&mut self, now: Time, request: u64, attempt: Attempt) {
         let Some(open) = self.requests.get_mut(request) else { return };
         let id = AttemptId { request, attempt: open.attempts.len() as u32 };
@@ -46,8 +47,8 @@
         open.attempts[id.attempt as usize].timer = Some(timer);
     }
 
-    /// Allows the pending check, with the attempt's ticket. An attempt whose ticket would have expired already ends as
-    /// not sent, and the decisions choose how the request goes on.
+    /// Allows the pending check and issues the attempt's ticket. If the ticket would already be expired, the
+    /// attempt ends as not sent and the policy decides how the request proceeds.
     pub(super) fn issue_ticket(&mut self, now: Time, id: AttemptId) {
         let Some(open) = self.requests.get_mut(id.request) else { return };
         let attempt = &mut open.attempts[id.attempt as usize];
@@ -79,7 +80,7 @@
         self.respond(id.request, CheckOutcome::Allowed(grant), Some(id));
     }
 
-    /// Closes an attempt, once: whatever comes after it is late.
+    /// Closes an attempt. An attempt that is already closed stays as it is.
     pub(super) fn close_attempt(&mut self, now: Time, id: AttemptId, end: AttemptEnd) {
         let Some(open) = self.requests.get_mut(id.request) else { return };
         let Some(attempt) = open.attempts.get_mut(id.attempt as usize) else { return };
@@ -93,7 +94,8 @@
         for timer in [attempt.timer.take(), open.report_timer.take()].into_iter().flatten() {
             self.driver.timers.cancel(timer);
         }
-        // Guards the latency figures against a reporter's clock: no more than the time that passed here.
+        // The reporter's clock may be wrong: the reported duration is capped at the time that passed here, so
+        // that it cannot distort the latency statistics.
         let longest = (now - attempt.started_at).max(0.0);
         let elapsed = end.elapsed.filter(|s| s.is_finite() && *s >= 0.0).map_or(longest, |s| s.min(longest));
         let event = Event::AttemptEnded {
@@ -106,21 +108,22 @@
             settled_units: end.settled_units.filter(|units| units.is_finite() && *units >= 0.0),
             load: LoadReport::default(),
         };
-        self.decide(now, event);
+        self.run_policy(now, event);
     }
 
-    /// Closes an attempt that was surely not sent, together with its request.
+    /// Closes an attempt that was certainly not sent, and ends its request.
     pub(super) fn close_unsent(&mut self, now: Time, id: AttemptId) {
         self.close_attempt(now, id, AttemptEnd::unreported(Status::NotSent, true));
     }
 
-    /// No report came by the attempt's deadline.
+    /// Closes an attempt whose report did not arrive by its deadline.
     pub(super) fn close_at_deadline(&mut self, now: Time, id: AttemptId) {
         self.metrics.unreported += 1;
         self.close_attempt(now, id, AttemptEnd::unreported(Status::Timeout, false));
     }
 
-    /// A check asks for a retry and no report came: the attempt before may have been executed.
+    /// Closes the request's attempt in flight after a retry's check has waited in vain for its report. The
+    /// attempt may have been executed and ends as reset.
     pub(super) fn close_without_report(&mut self, now: Time, request: u64) {
         let Some(open) = self.requests.get_mut(request) else { return };
         open.report_timer = None;
@@ -132,14 +135,14 @@
         self.close_attempt(now, id, AttemptEnd::unreported(Status::Reset, false));
     }
 
-    /// The request has ended: a check that still waits for a retry of it gets its outcome.
+    /// Ends a request. A check that still waits for a retry of it fails.
     pub(super) fn end_request(&mut self, now: Time, request: u64) {
         self.respond(request, CheckOutcome::Failed(CheckFailure::Duplicate), None);
         self.abandon_request(now, request);
     }
 
-    /// No client waits for the request any more: an unclaimed attempt will never be sent, and the decisions
-    /// are notified. Attempts in flight keep the request in the table.
+    /// Notifies the policy that no client waits for the request any more, and closes an unclaimed attempt as
+    /// not sent. Attempts in flight keep the request in the table.
     pub(super) fn abandon_request(&mut self, now: Time, request: u64) {
         let Some(open) = self.requests.get(request).filter(|open| open.caller.is_none()) else { return };
         let id = open.id.clone();
@@ -147,11 +150,11 @@
         if let Some(attempt) = unclaimed {
             self.close_unsent(now, AttemptId { request, attempt: attempt as u32 });
         }
-        self.decide(now, Event::ClientGone { request: id });
+        self.run_policy(now, Event::ClientGone { request: id });
         self.remove_if_finished(request);
     }
 
-    /// Removes a request from the table once nothing refers to it.
+    /// Removes a request from the table if no check is pending and all attempts are closed.
     pub(super) fn remove_if_finished(&mut self, request: u64) {
         let Some(open) = self.requests.remove_finished(request) else { return };
         for timer in [open.expiry_timer, open.report_timer].into_iter().flatten() {
--- a/crates/core/src/engine/check.rs
+++ b/crates/core/src/engine/check.rs
@@ -1,30 +1,30 @@
-//! Checks: whether an attempt may be sent, and to which backend.
+//! Checks: requests for permission to send an attempt, answered with the backend to use.
 
 use super::request_table::{AttemptId, AttemptState, OpenRequest, request_id};
 use super::{Engine, EngineOutput, Timer};
 use weirusher::{BackendId, CustomerId, Event, Idempotency, Request, Time};
 
-/// Seconds that a retry's check waits for the report of the attempt before it, as the two arrive on separate
-/// connections. Without the report, the attempt counts as possibly executed.
+/// Seconds that a retry's check waits for the report of the previous attempt, because the two arrive on
+/// separate connections. Without the report, the attempt counts as possibly executed.
 const REPORT_BEFORE_RETRY_SECONDS: f64 = 0.05;
-/// Seconds past its deadline for which a request and its outcome are kept for a late check.
+/// Seconds after its deadline for which a request and its outcome are kept for a late check.
 const KEEP_AFTER_DEADLINE_SECONDS: f64 = 0.5;
 /// Retry-After, in seconds, when the request table is full.
 const TABLE_FULL_RETRY_AFTER_SECONDS: f64 = 1.0;
 
-/// A pending check, named by the caller.
+/// Identifies a pending check. Chosen by the caller.
 pub type CallerId = u64;
 
 /// The gateway instances that serve a customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceRange {
-    /// How many instances.
+    /// Number of instances.
     pub count: u32,
-    /// Number of the first one.
+    /// Number of the first instance.
     pub first: u32,
 }
 
-/// A check: asks whether an attempt may be sent.
+/// Asks whether an attempt may be sent, and to which backend.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Check {
     /// The customer.
@@ -35,11 +35,11 @@
     pub class: usize,
     /// Units that the request takes from the quota.
     pub units: f64,
-    /// Seconds until the client gives the request up.
+    /// Seconds until the client gives up on the request.
     pub time_budget: f64,
     /// The instances that serve the customer.
     pub instances: InstanceRange,
-    /// The ticket of the attempt before, if this is a retry.
+    /// The ticket of the previous attempt, if this is a retry.
     pub ticket: Option<String>,
 }
 
@@ -50,7 +50,7 @@
     pub backend: BackendId,
     /// Seconds until the attempt times out.
     pub timeout: f64,
-    /// The ticket's text.
+    /// The encoded ticket.
     pub ticket: String,
     /// The attempt.
     pub attempt: AttemptId,
@@ -63,9 +63,10 @@
     RequestFailed,
     /// The ticket is not valid, or belongs to another customer.
     InvalidTicket,
-    /// Another check for the request is pending, or the ticket was used before.
+    /// Another check for the request is pending, or the ticket was already used for a retry.
     Duplicate,
-    /// The attempt before is not known here, and its class must not be repeated without knowing its end.
+    /// The previous attempt is not known here, and a request of its class must not be retried without knowing
+    /// how that attempt ended.
     UnknownAttempt,
 }
 
@@ -83,7 +84,7 @@
     Failed(CheckFailure),
 }
 
-/// Names an outcome that is being delivered, for [`Engine::handle_undelivered`].
+/// Identifies an outcome that is being delivered, for [`Engine::handle_undelivered`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeliveryId(pub(super) Option<AttemptId>);
 
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The client closed before its check had an outcome.
+    /// Handles a client that closed its connection before its check had an outcome.
     pub fn handle_client_closed(&mut self, now: Time, caller: CallerId) {
         let Some(request) = self.callers.remove(&caller) else { return };
         self.metrics.client_closed += 1;
@@ -117,8 +118,8 @@
         self.abandon_request(now, request);
     }
 
-    /// An outcome could not be delivered: the client closed after the decision. Nobody holds the ticket, so
-    /// the attempt was not sent.
+    /// Handles an outcome that could not be delivered because the client closed after the decision. Nobody
+    /// holds the ticket, so the attempt was not sent.
     pub fn handle_undelivered(&mut self, now: Time, delivery: DeliveryId) {
         let Some(attempt) = delivery.0 else { return };
         self.metrics.undelivered += 1;
@@ -160,24 +161,24 @@
             customer: check.customer.clone(),
             is_retry,
         };
-        self.decide(now, Event::Request(request));
+        self.run_policy(now, Event::Request(request));
     }
 
-    /// A retry after an attempt whose ticket this incarnation issued.
+    /// Handles a retry with a ticket that this incarnation issued.
     fn retry(&mut self, now: Time, caller: CallerId, check: &Check, previous: AttemptId) {
         let number = previous.request;
         let Some(open) = self.requests.get_mut(number) else {
             return self.retry_of_closed_request(caller, check.class);
         };
         if open.customer != check.customer {
-            // Guards a customer's attempts against a client that shows another customer's ticket.
+            // A client must not act on another customer's attempts by presenting that customer's ticket.
             self.metrics.bad_tickets += 1;
             return self.fail(caller, CheckFailure::InvalidTicket);
         }
         let last = open.attempts.len() as u32 - 1;
         let state = open.attempts[last as usize].state;
-        // An unclaimed attempt is claimed with the ticket before it; otherwise the last ticket has to be
-        // shown.
+        // An unclaimed attempt is claimed with the ticket of the attempt before it; otherwise the check must
+        // carry the last ticket.
         let expected = if state == AttemptState::Unclaimed { last.checked_sub(1) } else { Some(last) };
         if open.caller.is_some() || expected != Some(previous.attempt) {
             self.metrics.duplicate_checks += 1;
@@ -192,7 +193,7 @@
                 open.report_timer = Some(self.driver.timers.set(wait_until, Timer::MissingReport(number)));
             }
             AttemptState::Closed => {
-                // The decisions ended the request together with its last attempt.
+                // The policy ended the request together with its last attempt.
                 let failed = CheckOutcome::Failed(CheckFailure::RequestFailed);
                 let outcome = open.outcome.take().unwrap_or(failed);
                 self.respond(number, outcome, None);
@@ -201,8 +202,9 @@
         }
     }
 
-    /// A retry whose ticket another instance, or an earlier incarnation of this one, issued. That request
-    /// table is not known here: an idempotent request starts anew and pays again, any other fails.
+    /// Handles a retry with a ticket of another instance, or of an earlier incarnation of this one. The
+    /// issuer's request table is not available here: an idempotent request starts over and is charged to the
+    /// quota again, any other fails.
     fn retry_of_other_issuer(&mut self, now: Time, caller: CallerId, check: &Check, class: usize) {
         self.metrics.foreign_checks += 1;
         if self.is_idempotent(class) && check.class == class {
@@ -233,8 +235,8 @@
         self.push_outcome(caller, CheckOutcome::Failed(failure), None);
     }
 
-    /// Gives the outcome to the request's pending check, if there is one. `granted` is the attempt that it
-    /// allows.
+    /// Sends the outcome to the request's pending check, if there is one. `granted` is the attempt that the
+    /// outcome allows.
     pub(super) fn respond(&mut self, request: u64, outcome: CheckOutcome, granted: Option<AttemptId>) {
         let Some(caller) = self.requests.get_mut(request).and_then(|open| open.caller.take()) else { return };
         self.callers.remove(&caller);
--- a/crates/core/src/engine/metrics.rs
+++ b/crates/core/src/engine/metrics.rs
@@ -1,6 +1,6 @@
-//! What the engine counts.
+//! The engine's counters.
 
-/// Counters of one engine; each only grows. The serialized names are those of the admin page.
+/// Counters of one engine; each only increases. The serialized names are those of the admin page.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct EngineMetrics {
     /// Checks received.
@@ -24,17 +24,18 @@
     /// Retries that no check claimed in time.
     #[serde(rename = "uncollected")]
     pub unclaimed_retries: u64,
-    /// Attempts that no check was granted, as their ticket would have expired already.
+    /// Attempts that were not granted because their ticket would already have expired.
     pub expired_grants: u64,
-    /// Reports that came late or twice.
+    /// Late and duplicate reports.
     pub late_reports: u64,
     /// Reports for tickets of other instances or incarnations.
     pub foreign_reports: u64,
-    /// Tickets, in checks and reports, that were forged, altered, of an unknown key or of another customer.
+    /// Tickets in checks and reports that were malformed, forged, altered, signed with an unknown key, or
+    /// presented for another customer.
     pub bad_tickets: u64,
     /// Checks with a ticket of another instance or incarnation.
     pub foreign_checks: u64,
-    /// Checks for a request with a check pending, or whose ticket was used before.
+    /// Checks for a request that already has a pending check, or with a ticket that was already used.
     #[serde(rename = "doubled_checks")]
     pub duplicate_checks: u64,
     /// Checks rejected because the request table was full.
--- a/crates/core/src/engine/report.rs
+++ b/crates/core/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! Reports: how attempts ended, as the proxies' access logs state it.
+//! Reports: how attempts ended, according to the proxies' access logs.
 
 use super::Engine;
 use super::attempts::AttemptEnd;
@@ -6,36 +6,36 @@
 use crate::ticket::{Ticket, TicketError};
 use weirusher::{Status, Time};
 
-/// What a report says has ended.
+/// What ended, according to a report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Completion {
     /// The attempt; a retry may follow.
     Attempt(Status),
-    /// The whole request: its client has a response, or closed.
+    /// The whole request: its client has a response or closed its connection.
     Request(Status),
 }
 
 /// A report about the attempt that a ticket was issued for.
 #[derive(Debug, Clone)]
 pub struct Report<'a> {
-    /// The ticket's text.
+    /// The encoded ticket.
     pub ticket: &'a str,
     /// What ended, and how.
     pub completion: Completion,
-    /// Seconds from the attempt's sending to its end, as the reporter measured them.
+    /// Seconds from sending the attempt to its end, as measured by the reporter.
     pub elapsed: Option<f64>,
-    /// The units really used, if they differ from those of the check.
+    /// The units actually used, if they differ from those of the check.
     pub settled_units: Option<f64>,
 }
 
-/// What a report led to.
+/// The result of handling a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
     /// It closed its attempt.
     AttemptClosed,
-    /// It ended a request whose attempt was closed before.
+    /// It ended a request whose attempt was already closed.
     RequestEnded,
-    /// Its attempt or request is closed already: it is a duplicate, or late.
+    /// Its attempt or request is already closed: the report is a duplicate or late.
     Late,
     /// Another instance, or an earlier incarnation of this one, issued the ticket.
     OtherIssuer {
@@ -57,7 +57,7 @@
             }
         };
         if !self.issued(&ticket) {
-            // Only the issuer knows the attempt, and closes it at its deadline
+            // Only the issuer knows the attempt; it closes the attempt at its deadline
             // (docs/external-authorisation.md).
             self.metrics.foreign_reports += 1;
             return ReportOutcome::OtherIssuer { issuer: ticket.issuer };
@@ -69,7 +69,8 @@
                 ReportOutcome::AttemptClosed
             }
             Completion::Request(_) if self.is_last_issued(id) => {
-                // After a report of the attempt's end this is the request's; after its deadline it is late.
+                // If a report closed the attempt, this one ends the request; if the attempt's deadline closed
+                // it, this one is late.
                 let reported = self.requests.attempt(id).is_some_and(|attempt| attempt.reported);
                 self.metrics.late_reports += u64::from(!reported);
                 self.abandon_request(now, id.request);
@@ -107,7 +108,7 @@
         self.requests.attempt(id).is_some_and(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether the attempt is the last with a ticket of a request without a pending check.
+    /// Whether the attempt is the last one with an issued ticket, and its request has no pending check.
     fn is_last_issued(&self, id: AttemptId) -> bool {
         let Some(open) = self.requests.get(id.request) else { return false };
         open.caller.is_none() && open.last_issued_attempt() == Some(id.attempt as usize)
--- a/crates/core/src/engine/request_table.rs
+++ b/crates/core/src/engine/request_table.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use weirusher::{BackendId, CustomerId, RequestId, Time};
 
-/// Names one attempt.
+/// Identifies one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The request's number, counted from 1 in each incarnation of the engine.
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// The decisions started it, and no check has claimed it yet.
+    /// The policy started it, and no check has claimed it yet.
     Unclaimed,
     /// Its ticket was issued.
     InFlight,
@@ -29,18 +29,18 @@
     pub backend: BackendId,
     pub started_at: Time,
     pub deadline: Time,
-    /// When the backends may forget the request's idempotency key: the attempt must not be executed after that.
+    /// When the backends may discard the request's idempotency key. The attempt must not be executed later.
     pub window_end: Time,
     pub state: AttemptState,
-    /// A report closed it.
+    /// Whether a report closed it.
     pub reported: bool,
-    /// Closes it if no report does, or drops it if no check claims it.
+    /// Closes the attempt if no report does, or abandons it if no check claims it.
     pub timer: Option<TimerKey>,
 }
 
 impl Attempt {
-    /// An attempt that no check has claimed yet. It times out after `timeout` seconds, and must not be executed later
-    /// than `start_within` seconds from now.
+    /// Creates an attempt that no check has claimed yet. It times out after `timeout` seconds, and must not
+    /// be executed later than `start_within` seconds from now.
     pub fn new(now: Time, backend: BackendId, timeout: f64, start_within: f64) -> Self {
         Self {
             backend,
@@ -53,8 +53,9 @@
         }
     }
 
-    /// When the attempt's ticket expires. A backend's clock may be late by the largest skew, and it accepts a ticket for
-    /// as long past its expiry; both have passed by the end of the window.
+    /// When the attempt's ticket expires. A backend's clock may lag by the maximum skew, and the backend
+    /// accepts a ticket for the same time past its expiry. The ticket therefore expires at least twice the
+    /// maximum skew before the end of the window.
     pub fn ticket_expiry(&self) -> Time {
         self.deadline.min(self.window_end - 2.0 * MAX_CLOCK_SKEW_SECONDS)
     }
@@ -67,29 +68,29 @@
     pub class: usize,
     pub units: f64,
     pub attempts: Vec<Attempt>,
-    /// The check that is pending.
+    /// The pending check.
     pub caller: Option<CallerId>,
-    /// The decisions' outcome, kept for a check that may still come.
+    /// The policy's outcome, kept for a check that may still arrive.
     pub outcome: Option<CheckOutcome>,
-    /// Runs while a check waits for the report of the attempt before it.
+    /// Runs while a check waits for the report of the previous attempt.
     pub report_timer: Option<TimerKey>,
     /// Ends the request some time after its deadline.
     pub expiry_timer: Option<TimerKey>,
 }
 
 impl OpenRequest {
-    /// Whether nothing refers to the request any more: no check is pending and all attempts are closed.
+    /// Whether no check is pending and all attempts are closed.
     pub fn is_finished(&self) -> bool {
         self.caller.is_none() && self.attempts.iter().all(|a| a.state == AttemptState::Closed)
     }
 
-    /// The last attempt of which a ticket was issued.
+    /// Index of the last attempt with an issued ticket.
     pub fn last_issued_attempt(&self) -> Option<usize> {
         self.attempts.iter().rposition(|a| a.state != AttemptState::Unclaimed)
     }
 }
 
-/// The requests by their numbers.
+/// The open requests by number.
 #[derive(Debug)]
 pub(super) struct RequestTable {
     requests: HashMap<u64, OpenRequest>,
@@ -111,7 +112,7 @@
         self.requests.len() >= self.capacity
     }
 
-    /// The number of the next request.
+    /// Allocates the number of a new request.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -140,12 +141,12 @@
     }
 }
 
-/// The decisions' name of a request.
+/// The id under which the policy knows a request.
 pub(super) fn request_id(number: u64) -> RequestId {
     RequestId::from(format!("{number:x}"))
 }
 
-/// The number of a request that [`request_id`] named.
+/// The number of a request with an id from [`request_id`].
 pub(super) fn request_number(id: &RequestId) -> u64 {
-    u64::from_str_radix(id, 16).unwrap_or(0) // 0 is no request's number.
+    u64::from_str_radix(id, 16).unwrap_or(0) // No request has number 0.
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,11 @@
-//! The state machines between a gateway's sockets and its decisions, without I/O.
+//! State machines of an API gateway, without I/O.
 //!
-//! [`Engine`] serves external authorisation: checks and reports go in, check outcomes and counter calls come
-//! out. [`ProxyCore`] does the same for requests that the gateway forwards itself. Both keep a table of their
-//! requests and drive the decisions ([`weirusher::Gateway`]). A [`Ticket`] binds a request to the backend
-//! chosen for it. [`TimerWheel`] holds timers, [`Pipeline`] the counter calls of one connection, [`Backoff`]
-//! the delays before a new one. Nothing here reads a clock: each call states the time.
+//! [`Engine`] implements external authorisation: it takes checks and reports and produces check outcomes and
+//! counter calls. [`ProxyCore`] does the same for requests that the gateway forwards itself. Both keep a
+//! table of open requests and drive the policy ([`weirusher::Gateway`]), which decides how each request
+//! proceeds. A [`Ticket`] binds an attempt to the backend selected for it. [`TimerWheel`] holds timers,
+//! [`Pipeline`] tracks the counter calls on one connection, and [`Backoff`] computes reconnect delays.
+//! Nothing here reads a clock: the caller passes the current time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -14,7 +14,7 @@
 pub use output::{NewAttempt, Outcome, ProxyOutput};
 pub use request::{IncomingRequest, RequestStatus};
 
-use crate::driver::{Command, DecisionDriver, DecisionTimer};
+use crate::driver::{Command, PolicyDriver, PolicyTimer};
 use crate::engine::EngineError;
 use crate::guard::{Execution, Guard, SendError, SendLimits, Violations};
 use crate::shutdown::Shutdown;
@@ -28,23 +28,23 @@
 #[derive(Debug, Clone)]
 enum Timer {
     /// A timer of the decisions, by its token.
-    Decision(u64),
+    Policy(u64),
     /// The timeout of an attempt.
     Attempt(RequestId, u32),
     /// The deadline of a request.
     Deadline(RequestId),
 }
 
-impl From<DecisionTimer> for Timer {
-    fn from(DecisionTimer(token): DecisionTimer) -> Self {
-        Self::Decision(token)
+impl From<PolicyTimer> for Timer {
+    fn from(PolicyTimer(token): PolicyTimer) -> Self {
+        Self::Policy(token)
     }
 }
 
 /// The proxy of one gateway instance, without its sockets.
 #[derive(Debug)]
 pub struct ProxyCore {
-    driver: DecisionDriver<Timer>,
+    driver: PolicyDriver<Timer>,
     guard: Guard,
     requests: RequestTable,
     outputs: Vec<ProxyOutput>,
@@ -58,7 +58,7 @@
     /// The decisions cannot use the settings.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, EngineError> {
         let guard = Guard::new(&settings);
-        let driver = DecisionDriver::new(settings, seed, now).map_err(EngineError::Settings)?;
+        let driver = PolicyDriver::new(settings, seed, now).map_err(EngineError::Settings)?;
         Ok(Self {
             driver,
             guard,
@@ -158,7 +158,7 @@
             customer: request.customer,
             is_retry: request.is_retry,
         };
-        self.decide(now, Event::Request(request));
+        self.run_policy(now, Event::Request(request));
         RequestStatus::Accepted
     }
 
@@ -199,7 +199,7 @@
             settled_units: None,
             load,
         };
-        self.decide(now, event);
+        self.run_policy(now, event);
         self.requests.remove_finished(id);
         serves
     }
@@ -214,14 +214,14 @@
         elapsed: f64,
     ) {
         for event in self.driver.counter_response(call, status, total, elapsed) {
-            self.decide(now, event);
+            self.run_policy(now, event);
         }
     }
 
     /// A new endpoint list, or changes to it, arrived.
     pub fn handle_endpoint_list(&mut self, now: Time, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
         let event = self.driver.endpoint_list(now, kind, endpoints);
-        self.decide(now, event);
+        self.run_policy(now, event);
     }
 
     /// Discovery confirmed that the endpoint list is unchanged.
@@ -233,7 +233,7 @@
     pub fn handle_timeout(&mut self, now: Time) {
         for timer in self.driver.timers.expire(now) {
             match timer {
-                Timer::Decision(token) => self.decide(now, Event::Timer { token }),
+                Timer::Policy(token) => self.run_policy(now, Event::Timer { token }),
                 Timer::Attempt(id, attempt) => {
                     // Aborted first, so that its connection is free before another attempt starts.
                     self.outputs.push(ProxyOutput::Abort { request: id.clone(), attempt });
@@ -284,7 +284,7 @@
 
     /// No client waits for a request any more: the decisions drop it, and its attempts in flight are aborted.
     fn withdraw(&mut self, now: Time, id: &RequestId) {
-        self.decide(now, Event::ClientGone { request: id.clone() });
+        self.run_policy(now, Event::ClientGone { request: id.clone() });
         for attempt in 0..self.requests.attempts(id) {
             self.cancel_attempt(now, id, attempt);
         }
@@ -308,7 +308,7 @@
     // ---- Decisions ----
 
     /// Passes an event to the decisions and carries out their actions.
-    fn decide(&mut self, now: Time, event: Event) {
+    fn run_policy(&mut self, now: Time, event: Event) {
         let mut actions = self.driver.handle(now, event, &mut self.outputs);
         for action in actions.drain(..) {
             self.carry_out(now, action);
