--- a/crates/core/src/backoff/tests.rs
+++ b/crates/core/src/backoff/tests.rs
@@ -1,4 +1,4 @@
-//! Growth, bound and jitter of the delays.
+//! Growth, upper bound and jitter of the delays.
 
 use super::*;
 
--- a/crates/core/src/clock_anchor.rs
+++ b/crates/core/src/clock_anchor.rs
@@ -1,12 +1,12 @@
-//! Unix time by the monotonic clock, from one reading of the system clock.
+//! Unix time derived from the monotonic clock and a single reading of the system clock.
 
 use std::time::Duration;
 
-/// The Unix time at one monotonic instant, the origin.
+/// The Unix time at an instant of the monotonic clock, the origin.
 ///
-/// Counter windows need a time that all gateways share, so the system clock is read once at the start. After
-/// that only the monotonic clock counts: a system clock that is set back neither revives expired tickets nor
-/// repeats a window.
+/// Counter windows need a time that all gateways share, so the system clock is read once at startup. After
+/// that only the monotonic clock is used, so that setting the system clock back neither revives expired
+/// tickets nor repeats a window.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockAnchor {
     /// Seconds since the Unix epoch at the origin.
@@ -14,7 +14,7 @@
 }
 
 impl ClockAnchor {
-    /// An anchor for the origin, at which the system clock showed `unix` since the Unix epoch.
+    /// Creates an anchor for an origin at which the system clock read `unix`, the time since the Unix epoch.
     pub fn new(unix: Duration) -> Self {
         Self { origin_unix_seconds: unix.as_secs_f64() }
     }
--- a/crates/core/src/counter_connections.rs
+++ b/crates/core/src/counter_connections.rs
@@ -1,26 +1,26 @@
-//! Which of a few pipelined connections a counter call goes on, and when another one may be opened.
+//! Selects a pipelined connection for each counter call, and limits when new connections are opened.
 
 use crate::backoff::Backoff;
 use crate::pipeline::{EndedCall, Pipeline, UnexpectedResponse};
 use std::collections::HashMap;
 use weirusher::Time;
 
-/// Connections to one counter, at most: a response that never ends holds up only the calls on its own
-/// connection.
+/// Most connections to one address of the counter. There are several, so that a response that never completes
+/// delays only the calls on its own connection.
 const MAX_CONNECTIONS: usize = 6;
 
-/// Where a call is sent.
+/// The connection on which a call is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
     /// On this connection, which is open or being opened.
     Existing(usize),
     /// On this connection, which the caller must open first.
     New(usize),
-    /// Nowhere: no connection may be opened yet, or all are full.
+    /// None: no connection may be opened yet, or all are full.
     Unavailable,
 }
 
-/// A call to the counter, as a connection's pipeline holds it.
+/// A call to a counter, as stored in a connection's pipeline.
 #[derive(Debug, Clone, Copy)]
 struct CounterCall {
     call: u64,
@@ -29,9 +29,9 @@
 
 #[derive(Debug)]
 struct Connection {
-    /// Open, or being opened.
+    /// Whether the connection is open or being opened.
     open: bool,
-    /// It has answered a call since it was opened.
+    /// Whether it has answered a call since it was opened.
     responded: bool,
     pipeline: Pipeline<CounterCall>,
 }
@@ -46,13 +46,13 @@
 /// The pipelined connections to one address of the counter.
 ///
 /// Calls to one counter stay in order: while one is pending, the next follows it on its connection. Any other
-/// call goes on the connection with the fewest pending calls, and not behind one that has timed out if it can
-/// be avoided.
+/// call goes on the connection with the fewest pending calls, preferably one that has no timed-out call
+/// outstanding.
 #[derive(Debug)]
 pub struct CounterConnections {
     call_timeout: f64,
     connections: Vec<Connection>,
-    /// By counter with pending calls.
+    /// The routes of counters with pending calls, by counter.
     routes: HashMap<u64, CounterRoute>,
     backoff: Backoff,
     /// No connection is opened before this time.
@@ -60,8 +60,8 @@
 }
 
 impl CounterConnections {
-    /// No connection is open; a call times out after `call_timeout` seconds. `seed` feeds the backoff's
-    /// jitter.
+    /// Creates the set with no connection open. A call times out after `call_timeout` seconds. `seed` seeds
+    /// the jitter of the backoff.
     pub fn new(call_timeout: f64, seed: u64) -> Self {
         let connection =
             |_| Connection { open: false, responded: false, pipeline: Pipeline::new(call_timeout) };
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Routes a call to `counter`, and records it as pending there.
+    /// Selects the connection for a call to `counter`, and records the call as pending on it.
     pub fn send(&mut self, now: Time, call: u64, counter: u64) -> Route {
         let route = self.choose(now, counter);
         let (Route::Existing(index) | Route::New(index)) = route else { return Route::Unavailable };
@@ -107,12 +107,13 @@
         }
     }
 
-    /// The next response on a connection has arrived in part.
+    /// Records that the next response on a connection has started to arrive.
     pub fn response_started(&mut self, now: Time, connection: usize) {
         self.connections[connection].pipeline.response_started(now);
     }
 
-    /// The next response on a connection is complete: its call, unless that has timed out.
+    /// Records that the next response on a connection is complete. Returns its call, or `None` if the call
+    /// has timed out.
     ///
     /// # Errors
     /// No call is pending: the connection must be closed.
@@ -127,25 +128,25 @@
         Ok(ended.map(|ended| self.end_call(ended)))
     }
 
-    /// Takes the calls of a connection that have timed out by now.
+    /// Takes the calls of a connection that have timed out by `now`.
     pub fn take_timed_out(&mut self, now: Time, connection: usize) -> Vec<EndedCall<u64>> {
         let ended = self.connections[connection].pipeline.take_timed_out(now);
         ended.into_iter().map(|ended| self.end_call(ended)).collect()
     }
 
-    /// When [`CounterConnections::take_timed_out`] or [`CounterConnections::is_unresponsive`] should be asked
-    /// next.
+    /// When [`CounterConnections::take_timed_out`] or [`CounterConnections::is_unresponsive`] should be
+    /// called next.
     pub fn deadline(&self, connection: usize) -> Option<Time> {
         self.connections[connection].pipeline.deadline()
     }
 
-    /// Whether the connection answers nothing any more and should be closed.
+    /// Whether the connection has stopped responding and should be closed.
     pub fn is_unresponsive(&self, now: Time, connection: usize) -> bool {
         self.connections[connection].pipeline.is_unresponsive(now)
     }
 
-    /// A connection is closed: the calls that were still pending on it. One that never answered counts as a
-    /// failure, which starts the backoff.
+    /// Records that a connection was closed, and returns the calls that were still pending on it. A
+    /// connection that never answered counts as a failure, which starts the backoff.
     pub fn closed(&mut self, now: Time, connection: usize) -> Vec<EndedCall<u64>> {
         let closed = &mut self.connections[connection];
         closed.open = false;
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -1,13 +1,15 @@
-//! Checks a step of the proxy at the moment it is taken: accept a request, read on, send an attempt, retry, close.
+//! Checks each step of the proxy immediately before it is taken: accepting a request, reading further
+//! requests, sending an attempt, retrying, closing a connection.
 //!
-//! A step may begin only while everything that it depends on lasts until its end: the client (its connection and its
-//! deadline), the process (its shutdown), the backend (its entry in the endpoint list, and the window within which it
-//! discards duplicates) and the request itself (its response is pending). The check is made at the step and not when the
-//! step was decided, because any of these may have ended in between.
+//! A step may begin only if everything that it depends on will remain until the step ends: the client (its
+//! connection and its deadline), the process (its shutdown), the backend (its entry in the endpoint list, and
+//! the window within which it discards duplicates) and the request itself (its response is pending). The
+//! check is made when the step is taken and not when it was decided, because any of these may have ended in
+//! between.
 //!
-//! The decisions follow the same rules by themselves. A decision that does not is not carried out, and [`Violations`]
-//! counts it. One rule is theirs alone: which backends may get a retry of a keyed request (`policy::retry_scope`). All
-//! times are in seconds.
+//! The policy follows the same rules on its own. A decision that breaks one is not carried out, and is
+//! counted in [`Violations`]. One rule is enforced by the policy alone: which backends may receive a retry of
+//! a keyed request (`policy::retry_scope`). All times are in seconds.
 
 mod attempt;
 mod violation;
@@ -19,13 +21,13 @@
 use crate::stall::MAX_STALL;
 use weirusher::{Class, Idempotency, Reason, Settings, Time};
 
-/// Seconds before a client's deadline by which its response is written: time for the network, which the client's deadline
-/// includes, and for a short stall of the process.
+/// Seconds before a client's deadline by which its response is written: time for the network, which the
+/// client's deadline includes, and for a short stall of the process.
 const DEADLINE_LEAD: f64 = 0.02;
-/// Largest part of a client's time budget that the lead may take, so that short budgets keep most of theirs.
+/// Largest fraction of a client's time budget that the lead may take, so that most of a short budget remains.
 const MAX_DEADLINE_LEAD_FRACTION: f64 = 0.1;
-/// Seconds that have to be left of a shutdown for a request to be accepted. With less it is rejected, which is safe to
-/// retry.
+/// Seconds that must remain of a shutdown for a request to be accepted. With less time it is rejected, so
+/// that the client can retry it safely.
 const MIN_ACCEPT_TIME: f64 = 0.05;
 
 /// Checks each step against the settings and the shutdown, and counts violations.
@@ -39,7 +41,7 @@
 }
 
 impl Guard {
-    /// A guard for a gateway with these settings that is not shutting down.
+    /// Creates a guard for a gateway with these settings that is not shutting down.
     pub fn new(settings: &Settings) -> Self {
         Self {
             classes: settings.classes.clone(),
@@ -60,8 +62,9 @@
         self.violations
     }
 
-    /// Whether a request that was read now, with `time_budget` seconds left to its client, is accepted. Returns when its
-    /// response has to be written: before the client's deadline and before the end of the process.
+    /// Whether to accept a request that was read at `now` and whose client waits for `time_budget` more
+    /// seconds. Returns when the response must be written: before the client's deadline and before the
+    /// process ends.
     ///
     /// # Errors
     /// Why the request is rejected at once.
@@ -78,8 +81,9 @@
         }
     }
 
-    /// Whether further requests may be read from a connection. After the time for the last response none could be
-    /// answered; a client sends a request that was not read elsewhere.
+    /// Whether further requests may be read from a connection. Once the time for the last response has
+    /// passed, no request could be answered. A request that was not read is sent to another gateway by its
+    /// client.
     pub fn may_read(&self, now: Time) -> bool {
         self.shutdown.is_none_or(|shutdown| now < shutdown.respond_by())
     }
@@ -107,7 +111,7 @@
     /// Whether a request of the class with this index may have one more attempt after `prior`.
     ///
     /// # Errors
-    /// The rule that the attempt would break; it is counted.
+    /// The rule that the attempt would break. The violation is counted.
     pub fn check_attempt(
         &mut self,
         now: Time,
@@ -144,7 +148,8 @@
         }
     }
 
-    /// The gateway closed a connection on which `unanswered` requests had no response though their client was connected.
+    /// Records that the gateway closed a connection on which `unanswered` requests had no response although
+    /// their client was still connected.
     pub fn connection_closed(&mut self, unanswered: usize) {
         self.violations.add(Violation::ClosedUnanswered, unanswered as u64);
     }
--- a/crates/core/src/guard/attempt.rs
+++ b/crates/core/src/guard/attempt.rs
@@ -1,4 +1,4 @@
-//! The attempts of a request, as the guard checks them.
+//! The attempts of a request, as far as the guard needs to know them.
 
 use weirusher::Time;
 
@@ -13,7 +13,7 @@
     MayHaveExecuted,
 }
 
-/// An attempt of a request that was started before the one that is checked.
+/// An earlier attempt of the request whose next attempt is checked.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PriorAttempt {
     /// When it was started.
@@ -22,23 +22,23 @@
     pub execution: Execution,
 }
 
-/// What [`super::Guard::check_send`] needs to know of an attempt whose first byte is about to be written.
+/// The state of an attempt whose first byte is about to be written, for [`super::Guard::check_send`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SendConditions {
     /// When the response to the request is due; `None` if the request has its response or was withdrawn.
     pub request_deadline: Option<Time>,
     /// When the attempt times out; `None` if it has ended.
     pub attempt_deadline: Option<Time>,
-    /// When the last byte has to be written at the latest: the end of the idempotency window.
+    /// Latest time at which the last byte may be written: the end of the idempotency window.
     pub write_deadline: Time,
-    /// The backend is in the endpoint list, at the same address, and accepts new requests.
+    /// Whether the backend is in the endpoint list, at the same address, and accepts new requests.
     pub backend_available: bool,
 }
 
 /// The time limits of an attempt that may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SendLimits {
-    /// Seconds until the attempt times out; the backend is sent this time budget.
+    /// Seconds until the attempt times out. Sent to the backend as its time budget.
     pub timeout: f64,
     /// Seconds within which the last byte has to be written.
     pub write_timeout: f64,
@@ -59,10 +59,10 @@
     /// The deadline of the attempt or of its request has passed.
     #[error("deadline_exceeded")]
     DeadlineExceeded,
-    /// The idempotency window ends before the attempt can be written: its effect could happen twice.
+    /// The idempotency window ends before the attempt can be written: the request could take effect twice.
     #[error("window_over")]
     WindowOver,
-    /// The backend drains, was removed or has another address.
+    /// The backend is draining, was removed or has another address.
     #[error("backend_unavailable")]
     BackendUnavailable,
 }
--- a/crates/core/src/guard/violation.rs
+++ b/crates/core/src/guard/violation.rs
@@ -1,11 +1,11 @@
-//! Decisions that would have broken a rule of the guard, and how often each was found.
+//! Violations of the guard's rules, and their counts.
 
 use std::fmt;
 
-/// A decision that would have broken a rule. It is counted and not carried out.
+/// A broken rule. A decision that would break one is counted and not carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt beyond the most that a request may have.
+    /// An attempt beyond the maximum number per request.
     TooManyAttempts,
     /// A second attempt in flight for a request that may not be hedged.
     ConcurrentAttempt,
@@ -29,7 +29,7 @@
     }
 }
 
-/// How often each [`Violation`] was found since the start. All counts are 0 in a program without faults.
+/// How often each [`Violation`] was found since the start. All counts are 0 unless the gateway has a bug.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Violations {
     /// See [`Violation::TooManyAttempts`].
--- a/crates/core/src/overshoot_bound.rs
+++ b/crates/core/src/overshoot_bound.rs
@@ -1,14 +1,15 @@
 //! The bound on how far a customer may exceed its token bucket, whatever happens to the counter.
 //!
-//! The derivation is in docs/design.md. Each term is the most that one thing which the counter does not know
-//! can hide: the units that gateways spend locally, what may stand above the burst before it expires, what a
-//! restarted gateway forgets, and what an emptied counter forgets.
+//! The derivation is in docs/design.md. Each term bounds the units that the counter does not account for,
+//! from one cause: units that gateways admit locally, the level above the burst that has not expired yet,
+//! units lost in the restart of a gateway, and units lost when the counter is emptied.
 
-/// Part of the burst that may stand above it at the counter before it expires (`EXPIRY_SLACK_FRACTION` of the
-/// decisions). As much is lost when a counter is emptied: units added after a gateway last read it, and a drop
-/// too small to be noticed (`COUNT_RESET_FRACTION`).
+/// Fraction of the burst by which the level at the counter may exceed the burst before the excess expires
+/// (the policy's `EXPIRY_SLACK_FRACTION`). The same amount is lost when a counter is emptied: units added
+/// after a gateway last read it, and a drop too small to be detected (`COUNT_RESET_FRACTION`).
 const EXPIRY_SLACK_FRACTION: f64 = 0.5;
-/// Fallback limits that one restarted gateway can hide: its uncounted units, and those it may admit anew.
+/// Number of fallback limits that the counter may miss for each restart of a gateway: the units that the
+/// gateway had not added yet, and those that it may admit again after the restart.
 const FALLBACK_LIMITS_PER_RESTART: f64 = 2.0;
 
 /// The inputs of the bound for one customer.
@@ -16,21 +17,22 @@
 pub struct OvershootBound {
     /// The bucket's burst, in units.
     pub burst: f64,
-    /// Gateway instances that serve the customer.
+    /// Number of gateway instances that serve the customer.
     pub instances: f64,
-    /// Units of the customer's largest request.
+    /// Size of the customer's largest request, in units.
     pub largest_request: f64,
 }
 
 impl OvershootBound {
-    /// Units that one gateway may admit before it has to add them to the counter: its part of the burst, one
-    /// request at least.
+    /// Units that one gateway may admit before it must add them to the counter: its share of the burst, but
+    /// at least one request.
     fn fallback_limit(&self) -> f64 {
         (self.burst / self.instances.max(1.0)).max(self.largest_request)
     }
 
-    /// Most units beyond the bucket after `restarts` of gateways and `counter_losses` of counter contents.
-    /// Counter outages do not appear: what is admitted during one is added to the counter afterwards.
+    /// Most units beyond the bucket after `restarts` gateway restarts and `counter_losses` losses of the
+    /// counter's contents. Counter outages add no term: units admitted during one are added to the counter
+    /// afterwards.
     pub fn max_excess(&self, restarts: u32, counter_losses: u32) -> f64 {
         let fallback_limits = self.fallback_limit() * self.instances.max(1.0);
         let slack = EXPIRY_SLACK_FRACTION * self.burst;
--- a/crates/core/src/pipeline/tests.rs
+++ b/crates/core/src/pipeline/tests.rs
@@ -1,4 +1,4 @@
-//! Responses matched by order, and calls that time out.
+//! Matching of responses to calls by order, and timeouts of calls.
 
 use super::*;
 
@@ -13,8 +13,9 @@
     assert_eq!(pipeline.response_completed(0.08), Err(UnexpectedResponse));
 }
 
+/// The extension is one call timeout, and the elapsed time ends at the response's first byte.
 #[test]
-fn a_response_that_has_started_gets_one_timeout_more_and_counts_from_its_first_byte() {
+fn a_started_response_extends_the_timeout_of_its_call() {
     let mut pipeline = Pipeline::new(0.05);
     pipeline.send(0.0, "in pieces").unwrap();
     pipeline.send(0.01, "behind it").unwrap();
@@ -23,9 +24,9 @@
     assert_eq!((pipeline.deadline(), pipeline.take_timed_out(0.09).len()), (Some(0.1), 0));
     let EndedCall { call, elapsed } = pipeline.response_completed(0.09).unwrap().unwrap();
     assert!(call == "in pieces" && (elapsed - 0.02).abs() < 1e-9, "{elapsed}");
-    // The next response has not started: its call's own timeout is over.
+    // The next response has not started: its call has timed out.
     assert_eq!(pipeline.take_timed_out(0.09).len(), 1);
-    // A response that never ends lets its call time out, with those behind it.
+    // If a response never completes, its call and those behind it time out.
     let mut pipeline = Pipeline::new(0.05);
     pipeline.send(0.0, "endless").unwrap();
     pipeline.send(0.0, "behind it").unwrap();
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_connection_that_answers_nothing_is_unresponsive_though_all_its_calls_timed_out() {
+fn a_connection_with_only_timed_out_calls_becomes_unresponsive() {
     let mut pipeline = Pipeline::new(0.05);
     pipeline.send(0.0, 1).unwrap();
     assert_eq!(pipeline.take_timed_out(0.1).len(), 1);
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -1,14 +1,17 @@
-//! A pool of connections to backends, bounded in number: which idle connection is used next, and which are closed.
+//! A bounded pool of connections to backends. It selects the idle connection that is used next and the
+//! connections to be closed.
 //!
-//! The pool does not know what a connection is: it stores values of any type by endpoint. All times are in seconds.
+//! The pool is generic over connections and endpoints: it stores values of any type by endpoint. All times
+//! are in seconds.
 
 use std::collections::HashMap;
 use weirusher::Time;
 
-/// Most idle connections for one endpoint: enough that a pause after a burst of requests does not cost new connections.
+/// Most idle connections for one endpoint: enough that a pause after a burst of requests does not cost new
+/// connections.
 const MAX_IDLE_PER_ENDPOINT: usize = 32;
-/// Seconds for which a connection is not reused after a response. A faulty backend may send a second response some
-/// milliseconds behind the first; it would be taken for the response to the next request.
+/// Seconds for which a connection is not reused after a response. A faulty backend may send a second response
+/// a few milliseconds after the first, which would be taken for the response to the next request.
 const REUSE_DELAY: f64 = 0.01;
 
 /// An idle connection.
@@ -20,11 +23,11 @@
 
 /// Idle connections by endpoint, and the number of open connections, idle or in use.
 ///
-/// A connection counts as open from [`ConnectionPool::reserve`] until [`ConnectionPool::release`], or until the pool hands
-/// it out to be closed.
+/// A connection counts as open from [`ConnectionPool::reserve`] until [`ConnectionPool::release`], or until
+/// the pool returns it to be closed.
 #[derive(Debug)]
 pub struct ConnectionPool<K, T> {
-    /// By endpoint, the connection that has been idle for longest first. No list is empty.
+    /// By endpoint, longest idle first. No list is empty.
     idle: HashMap<K, Vec<Idle<T>>>,
     open: usize,
     max_open: usize,
@@ -43,18 +46,18 @@
 }
 
 impl<K: std::hash::Hash + Eq + Clone, T> ConnectionPool<K, T> {
-    /// A pool of at most `max_open` connections, each kept idle for `idle_timeout` seconds.
+    /// Creates a pool of at most `max_open` connections, each kept idle for `idle_timeout` seconds.
     pub fn new(max_open: usize, idle_timeout: f64) -> Self {
         Self { idle: HashMap::new(), open: 0, max_open, idle_timeout }
     }
 
-    /// Connections open, idle or in use.
+    /// Number of open connections, idle or in use.
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// Takes the most recently used idle connection to an endpoint that may be reused; `None` if there is none, or if it
-    /// has timed out.
+    /// Takes the most recently used idle connection to an endpoint that may be reused; `None` if there is
+    /// none, or if it has timed out.
     pub fn take(&mut self, now: Time, endpoint: &K) -> Option<T> {
         let idle = self.idle.get_mut(endpoint)?;
         let reusable = idle.partition_point(|entry| now - entry.since >= REUSE_DELAY);
@@ -69,7 +72,7 @@
         None
     }
 
-    /// Reserves one more connection. It counts as open from now on, unless the pool is exhausted.
+    /// Reserves one more connection, which counts as open from now on unless the pool is exhausted.
     pub fn reserve(&mut self) -> Reservation<T> {
         if self.open < self.max_open {
             self.open += 1;
@@ -89,13 +92,13 @@
         Reservation::Evicted(evicted.connection)
     }
 
-    /// A connection that was in use was closed.
+    /// Records that a connection in use was closed.
     pub fn release(&mut self) {
         self.open -= 1;
     }
 
-    /// Returns a connection that is idle again. If its endpoint has too many, the one idle for longest is handed out to be
-    /// closed.
+    /// Puts back a connection that is idle again. If its endpoint then has too many idle connections, returns
+    /// the one idle for longest, to be closed.
     pub fn put(&mut self, now: Time, endpoint: K, connection: T) -> Option<T> {
         let idle = self.idle.entry(endpoint).or_default();
         idle.push(Idle { since: now, connection });
@@ -106,7 +109,8 @@
         Some(idle.remove(0).connection)
     }
 
-    /// Takes out, to be closed, the connections that have timed out and all of the endpoints that are not to be kept.
+    /// Takes the connections to be closed: those that have timed out, and all idle ones of endpoints for
+    /// which `keep` is false.
     pub fn evict(&mut self, now: Time, keep: impl Fn(&K) -> bool) -> Vec<T> {
         let mut evicted = Vec::new();
         let timeout = self.idle_timeout;
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -1,9 +1,10 @@
-//! The state machine of the platform proxy, without I/O: each request that it accepts gets exactly one response.
+//! The state machine of the proxy mode, in which the gateway forwards requests itself, without I/O. Each
+//! accepted request gets exactly one response.
 //!
-//! The runtime reports what happened by the `handle_*` methods, carries out the outputs of
-//! [`ProxyCore::take_outputs`] in order, and calls [`ProxyCore::handle_timeout`] at [`ProxyCore::next_timeout`]. An
-//! attempt ends once, by the report of its connection or by its timeout, whichever comes first; later reports are ignored.
-//! All times are in seconds.
+//! The runtime reports events through the `handle_*` methods, carries out the outputs of
+//! [`ProxyCore::take_outputs`] in order, and calls [`ProxyCore::handle_timeout`] at
+//! [`ProxyCore::next_timeout`]. An attempt ends once: when the runtime reports its end or when it times out,
+//! whichever comes first. Later reports are ignored. All times are in seconds.
 
 mod metrics;
 mod output;
@@ -24,10 +25,10 @@
     Status, Time,
 };
 
-/// What a timer of the wheel stands for.
+/// The purpose of a timer.
 #[derive(Debug, Clone)]
 enum Timer {
-    /// A timer of the decisions, by its token.
+    /// A policy timer, by its token.
     Policy(u64),
     /// The timeout of an attempt.
     Attempt(RequestId, u32),
@@ -41,7 +42,7 @@
     }
 }
 
-/// The proxy of one gateway instance, without its sockets.
+/// The proxy state of one gateway instance, without its sockets.
 #[derive(Debug)]
 pub struct ProxyCore {
     driver: PolicyDriver<Timer>,
@@ -52,10 +53,10 @@
 }
 
 impl ProxyCore {
-    /// A proxy that starts at `now`, in Unix seconds. `seed` feeds all randomness.
+    /// Creates a proxy that starts at `now`, in Unix seconds. `seed` seeds all random numbers.
     ///
     /// # Errors
-    /// The decisions cannot use the settings.
+    /// The policy rejects the settings.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, EngineError> {
         let guard = Guard::new(&settings);
         let driver = PolicyDriver::new(settings, seed, now).map_err(EngineError::Settings)?;
@@ -75,12 +76,12 @@
         self.metrics
     }
 
-    /// Decisions that would have broken a rule.
+    /// Counts of the rule violations found since the start.
     pub fn violations(&self) -> Violations {
         self.guard.violations()
     }
 
-    /// How many requests are pending: accepted, without a response.
+    /// Number of pending requests: accepted, without a response.
     pub fn pending(&self) -> usize {
         self.requests.pending()
     }
@@ -90,7 +91,7 @@
         self.requests.pending_ids()
     }
 
-    /// How many requests are in the table: pending, or with attempts in flight.
+    /// Number of requests in the table: pending, or with attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -105,8 +106,8 @@
         self.guard.may_read(now)
     }
 
-    /// Whether the first byte of an attempt may be written now. `backend_available`: the backend is in the endpoint list
-    /// and accepts new requests.
+    /// Whether the first byte of an attempt may be written now. `backend_available`: the backend is in the
+    /// endpoint list and accepts new requests.
     ///
     /// # Errors
     /// Why it may not be written.
@@ -132,7 +133,8 @@
 
     // ---- Events ----
 
-    /// A request was read. One that cannot be answered before the process ends is rejected at once.
+    /// Handles a request that was read. One that cannot be answered before the process ends is rejected at
+    /// once.
     pub fn handle_request(&mut self, now: Time, request: IncomingRequest) -> RequestStatus {
         if self.contains(&request.id) {
             return RequestStatus::Duplicate;
@@ -162,7 +164,7 @@
         RequestStatus::Accepted
     }
 
-    /// The client closed its connection before its response.
+    /// Handles a client that closed its connection before it had its response.
     pub fn handle_client_gone(&mut self, now: Time, id: &RequestId) {
         if self.end_pending(id) {
             self.metrics.client_gone += 1;
@@ -170,12 +172,13 @@
         }
     }
 
-    /// The gateway closed a connection on which `unanswered` requests had no response though their client was connected.
+    /// Records that the gateway closed a connection on which `unanswered` requests had no response although
+    /// their client was still connected.
     pub fn handle_connection_closed(&mut self, unanswered: usize) {
         self.guard.connection_closed(unanswered);
     }
 
-    /// An attempt ended. Returns `true` if its response is the one that the client gets.
+    /// Handles the end of an attempt. Returns `true` if the client gets this attempt's response.
     pub fn handle_attempt_ended(
         &mut self,
         now: Time,
@@ -204,7 +207,8 @@
         serves
     }
 
-    /// A counter call ended: `total` is the counter's new value, `elapsed` the seconds that the call took.
+    /// Handles the end of a counter call: `total` is the counter's new value, `elapsed` the seconds that the
+    /// call took.
     pub fn handle_counter_response(
         &mut self,
         now: Time,
@@ -218,24 +222,25 @@
         }
     }
 
-    /// A new endpoint list, or changes to it, arrived.
+    /// Handles a new endpoint list, or changes to it.
     pub fn handle_endpoint_list(&mut self, now: Time, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
         let event = self.driver.endpoint_list(now, kind, endpoints);
         self.run_policy(now, event);
     }
 
-    /// Discovery confirmed that the endpoint list is unchanged.
+    /// Records that discovery confirmed the endpoint list as unchanged.
     pub fn handle_endpoint_list_confirmed(&mut self, now: Time) {
         self.driver.endpoint_list_confirmed(now);
     }
 
-    /// Runs the timers that are due.
+    /// Handles the timers that have expired by `now`.
     pub fn handle_timeout(&mut self, now: Time) {
         for timer in self.driver.timers.expire(now) {
             match timer {
                 Timer::Policy(token) => self.run_policy(now, Event::Timer { token }),
                 Timer::Attempt(id, attempt) => {
-                    // Aborted first, so that its connection is free before another attempt starts.
+                    // The attempt is aborted first, so that its connection is free before another attempt
+                    // starts.
                     self.outputs.push(ProxyOutput::Abort { request: id.clone(), attempt });
                     self.handle_attempt_ended(now, &id, attempt, Status::Timeout, LoadReport::default());
                 }
@@ -244,8 +249,8 @@
         }
     }
 
-    /// Begins a graceful shutdown: from now on every request, pending ones included, has its response before the earliest
-    /// moment at which the process may be killed.
+    /// Begins a graceful shutdown: from now on every request, including pending ones, gets its response
+    /// before the earliest time at which the process may be killed.
     pub fn begin_shutdown(&mut self, now: Time) -> Shutdown {
         let shutdown = self.guard.begin_shutdown(now);
         let latest = shutdown.respond_by();
@@ -259,7 +264,7 @@
 
     // ---- Ends of requests and attempts ----
 
-    /// The deadline of a request has passed and the decisions have not answered it: it fails.
+    /// Fails a request whose deadline has passed without an answer from the policy.
     fn fail_undecided(&mut self, now: Time, id: &RequestId) {
         if !self.end_pending(id) {
             return;
@@ -269,7 +274,7 @@
         self.withdraw(now, id);
     }
 
-    /// The decisions answered a request: its client gets the outcome, unless it has a response already.
+    /// Sends the policy's outcome for a request to its client, unless the request already has a response.
     fn answer(&mut self, id: RequestId, outcome: Outcome) {
         if self.end_pending(&id) {
             self.requests.remove_finished(&id);
@@ -282,7 +287,8 @@
         self.outputs.push(ProxyOutput::Respond { request, outcome });
     }
 
-    /// No client waits for a request any more: the decisions drop it, and its attempts in flight are aborted.
+    /// Withdraws a request that no client waits for any more: the policy drops it, and its attempts in flight
+    /// are aborted.
     fn withdraw(&mut self, now: Time, id: &RequestId) {
         self.run_policy(now, Event::ClientGone { request: id.clone() });
         for attempt in 0..self.requests.attempts(id) {
@@ -298,16 +304,16 @@
         }
     }
 
-    /// A request stops being pending; `true` the first time.
+    /// Marks a request as no longer pending. Returns whether it was pending.
     fn end_pending(&mut self, id: &RequestId) -> bool {
         let Some(timer) = self.requests.end_pending(id) else { return false };
         self.driver.timers.cancel(timer);
         true
     }
 
-    // ---- Decisions ----
+    // ---- Policy ----
 
-    /// Passes an event to the decisions and carries out their actions.
+    /// Passes an event to the policy and carries out the resulting actions.
     fn run_policy(&mut self, now: Time, event: Event) {
         let mut actions = self.driver.handle(now, event, &mut self.outputs);
         for action in actions.drain(..) {
@@ -325,12 +331,12 @@
                 self.answer(request, Outcome::Rejected { retry_after, reason });
             }
             Action::Fail { request, reason } => self.answer(request, Outcome::Failed { reason }),
-            _ => self.outputs.push(Command::Log("an action that this gateway does not know".into()).into()),
+            _ => self.outputs.push(Command::Log("ignored an unsupported policy action".into()).into()),
         }
     }
 
-    /// Enters an attempt in the table and starts it, unless that would break a rule. A prevented attempt ends at once as
-    /// not sent, because the decisions count on its end.
+    /// Adds an attempt to the table and starts it, unless that would break a rule. A prevented attempt ends
+    /// at once as not sent, because the policy relies on every attempt ending.
     fn start_attempt(
         &mut self,
         now: Time,
@@ -342,7 +348,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let checked = self.guard.check_attempt(now, request.class, &request.prior_attempts());
         let attempt = request.next_attempt();
-        // A shutdown may have brought the deadline forward, which the decisions do not know.
+        // A shutdown may have brought the deadline forward, which the policy does not know.
         let timeout = timeout.min(request.deadline - now);
         let deadline = now + timeout;
         request.add_attempt(Attempt {
--- a/crates/core/src/proxy/metrics.rs
+++ b/crates/core/src/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the proxy core. Each grows only; they are logged when the process stops.
+//! Counters of the proxy core. Each only increases; they are logged when the process stops.
 
 use super::output::Outcome;
 use std::fmt;
@@ -43,7 +43,7 @@
     pub failed: u64,
     /// Requests withdrawn because the client closed its connection first.
     pub client_gone: u64,
-    /// Requests that the decisions had not answered by their deadline; also counted as failed.
+    /// Requests that the policy had not answered by their deadline. Also counted as failed.
     pub undecided: u64,
     /// Attempts aborted at their timeout.
     pub attempts_timed_out: u64,
--- a/crates/core/src/proxy/output.rs
+++ b/crates/core/src/proxy/output.rs
@@ -4,17 +4,17 @@
 use crate::guard::Violation;
 use weirusher::{BackendId, Reason, RequestId};
 
-/// A response that the gateway gives by itself, without a backend.
+/// A response that the gateway generates itself, without a backend.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// Rejected before execution: a retry is safe.
     Rejected {
-        /// Seconds that the client should wait before a retry (Retry-After); 0: no advice.
+        /// Seconds that the client should wait before a retry (Retry-After). 0 means no advice.
         retry_after: f64,
         /// Why it was rejected.
         reason: Reason,
     },
-    /// Failed: it may have been executed.
+    /// Failed: the request may have been executed.
     Failed {
         /// Why it failed.
         reason: Reason,
@@ -41,32 +41,33 @@
     pub backend: BackendId,
     /// Seconds until the attempt times out.
     pub timeout: f64,
-    /// Seconds within which its last byte has to be written; otherwise it must not start, or has to be broken off.
+    /// Seconds within which its last byte must be written; otherwise it must not start, or must be aborted.
     pub write_timeout: f64,
 }
 
-/// One effect. Outputs are carried out in the order in which they were given.
+/// An effect for the runtime. Outputs must be carried out in the order in which they were produced.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ProxyOutput {
     /// Start an attempt; [`super::ProxyCore::handle_attempt_ended`] reports its end.
     Forward(NewAttempt),
-    /// Abort an attempt and close its connection. Its end was already reported to the decisions.
+    /// Abort an attempt and close its connection. Its end was already reported to the policy.
     Abort {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// An attempt was not started because it would have broken a rule; to be logged as an error of the decisions.
+    /// An attempt was not started because it would have broken a rule. To be logged as an error of the
+    /// policy.
     Prevented {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
-        /// The rule.
+        /// The rule that it would have broken.
         violation: Violation,
     },
-    /// Answer the client.
+    /// Send a response to the client.
     Respond {
         /// The request.
         request: RequestId,
--- a/crates/core/src/proxy/request.rs
+++ b/crates/core/src/proxy/request.rs
@@ -1,4 +1,4 @@
-//! Requests as the proxy receives them.
+//! Requests received by the proxy.
 
 use weirusher::{CustomerId, RequestId};
 
@@ -13,23 +13,23 @@
     pub plan: usize,
     /// Index of its class in the settings.
     pub class: usize,
-    /// Units that it takes from the quota.
+    /// Units that it uses of the quota.
     pub units: f64,
-    /// Seconds until the client gives up.
+    /// Seconds until the client gives up on it.
     pub time_budget: f64,
-    /// How many gateway instances carry the customer's requests.
+    /// Number of gateway instances that serve the customer.
     pub customer_instances: u32,
     /// Number of the first of these instances.
     pub first_instance: u32,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
 }
 
-/// Whether a request was entered in the request table.
+/// Whether a request was added to the request table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// It gets a response, by a [`super::ProxyOutput::Respond`] or by an attempt that serves it.
+    /// It will get a response, from a [`super::ProxyOutput::Respond`] or from an attempt that serves it.
     Accepted,
-    /// A request with the same id is open; nothing was done.
+    /// A request with the same id is open. This one was ignored.
     Duplicate,
 }
--- a/crates/core/src/proxy/table.rs
+++ b/crates/core/src/proxy/table.rs
@@ -10,7 +10,7 @@
 pub(super) struct Attempt {
     pub backend: BackendId,
     pub started_at: Time,
-    /// When its last byte has to be written at the latest.
+    /// Latest time at which its last byte may be written.
     pub write_deadline: Time,
     /// When it times out.
     pub deadline: Time,
@@ -30,7 +30,7 @@
 pub(super) struct OpenRequest {
     /// Index of its class.
     pub class: usize,
-    /// When its response has to be written.
+    /// When its response must be written.
     pub deadline: Time,
     /// The timer of its deadline; `None` once it has its response or was withdrawn.
     deadline_timer: Option<TimerKey>,
@@ -44,7 +44,7 @@
         Self { class, deadline, deadline_timer: Some(deadline_timer), attempts: Vec::new(), in_flight: 0 }
     }
 
-    /// Its attempts so far, as the guard wants them.
+    /// Its attempts so far, in the form that the guard checks.
     pub fn prior_attempts(&self) -> Vec<PriorAttempt> {
         self.attempts.iter().map(Attempt::as_prior).collect()
     }
@@ -78,12 +78,12 @@
 }
 
 impl RequestTable {
-    /// Open requests: pending ones, and those with attempts in flight.
+    /// Number of open requests: pending ones, and those with attempts in flight.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests without a response.
+    /// Number of requests without a response.
     pub fn pending(&self) -> usize {
         self.pending
     }
@@ -105,7 +105,7 @@
         attempt.is_some_and(|attempt| attempt.timer.is_some())
     }
 
-    /// How many attempts a request has had.
+    /// Number of attempts that a request has had.
     pub fn attempts(&self, id: &str) -> u32 {
         self.requests.get(id).map_or(0, OpenRequest::next_attempt)
     }
@@ -120,7 +120,7 @@
         self.pending += 1;
     }
 
-    /// Brings all deadlines later than `latest` forward to it. `rearm` cancels the timer and sets one at `latest`.
+    /// Brings forward to `latest` all deadlines after it. `rearm` cancels the timer and sets one at `latest`.
     pub fn cap_deadlines(&mut self, latest: Time, mut rearm: impl FnMut(TimerKey, &RequestId) -> TimerKey) {
         for (id, request) in &mut self.requests {
             let Some(timer) = request.deadline_timer.filter(|_| request.deadline > latest) else { continue };
@@ -149,14 +149,15 @@
         })
     }
 
-    /// A request has its response or was withdrawn: returns the timer of its deadline, the first time.
+    /// Records that a request has its response or was withdrawn. Returns the timer of its deadline, `None` if
+    /// that was recorded before.
     pub fn end_pending(&mut self, id: &str) -> Option<TimerKey> {
         let timer = self.requests.get_mut(id)?.deadline_timer.take()?;
         self.pending -= 1;
         Some(timer)
     }
 
-    /// An attempt ended; `None` if that was known, or there is no such attempt.
+    /// Records the end of an attempt. `None` if it had already ended or does not exist.
     pub fn end_attempt(&mut self, now: Time, id: &str, attempt: u32, status: Status) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(id)?;
         let attempt = request.attempts.get_mut(attempt as usize)?;
--- a/crates/core/src/response_order.rs
+++ b/crates/core/src/response_order.rs
@@ -1,4 +1,4 @@
-//! Hands counter responses on in the order in which the calls were made.
+//! Delivers counter responses in the order in which the calls were made.
 
 use std::collections::{HashMap, VecDeque};
 use weirusher::Status;
@@ -13,7 +13,7 @@
     pub elapsed: f64,
 }
 
-/// The responses that may be handed on once a call has ended.
+/// The responses that can be delivered once a call has ended.
 #[derive(Debug, PartialEq)]
 pub(crate) struct ReadyResponses {
     /// The counter that they belong to.
@@ -21,8 +21,8 @@
     pub responses: Vec<CounterResponse>,
 }
 
-/// Restores the order of calls to each counter, which the decisions expect: a call that is rejected at once
-/// must not be taken for an earlier one that is still pending.
+/// Restores the order of the calls to each counter, which the policy relies on: the response of a call that
+/// is rejected at once must not be taken for that of an earlier call that is still pending.
 #[derive(Debug, Default)]
 pub(crate) struct ResponseOrder {
     last_call: u64,
@@ -33,7 +33,7 @@
 }
 
 impl ResponseOrder {
-    /// Records a call to `counter`; the call's number.
+    /// Records a call to `counter` and returns the call's number.
     pub fn start_call(&mut self, counter: u64) -> u64 {
         self.last_call += 1;
         self.counters.insert(self.last_call, counter);
@@ -41,7 +41,8 @@
         self.last_call
     }
 
-    /// A call ended: the responses that may be handed on now. `None` for an unknown call.
+    /// Records the response to a call and returns the responses that can be delivered now. `None` for an
+    /// unknown call.
     pub fn end_call(&mut self, call: u64, response: CounterResponse) -> Option<ReadyResponses> {
         let counter = self.counters.remove(&call)?;
         let queue = self.queues.get_mut(&counter)?;
--- a/crates/core/src/response_order/tests.rs
+++ b/crates/core/src/response_order/tests.rs
@@ -1,9 +1,9 @@
-//! Responses keep the order of their calls.
+//! Responses are delivered in the order of their calls.
 
 use super::*;
 
 #[test]
-fn a_call_rejected_at_once_does_not_overtake_one_that_is_pending() {
+fn an_immediate_rejection_does_not_overtake_a_pending_call() {
     let mut order = ResponseOrder::default();
     let (first, other, second) = (order.start_call(7), order.start_call(8), order.start_call(7));
     let full = CounterResponse { status: Status::Rejected, total: 0.0, elapsed: 0.0 };
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,24 +1,27 @@
-//! The slots for client connections: which connections are kept, and which are closed when descriptors are short.
+//! Slots for client connections: which connections are kept, and which are closed when file descriptors run
+//! short.
 //!
-//! Each connection takes a slot from its accept until its close. One without an open request is closed when it has stayed
-//! in its state for too long, and sooner when all slots are taken. All times are in seconds.
+//! Each connection takes a slot from when it is accepted until it is closed. One without an open request is
+//! closed when it has stayed in its state for too long, and sooner when all slots are taken. All times are in
+//! seconds.
 
 use crate::shutdown::Shutdown;
 use std::collections::{BTreeMap, BTreeSet};
 use weirusher::Time;
 
-/// Seconds within which a new connection has to send its first byte, and a client that has sent a part of a request has to
-/// send the rest.
+/// Seconds within which a new connection must send its first byte, and a client that has sent part of a
+/// request must send the rest.
 pub const REQUEST_READ_TIMEOUT: f64 = 2.5;
-/// Seconds for which a connection without an open request is kept while all slots are taken, as its next request may be on
-/// its way. A longer time would keep new clients waiting to be accepted.
+/// Seconds for which a connection without an open request is kept while all slots are taken, because its next
+/// request may be in transit. A longer time would keep new clients waiting to be accepted.
 const EVICTION_GRACE: f64 = 0.25;
 /// Seconds after which an idle connection is closed.
 const IDLE_TIMEOUT: f64 = 20.0;
-/// Replaces [`EVICTION_GRACE`] for a new connection during a shutdown: its request has had time to arrive while the
-/// connection waited to be accepted.
+/// Replaces [`EVICTION_GRACE`] for a new connection during a shutdown while all slots are taken: its request
+/// has had time to arrive while the connection waited to be accepted.
 const SHUTDOWN_EVICTION_GRACE: f64 = 0.02;
-/// When no slot is free, the capacity divided by this (rounded up) is freed at once.
+/// When no slot is free, the capacity divided by this (rounded up) is the number of connections evicted at
+/// once.
 const EVICTION_DIVISOR: usize = 8;
 
 /// Identifies a client connection within the process.
@@ -27,9 +30,9 @@
 /// What a connection is doing. The variants are in the order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ConnectionState {
-    /// Nothing was received on it.
+    /// Nothing was received on the connection.
     New,
-    /// A part of a request was received.
+    /// Part of a request was received.
     Reading,
     /// No request is open.
     Idle,
@@ -41,12 +44,12 @@
 const EVICTABLE: [ConnectionState; 3] =
     [ConnectionState::New, ConnectionState::Reading, ConnectionState::Idle];
 
-/// How many connections are in each state.
+/// Number of connections in each state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SlotCounts {
     /// Nothing was received.
     pub new: usize,
-    /// A part of a request was received.
+    /// Part of a request was received.
     pub reading: usize,
     /// No request is open.
     pub idle: usize,
@@ -58,7 +61,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SlotEntry {
     state: ConnectionState,
-    /// Since when it is in the state, in microseconds.
+    /// When it entered the state, in microseconds.
     since_micros: u64,
     id: SlotId,
 }
@@ -74,23 +77,23 @@
 pub struct ConnectionSlots {
     capacity: usize,
     connections: BTreeMap<SlotId, SlotEntry>,
-    /// Connections without an open request that were not asked to close yet.
+    /// Connections without an open request that [`ConnectionSlots::evict`] has not returned yet.
     evictable: BTreeSet<SlotEntry>,
     shutdown: Option<Shutdown>,
 }
 
-/// A time as an integer, so that it can be ordered.
+/// Converts a time to whole microseconds, which can be ordered.
 fn micros(at: Time) -> u64 {
     (at * 1e6) as u64
 }
 
 impl ConnectionSlots {
-    /// Slots for at most `capacity` connections.
+    /// Creates slots for at most `capacity` connections.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, connections: BTreeMap::new(), evictable: BTreeSet::new(), shutdown: None }
     }
 
-    /// How many slots are taken.
+    /// Number of slots taken.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
@@ -100,7 +103,7 @@
         self.connections.is_empty()
     }
 
-    /// How many connections are in each state.
+    /// Number of connections in each state.
     pub fn counts(&self) -> SlotCounts {
         let mut counts = SlotCounts::default();
         for connection in self.connections.values() {
@@ -119,42 +122,42 @@
         self.connections.len() < self.capacity
     }
 
-    /// A connection was accepted.
+    /// Adds a connection that was accepted.
     pub fn insert(&mut self, now: Time, id: SlotId) {
         self.set_state(now, id, ConnectionState::New);
     }
 
-    /// A part of a request was received; [`REQUEST_READ_TIMEOUT`] runs for the rest.
+    /// Records that part of a request was received. The rest must arrive within [`REQUEST_READ_TIMEOUT`].
     pub fn set_reading(&mut self, now: Time, id: SlotId) {
         self.set_state(now, id, ConnectionState::Reading);
     }
 
-    /// A request was read and is open.
+    /// Records that a request was read and is open.
     pub fn set_active(&mut self, now: Time, id: SlotId) {
         self.set_state(now, id, ConnectionState::Active);
     }
 
-    /// The request was answered and nothing more was received.
+    /// Records that the request was answered and nothing more was received.
     pub fn set_idle(&mut self, now: Time, id: SlotId) {
         self.set_state(now, id, ConnectionState::Idle);
     }
 
-    /// A connection was closed.
+    /// Removes a connection that was closed.
     pub fn remove(&mut self, id: SlotId) {
         if let Some(connection) = self.connections.remove(&id) {
             self.evictable.remove(&connection);
         }
     }
 
-    /// A shutdown began: idle connections are to be closed at once, new ones after a short grace, and those with a part
-    /// of a request when its response could no longer be written in time.
+    /// Records that a shutdown began: idle connections are to be closed at once, new ones after a short grace
+    /// period, and those with part of a request once its response could no longer be written in time.
     pub fn begin_shutdown(&mut self, shutdown: Shutdown) {
         self.shutdown = Some(shutdown);
     }
 
-    /// The connections that are to be closed now: those past the timeout of their state, and while all slots are taken
-    /// those that have been without an open request for longest. They keep their slots until [`Self::remove`], and are
-    /// not returned again.
+    /// Returns the connections to be closed now: those past the timeout of their state and, while all slots
+    /// are taken, those that have been without an open request for longest. They keep their slots until
+    /// [`Self::remove`] and are not returned again.
     pub fn evict(&mut self, now: Time) -> Vec<SlotId> {
         let mut evicted = Vec::new();
         for state in EVICTABLE {
@@ -162,7 +165,8 @@
                 evicted.push(id);
             }
         }
-        // Several at once, so that among hundreds of silent connections each new client does not wait for one eviction.
+        // Several are evicted at once, so that with hundreds of silent connections not every new client has
+        // to wait for an eviction.
         while !self.has_free() && evicted.len() < self.capacity.div_ceil(EVICTION_DIVISOR) {
             let next = EVICTABLE.into_iter().find_map(|state| self.evict_longest(state, now, EVICTION_GRACE));
             let Some(id) = next else { break };
@@ -171,7 +175,7 @@
         evicted
     }
 
-    /// When [`ConnectionSlots::evict`] has to be called next.
+    /// When [`ConnectionSlots::evict`] must be called next.
     pub fn next_eviction(&self) -> Option<Time> {
         let full = !self.has_free();
         let due = |state| {
@@ -194,8 +198,9 @@
         }
     }
 
-    /// When a connection has been in its state for `timeout` seconds. During a shutdown these count from its beginning for
-    /// a connection that was new then, and end with the time for the last response.
+    /// When a connection has been in its state for `timeout` seconds. During a shutdown the timeout of a
+    /// connection that was already waiting for its first byte starts with the shutdown, and no timeout
+    /// extends past the time for the last response.
     fn due(&self, connection: &SlotEntry, timeout: f64) -> Time {
         let since = connection.since();
         match self.shutdown {
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -1,25 +1,26 @@
-//! When backends started, on the gateway's own clock.
+//! Start times of backends, on the gateway's own clock.
 //!
-//! An endpoint list states each start on another host's wall clock, which may be wrong or stepped. The order
-//! of the lists is sure: a backend that appears in a list started no earlier than the last list without it
-//! was current, and no later than the list that names it arrived. The first bound gets a tolerance, as lists
-//! arrive late. Times are Unix seconds.
+//! An endpoint list states each start by another host's wall clock, which may be wrong or stepped. The order
+//! of the lists is reliable: a backend that appears in a list started no earlier than the time at which the
+//! last list without it was current, and no later than the arrival of the list that names it. The first bound
+//! has a tolerance, because lists arrive late. Times are Unix seconds.
 
 use std::collections::HashMap;
 use weirusher::{BackendId, Endpoint, EndpointListKind, Time};
 
-/// Backends whose start times are remembered, listed or not: one that is listed again has not started again.
+/// Most backends whose start times are remembered. Those that are no longer listed are included: a backend
+/// that reappears in the list has not necessarily restarted.
 const MAX_BACKENDS: usize = 8192;
-/// By what factor the capacity of a backend in slow start may be overestimated, where its start time arrives
-/// late or from another clock. The decisions plan with 0.4 of the capacity of a backend that just started;
-/// with this error they use 0.6 of it.
+/// Largest factor by which the capacity of a backend in slow start may be overestimated because its start
+/// time arrives late or comes from another clock. The policy assumes 0.4 of the capacity of a backend that
+/// has just started; with this error it uses 0.6 of it.
 const MAX_CAPACITY_ERROR: f64 = 1.5;
-/// Seconds by which a restart is later than the start before it, at least.
+/// Fewest seconds between the start times of a backend before and after a restart.
 const MIN_RESTART_SECONDS: f64 = 1e-3;
 
 #[derive(Debug)]
 struct StartTime {
-    /// As the endpoint list states it.
+    /// As stated by the endpoint list.
     reported: f64,
     /// On the gateway's clock.
     local: Time,
@@ -33,32 +34,32 @@
     known: HashMap<BackendId, StartTime>,
     /// When the present list was last known to be current.
     list_current_at: Option<Time>,
-    /// Seconds by which a start may lie before the list that named it was current.
+    /// Seconds by which a start may precede the time at which the previous list was last known to be current.
     tolerance: f64,
 }
 
 impl StartTimes {
-    /// For backends that start at `min_capacity` of their capacity and reach all of it after
-    /// `slow_start_seconds`.
+    /// Creates an empty table for backends that start at the fraction `min_capacity` of their capacity and
+    /// reach all of it after `slow_start_seconds`.
     ///
-    /// A list that names a start is some seconds late even if all clocks agree. A reported time is accepted
-    /// as far as the error in capacity stays within [`MAX_CAPACITY_ERROR`]: a start taken to be `a` seconds
-    /// too early adds `(1 - min_capacity) * a / slow_start_seconds` to the capacity, which is `min_capacity`
-    /// at the least.
+    /// A list arrives some seconds late even if all clocks agree. A reported start is accepted as long as the
+    /// error in capacity stays within [`MAX_CAPACITY_ERROR`]: a start that is assumed `a` seconds too early
+    /// adds `(1 - min_capacity) * a / slow_start_seconds` to the capacity, which is at least `min_capacity`.
     pub fn new(min_capacity: f64, slow_start_seconds: f64) -> Self {
         let tolerance = (MAX_CAPACITY_ERROR - 1.0) * min_capacity * slow_start_seconds
             / (1.0 - min_capacity).max(f64::MIN_POSITIVE);
         Self { tolerance, ..Self::default() }
     }
 
-    /// Discovery confirmed that the present list is unchanged.
+    /// Records that discovery confirmed the present list as unchanged.
     pub fn confirm(&mut self, now: Time) {
         if self.list_current_at.is_some() {
             self.list_current_at = Some(now);
         }
     }
 
-    /// Replaces the start times in an endpoint list by times on the gateway's clock. 0 stays 0, "long ago".
+    /// Replaces the start times in an endpoint list by times on the gateway's clock. 0, which means "long
+    /// ago", is kept.
     pub fn localize(&mut self, now: Time, kind: EndpointListKind, endpoints: &mut [Endpoint]) {
         for endpoint in endpoints {
             if endpoint.started > 0.0 {
@@ -81,7 +82,7 @@
             known => known.map(|known| known.local),
         };
         let earliest = self.list_current_at.unwrap_or(f64::NEG_INFINITY) - self.tolerance;
-        // A start in the future comes from a clock that is ahead: it was now at the latest.
+        // A start in the future comes from a clock that is ahead: the backend started no later than now.
         let mut local = reported.max(earliest).min(now);
         if let Some(previous) = previous {
             local = local.max(previous + MIN_RESTART_SECONDS);
@@ -90,7 +91,7 @@
         local
     }
 
-    /// Forgets the backends that were listed the longest ago, once there are too many.
+    /// Removes the backends that were last listed longest ago, once there are too many.
     fn forget_oldest(&mut self) {
         if self.known.len() <= MAX_BACKENDS {
             return;
--- a/crates/core/src/start_times/tests.rs
+++ b/crates/core/src/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Start times as lists report them from clocks that disagree.
+//! Start times reported by lists from clocks that disagree.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     Endpoint { started, ..Endpoint::warm(name) }
 }
 
-/// The local start of one server in a list that names it alone.
+/// The start of a backend on the gateway's clock, after a list that names only this backend.
 fn localized(starts: &mut StartTimes, now: f64, kind: EndpointListKind, name: &str, started: f64) -> f64 {
     let mut endpoints = [endpoint(name, started)];
     starts.localize(now, kind, &mut endpoints);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_new_start_is_no_earlier_than_the_last_list_without_it() {
+fn a_start_is_no_earlier_than_the_last_list_without_the_backend() {
     let mut starts = StartTimes::default();
     assert_eq!(
         localized(&mut starts, 5000.0, EndpointListKind::Snapshot, "a", 4900.0),
@@ -29,7 +29,7 @@
     );
     starts.confirm(5010.0);
     assert_eq!(localized(&mut starts, 5011.0, EndpointListKind::Delta, "c", 5010.0 - 3600.0), 5010.0);
-    // The same start time again is the same start, whenever it arrives.
+    // A start time that is reported again is the same start, whenever it arrives.
     starts.confirm(5050.0);
     assert_eq!(localized(&mut starts, 5051.0, EndpointListKind::Snapshot, "c", 5010.0 - 3600.0), 5010.0);
     assert_eq!(localized(&mut starts, 5051.0, EndpointListKind::Snapshot, "a", 4900.0), 4900.0);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_start_time_that_changes_is_a_later_start_whatever_it_says() {
+fn a_changed_start_time_is_a_later_start_even_if_its_value_is_earlier() {
     let mut starts = StartTimes::default();
     let first = localized(&mut starts, 5000.0, EndpointListKind::Snapshot, "a", 4990.0);
     let again = localized(&mut starts, 5000.0, EndpointListKind::Delta, "a", 4100.0);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_list_that_may_be_stale_bounds_nothing() {
+fn a_list_that_may_be_stale_sets_no_lower_bound() {
     let mut starts = StartTimes::default();
     localized(&mut starts, 5000.0, EndpointListKind::StaleSnapshot, "a", 4900.0);
     starts.confirm(5001.0);
@@ -74,20 +74,20 @@
     let last = format!("s-{}", 3 * MAX_BACKENDS - 1);
     assert!(
         localized(&mut starts, now, EndpointListKind::Snapshot, &last, now - 1.0) < now,
-        "the last is known"
+        "the most recent backend is still known"
     );
 }
 
 #[test]
 fn a_start_reported_late_is_accepted_within_the_capacity_error() {
-    // A tenth of the capacity at first, all of it after 12 s: after two thirds of a second it is one and a half tenths.
+    // Capacity grows from a tenth to all of it within 12 s: after two thirds of a second it is 1.5 tenths.
     let mut starts = StartTimes::new(0.1, 12.0);
     localized(&mut starts, 5000.0, EndpointListKind::Snapshot, "a", 0.0);
     assert_eq!(localized(&mut starts, 5000.0, EndpointListKind::Delta, "b", 4999.5), 4999.5);
     let oldest = localized(&mut starts, 5000.0, EndpointListKind::Delta, "c", 4990.0);
     let capacity = |age: f64| 0.1 + 0.9 * age / 12.0;
     assert!((capacity(5000.0 - oldest) / capacity(0.0) - MAX_CAPACITY_ERROR).abs() < 1e-6, "{oldest}");
-    // Backends without slow start are at full capacity whatever is reported.
+    // Backends without slow start have full capacity, whatever start time is reported.
     let mut starts = StartTimes::new(1.0, 0.0);
     localized(&mut starts, 5000.0, EndpointListKind::Snapshot, "a", 0.0);
     assert!(localized(&mut starts, 5000.0, EndpointListKind::Delta, "b", 4990.0).is_finite());
--- a/crates/core/src/ticket.rs
+++ b/crates/core/src/ticket.rs
@@ -1,7 +1,8 @@
 //! Tickets: signed permission for one attempt of one request at one backend.
 //!
-//! A ticket is `w1.<key id>.<fields>.<code>`: the fields in base64url, the code an HMAC-SHA256 over all that
-//! precedes it, truncated to 128 bits and compared in constant time. It is not secret, only unforgeable.
+//! A ticket is `w1.<key id>.<fields>.<code>`: the fields are in base64url, and the code is an HMAC-SHA256
+//! over everything before it, truncated to 128 bits and compared in constant time. A ticket is not secret,
+//! only unforgeable.
 
 use base64::{Engine as _, engine::general_purpose::URL_SAFE_NO_PAD as BASE64};
 use hmac::{Hmac, Mac};
@@ -11,13 +12,14 @@
 const VERSION: &str = "w1";
 /// Bytes of the authentication code that are sent.
 const CODE_BYTES: usize = 16;
-/// Bytes of the longest ticket that is parsed: anything longer was not issued here and must not cost work.
+/// Length of the longest ticket that is parsed, in bytes. A longer text was not issued by a gateway and is
+/// rejected without further work.
 const MAX_TICKET_BYTES: usize = 512;
-/// Bytes of the longest backend address in a ticket.
+/// Length of the longest backend address in a ticket, in bytes.
 const MAX_BACKEND_BYTES: usize = 255;
-/// Bytes of the fields before the backend's address.
+/// Length of the fields before the backend's address, in bytes.
 const FIXED_FIELD_BYTES: usize = 4 + 8 + 8 + 4 + 8 + 8 + 2;
-/// Bytes that the text of a usual ticket takes, reserved at once.
+/// Typical length of a ticket in bytes, reserved in one allocation.
 const USUAL_TICKET_BYTES: usize = 160;
 
 /// A key for tickets, with the id that tickets carry.
@@ -42,13 +44,13 @@
     pub issuer: u32,
     /// The issuer's incarnation, which differs after each restart.
     pub incarnation: u64,
-    /// The request, unique within the incarnation.
+    /// Number of the request, unique within the incarnation.
     pub request: u64,
-    /// The attempt, counted from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
     /// Units taken from the quota.
     pub units: f64,
-    /// Unix time in seconds after which no backend may run the request.
+    /// Unix time in seconds after which no backend may execute the attempt.
     pub expires_at: f64,
     /// Index of the request's class.
     pub class: u16,
@@ -56,14 +58,14 @@
     pub backend: String,
 }
 
-/// Why a text is not a valid ticket.
+/// Why a ticket is not valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TicketError {
     /// The text does not have the format of a ticket.
-    #[error("the text does not have the format of a ticket")]
+    #[error("malformed ticket")]
     Malformed,
     /// The ticket was signed with a key that is not, or no longer, accepted.
-    #[error("the ticket's key is not accepted")]
+    #[error("the ticket is signed with a key that is not accepted")]
     UnknownKey,
     /// The ticket was forged or altered.
     #[error("the ticket's authentication code does not match")]
@@ -76,7 +78,8 @@
     keys: Vec<KeyedMac>,
 }
 
-/// A key's id, and the code's state with the key already absorbed, so that no ticket pays for that again.
+/// A key's id, and an HMAC state that is already initialised with the key, so that this is not repeated for
+/// each ticket.
 #[derive(Debug, Clone)]
 struct KeyedMac {
     id: u32,
@@ -84,7 +87,7 @@
 }
 
 impl KeyedMac {
-    fn over(&self, signed: &str) -> Hmac<Sha256> {
+    fn mac_of(&self, signed: &str) -> Hmac<Sha256> {
         let mut mac = self.mac.clone();
         mac.update(signed.as_bytes());
         mac
@@ -92,7 +95,7 @@
 }
 
 impl Keyring {
-    /// A keyring whose first key signs; `None` without a key.
+    /// Creates a keyring whose first key signs. `None` if `keys` is empty.
     ///
     /// # Panics
     /// Never: HMAC takes keys of any length.
@@ -104,7 +107,7 @@
         (!keys.is_empty()).then(|| Self { keys: keys.iter().map(keyed).collect() })
     }
 
-    /// The text of a ticket.
+    /// Signs and encodes a ticket.
     pub fn sign(&self, ticket: &Ticket) -> String {
         let mut fields = Vec::with_capacity(FIXED_FIELD_BYTES + ticket.backend.len());
         fields.extend(ticket.issuer.to_be_bytes());
@@ -119,13 +122,14 @@
         let mut text = String::with_capacity(USUAL_TICKET_BYTES);
         let _ = write!(text, "{VERSION}.{}.", key.id); // Writing to a string does not fail.
         BASE64.encode_string(&fields, &mut text);
-        let code = key.over(&text).finalize().into_bytes();
+        let code = key.mac_of(&text).finalize().into_bytes();
         text.push('.');
         BASE64.encode_string(&code[..CODE_BYTES], &mut text);
         text
     }
 
-    /// Parses a ticket and checks its authentication code, but neither its expiry nor whether it was used.
+    /// Parses a ticket and verifies its authentication code. Checks neither its expiry nor whether it was
+    /// used.
     ///
     /// # Errors
     /// The text is not a ticket, or not one signed with a key of this keyring.
@@ -146,7 +150,7 @@
             return Err(Malformed); // A shorter code would be easier to forge.
         }
         let key = self.keys.iter().find(|key| key.id == id).ok_or(UnknownKey)?;
-        key.over(signed).verify_truncated_left(&code).map_err(|_| Forged)?;
+        key.mac_of(signed).verify_truncated_left(&code).map_err(|_| Forged)?;
         parse_fields(&BASE64.decode(fields).map_err(|_| Malformed)?).ok_or(Malformed)
     }
 }
@@ -168,10 +172,10 @@
         class: u16::from_be_bytes(take(rest)?),
         backend: std::str::from_utf8(rest).ok()?.to_string(),
     };
-    let plausible = ticket.units.is_finite()
+    let valid = ticket.units.is_finite()
         && ticket.expires_at.is_finite()
         && ticket.backend.len() <= MAX_BACKEND_BYTES;
-    plausible.then_some(ticket)
+    valid.then_some(ticket)
 }
 
 #[cfg(test)]
--- a/crates/core/src/ticket/tests.rs
+++ b/crates/core/src/ticket/tests.rs
@@ -1,4 +1,4 @@
-//! Signing, verification, and rotation of keys.
+//! Signing and verification of tickets, and rotation of keys.
 
 use super::*;
 use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest};
@@ -21,10 +21,10 @@
     }
 }
 
-/// Guards tickets in flight while a fleet is updated: older and newer versions must read each other's. The text
-/// was computed from the format in the module's documentation, not by this code.
+/// While a fleet is updated, older and newer versions must be able to read each other's tickets. The text was
+/// computed from the format in the module's documentation, not by this code.
 #[test]
-fn the_form_on_the_wire_stays() {
+fn the_encoded_format_is_stable() {
     let text = concat!(
         "w1.1.AAAAAwAAAAAAAAAJAAAAAAAAAE0AAAABQAQAAAAAAABAj0AAAAAAAAAAMTI3LjAuMC4xOjgx",
         ".YC-eC_y6laAztm0JAARbQA",
@@ -44,13 +44,13 @@
 
 proptest! {
     #[test]
-    fn any_change_of_a_byte_is_found(at in 0..400usize, to in any::<u8>()) {
+    fn a_change_of_any_byte_is_detected(at in 0..400usize, to in any::<u8>()) {
         let text = keyring(&[1]).sign(&ticket());
         let mut bytes = text.clone().into_bytes();
         let at = at % bytes.len();
         bytes[at] = to;
         if let Ok(altered) = String::from_utf8(bytes) {
-            // Base64 leaves no spare bits here that the decoder would accept.
+            // The base64 decoder rejects texts whose unused bits are not zero.
             prop_assert!(altered == text || keyring(&[1]).verify(&altered).is_err());
         }
     }
@@ -62,7 +62,7 @@
     }
 
     #[test]
-    fn what_is_signed_is_read_back(issuer: u32, incarnation: u64, request: u64, attempt: u32, class: u16,
+    fn a_signed_ticket_is_read_back(issuer: u32, incarnation: u64, request: u64, attempt: u32, class: u16,
             units in 0.0..1e9f64, expires_at in 0.0..1e12f64, backend in "[a-z0-9.:]{0,60}") {
         let ticket = Ticket { issuer, incarnation, request, attempt, units, expires_at, class, backend };
         prop_assert_eq!(keyring(&[1]).verify(&keyring(&[1]).sign(&ticket)), Ok(ticket));
--- a/crates/core/src/ticket_validator.rs
+++ b/crates/core/src/ticket_validator.rs
@@ -1,11 +1,11 @@
-//! The check of tickets at a backend: each valid ticket is accepted once, at the backend that it names.
+//! Validation of tickets at a backend: each valid ticket is accepted once, at the backend that it names.
 //!
 //! Times are Unix seconds.
 
 use crate::ticket::{Keyring, Ticket};
 use std::collections::{BTreeSet, HashSet};
 
-/// Seconds by which the clocks of gateway and backend may differ.
+/// Largest difference between the clocks of a gateway and a backend, in seconds.
 pub(crate) const MAX_CLOCK_SKEW_SECONDS: f64 = 0.25;
 
 /// Why a backend rejects a request before execution.
@@ -26,12 +26,12 @@
     /// The ticket names another backend.
     #[error("the ticket is for another backend")]
     Misdirected,
-    /// As many used tickets are remembered as the validator may hold.
+    /// The validator already remembers the maximum number of used tickets.
     #[error("too many used tickets are remembered")]
     Full,
 }
 
-/// What tells one ticket from all others.
+/// Identifies a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct TicketId {
     issuer: u32,
@@ -48,13 +48,14 @@
     backend: String,
     max_used: usize,
     used: HashSet<TicketId>,
-    /// Used tickets by the millisecond after which they may be forgotten, as they would be rejected as
-    /// expired.
+    /// Used tickets by the Unix time in milliseconds after which they may be forgotten, because they would be
+    /// rejected as expired.
     expiries: BTreeSet<(u64, TicketId)>,
 }
 
 impl TicketValidator {
-    /// A validator for the backend at the address `backend`, which remembers up to `max_used` used tickets.
+    /// Creates a validator for the backend at the address `backend`. It remembers up to `max_used` used
+    /// tickets.
     pub fn new(keyring: Keyring, backend: impl Into<String>, max_used: usize) -> Self {
         let (used, expiries) = (HashSet::new(), BTreeSet::new());
         Self { keyring, backend: backend.into(), max_used, used, expiries }
@@ -63,7 +64,7 @@
     /// Accepts a ticket at Unix time `now`, once.
     ///
     /// # Errors
-    /// The request must not be executed.
+    /// Why the request must not be executed.
     pub fn validate(&mut self, now: f64, text: Option<&str>) -> Result<Ticket, TicketRejection> {
         let text = text.ok_or(TicketRejection::Missing)?;
         let ticket = self.keyring.verify(text).map_err(|_| TicketRejection::Invalid)?;
--- a/crates/core/src/ticket_validator/tests.rs
+++ b/crates/core/src/ticket_validator/tests.rs
@@ -1,4 +1,4 @@
-//! Tickets that are accepted once, and those that are rejected.
+//! Which tickets are accepted, and which are rejected.
 
 use super::*;
 use crate::ticket::Key;
@@ -36,8 +36,9 @@
     assert_eq!(other.validate(999.0, Some(&text)), Err(TicketRejection::Misdirected));
 }
 
+/// At each time it is accepted or rejected as expired.
 #[test]
-fn around_its_expiry_a_ticket_is_accepted_or_expired_but_never_accepted_twice() {
+fn a_ticket_is_not_accepted_twice_around_its_expiry() {
     let text = keyring().sign(&ticket());
     let mut validator = validator(10);
     assert!(validator.validate(1000.0 + MAX_CLOCK_SKEW_SECONDS, Some(&text)).is_ok());
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn the_memory_of_used_tickets_is_bounded_and_empties_itself() {
+fn remembered_tickets_are_bounded_and_dropped_after_expiry() {
     let mut validator = validator(2);
     let text = |request| keyring().sign(&Ticket { request, ..ticket() });
     assert!(validator.validate(999.0, Some(&text(1))).is_ok());
--- a/crates/core/src/timer_wheel.rs
+++ b/crates/core/src/timer_wheel.rs
@@ -1,22 +1,25 @@
-//! A hierarchical timing wheel: timers with a resolution of a millisecond, set and cancelled in constant
-//! time.
+//! A hierarchical timing wheel: timers with a resolution of one millisecond that are set and cancelled in
+//! constant time.
 //!
-//! Four levels of 64 slots cover 4.6 hours; a later timer waits in the last slot and is placed again when the
-//! wheel gets there. Timers of one tick expire in the order in which they were set. Times are in seconds.
+//! Four levels of 64 slots cover 4.6 hours. A later timer waits in the last slot and is inserted again when
+//! the wheel reaches that slot. Timers of the same tick expire in the order in which they were set. Times are
+//! in seconds.
 
 /// Bits of a tick that select a slot of one level.
 const SLOT_BITS: u32 = 6;
-/// Slots of one level.
+/// Number of slots in a level.
 const SLOTS: usize = 1 << SLOT_BITS;
 const LEVELS: usize = 4;
 /// Seconds in a tick.
 const TICK_SECONDS: f64 = 0.001;
-/// Ticks by which the division of a time may err: a timer is never early by more than a nanosecond.
+/// Tolerance for rounding errors in the conversion of a time to ticks. A timer is never early by more than a
+/// nanosecond.
 const ROUNDING_TICKS: f64 = 1e-6;
-/// The end of a slot's list of timers.
+/// Marks the end of a slot's list of timers.
 const NONE: u32 = u32::MAX;
 
-/// Names a timer. The key of a timer that has expired or was cancelled names no other.
+/// Identifies a timer. The key of a timer that has expired or was cancelled does not identify any other
+/// timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TimerKey {
     index: u32,
@@ -26,7 +29,7 @@
 #[derive(Debug)]
 struct Entry<T> {
     expiry_tick: u64,
-    /// Position among all timers in the order of their setting.
+    /// Number of the timer in the order in which timers were set.
     sequence: u64,
     generation: u32,
     slot: u32,
@@ -44,7 +47,7 @@
     value: T,
 }
 
-/// Any number of timers, each with a value that is handed back when it expires.
+/// Any number of timers, each with a value that is returned when it expires.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
     /// The time of tick 0, in seconds.
@@ -61,7 +64,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// An empty wheel whose time begins at `now`.
+    /// Creates an empty wheel whose time begins at `now`.
     pub fn new(now: f64) -> Self {
         Self {
             origin: now,
@@ -75,7 +78,7 @@
         }
     }
 
-    /// How many timers are set.
+    /// Number of timers that are set.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -130,7 +133,7 @@
         (self.len > 0).then(|| self.origin + self.next_tick() as f64 * TICK_SECONDS)
     }
 
-    /// Moves the time on to `now` and returns the values of the expired timers, in order.
+    /// Advances the time to `now` and returns the values of the expired timers, in order.
     pub fn expire(&mut self, now: f64) -> Vec<T> {
         let target = ((now - self.origin) / TICK_SECONDS).floor().max(0.0) as u64;
         let mut expired = Vec::new();
--- a/crates/core/src/timer_wheel/tests.rs
+++ b/crates/core/src/timer_wheel/tests.rs
@@ -1,4 +1,4 @@
-//! The wheel against an ordered map.
+//! Comparison of the wheel with an ordered map.
 
 use super::*;
 use proptest::prelude::*;
@@ -21,7 +21,7 @@
 }
 
 proptest! {
-    /// An ordered map gives the same values at the same times in the same order.
+    /// The wheel and an ordered map return the same values at the same times in the same order.
     #[test]
     fn it_agrees_with_an_ordered_map(steps in proptest::collection::vec(step(), 1..120)) {
         let (mut wheel, mut map) = (TimerWheel::new(0.0), BTreeMap::new());
@@ -39,7 +39,7 @@
                 Step::Cancel(_) => {}
                 Step::Advance(ahead) => {
                     now += ahead;
-                    // Half a tick on, so that rounding of the seconds does not matter.
+                    // Half a tick later, so that rounding of the time does not matter.
                     let due = wheel.expire((now as f64 + 0.5) * TICK_SECONDS);
                     let later = map.split_off(&(now + 1, 0));
                     let expected: Vec<usize> = std::mem::replace(&mut map, later).into_values().collect();
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -1,31 +1,36 @@
-//! When the endpoint list is polled, over how many connections, and which polls are abandoned.
+//! Schedules the polls of the endpoint list: when to poll, over how many connections, and which polls to
+//! abandon.
 //!
-//! The list is watched by long polls. A drain counts as notified as soon as the agent beside the gateway has it, so the
-//! watch has to learn of it within a bounded time whatever became of earlier polls. A poll to an agent that was silent may
-//! never be answered even though the agent is back. The watch therefore never waits for a single poll: while no response
-//! comes it opens one further connection after another, and uses the first response on any of them.
+//! The list is watched by long polls, usually of a discovery agent beside the gateway. The gateway counts as
+//! notified of a drain as soon as the agent knows of it, so the watch must learn of it within a bounded time,
+//! whatever happened to earlier polls. A poll of an agent that did not respond may never be answered, even
+//! after the agent has recovered. The watch therefore never relies on a single poll: while no response
+//! arrives, it opens one connection after another, and uses the first response on any of them.
 //!
 //! All times are in seconds.
 
 use std::collections::VecDeque;
 use weirusher::Time;
 
-/// The wait of a long poll, as a fraction of the time within which the gateway has to stop sending to a draining backend.
-/// With twice the grace it makes half of that time; the rest is for reading the list and acting on it.
+/// The wait of a long poll, as a fraction of the time within which the gateway must stop sending to a
+/// draining backend. Together with twice the grace it is half of that time; the rest is for reading the list
+/// and acting on it.
 const WAIT_FRACTION: f64 = 0.25;
-/// The grace of a response, as a fraction of the same time.
+/// The grace period of a response, as a fraction of the same time.
 const GRACE_FRACTION: f64 = 0.125;
-/// Shortest grace: it bounds how often connections are opened.
+/// Shortest grace period in seconds. Bounds how often connections are opened.
 const MIN_GRACE: f64 = 0.01;
-/// Longest grace: it bounds how long silence goes unnoticed.
+/// Longest grace period in seconds. Bounds how long a lack of responses goes undetected.
 const MAX_GRACE: f64 = 0.5;
-/// The timing where discovery itself is polled, to which each poll costs work. A change that a silent poll misses counts
-/// as notified 6 s after the silence began at the earliest.
+/// The timing if discovery itself is polled, where each poll costs discovery work. If a change is missed
+/// because discovery does not respond, the gateway counts as notified of it no earlier than 6 s after
+/// discovery stopped responding.
 const DIRECT: PollTiming = PollTiming { wait: 4.0, grace: 0.75 };
-/// Most connections at once. Beyond it the second oldest is closed: the oldest is kept because discovery may only be slow,
-/// the later ones because it may have lost the first poll.
+/// Most connections at once. Before one more is opened, the second oldest is closed: the oldest is kept
+/// because discovery may only be slow, the later ones because discovery may have lost the first poll.
 const MAX_CONNECTIONS: usize = 4;
-/// The random fraction of a pause, so that the gateways of a fleet do not poll in step.
+/// Random fraction of the pause before another connection is opened, so that the gateways of a fleet do not
+/// poll in lockstep.
 const JITTER: f64 = 0.25;
 
 /// Identifies a connection to discovery.
@@ -36,13 +41,14 @@
 pub struct PollTiming {
     /// How long discovery is asked to wait for a change.
     pub wait: f64,
-    /// How long after the wait a response is given up and a further connection opened.
+    /// How long after the wait the response is considered missing and another connection is opened.
     pub grace: f64,
 }
 
 impl PollTiming {
-    /// The timing for a gateway that has to stop sending to a draining backend `stop_within` seconds after it was
-    /// notified. `direct`: discovery itself is polled, not an agent beside the gateway.
+    /// Returns the timing for a gateway that must stop sending to a draining backend `stop_within` seconds
+    /// after it was notified. `direct` means that discovery itself is polled, not an agent beside the
+    /// gateway.
     pub fn new(stop_within: f64, direct: bool) -> Self {
         if direct {
             return DIRECT;
@@ -51,13 +57,13 @@
         Self { wait: WAIT_FRACTION / GRACE_FRACTION * grace, grace }
     }
 
-    /// Most seconds from the moment that discovery answers again until a new poll is out.
+    /// Most seconds from the time at which discovery responds again until a new poll is sent.
     pub fn max_staleness(&self) -> f64 {
         self.wait + 2.0 * self.grace
     }
 }
 
-/// What the runtime has to do with a connection.
+/// What the runtime must do with a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchOutput {
     /// Open it and poll for the complete list.
@@ -70,7 +76,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Poll {
     connection: WatchConnection,
-    /// A part of its response was received.
+    /// Whether part of its response was received.
     response_started: bool,
 }
 
@@ -79,19 +85,19 @@
 pub struct EndpointWatch {
     timing: PollTiming,
     rng: fastrand::Rng,
-    /// The oldest first.
+    /// Oldest first.
     polls: VecDeque<Poll>,
     /// The connection of the last response.
     last_responsive: Option<WatchConnection>,
     /// The connection that was opened last.
     last_opened: WatchConnection,
     last_opened_at: Time,
-    /// When a further connection is opened, unless a response comes before.
+    /// When another connection is opened, unless a response arrives before.
     open_at: Time,
 }
 
 impl EndpointWatch {
-    /// A watch that opens its first connection at `now`.
+    /// Creates a watch that opens its first connection at `now`. `seed` seeds the jitter.
     pub fn new(now: Time, timing: PollTiming, seed: u64) -> Self {
         Self {
             timing,
@@ -109,17 +115,17 @@
         self.timing.wait
     }
 
-    /// Most seconds between two responses while discovery answers.
+    /// Most seconds between two responses while discovery responds.
     pub fn max_staleness(&self) -> f64 {
         self.timing.max_staleness()
     }
 
-    /// When [`EndpointWatch::handle_timeout`] has to be called next.
+    /// When [`EndpointWatch::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Time {
         self.open_at
     }
 
-    /// Opens a further connection if no response came in time.
+    /// Opens another connection if no response arrived in time.
     pub fn handle_timeout(&mut self, now: Time) -> Vec<WatchOutput> {
         let mut outputs = Vec::new();
         if now < self.open_at {
@@ -135,7 +141,7 @@
         outputs
     }
 
-    /// A part of a response was received: the rest gets one more grace, once.
+    /// Handles the first part of a response. The rest of it gets one more grace period, once.
     pub fn handle_partial_response(&mut self, now: Time, connection: WatchConnection) {
         let starts = |poll: &mut Poll| {
             poll.connection == connection && !std::mem::replace(&mut poll.response_started, true)
@@ -145,8 +151,8 @@
         }
     }
 
-    /// A complete response was received: its connection carries the next poll, and the others are closed. `None` if the
-    /// poll was abandoned before; its response must not be used.
+    /// Handles a complete response: its connection carries the next poll, and the others are closed. `None`
+    /// if the poll was already abandoned; its response must not be used.
     pub fn handle_response(&mut self, now: Time, connection: WatchConnection) -> Option<Vec<WatchOutput>> {
         self.polls.iter().find(|poll| poll.connection == connection)?;
         let others = self.polls.drain(..).filter(|poll| poll.connection != connection);
@@ -157,8 +163,9 @@
         Some(outputs)
     }
 
-    /// A connection failed or brought an unusable response. If it was the last responsive one, another is opened at once,
-    /// but at most one per grace: discovery may close every connection.
+    /// Handles a connection that failed or returned an unusable response. If it was the last responsive one,
+    /// another is opened at once, but at most one per grace period, because discovery may be closing every
+    /// connection.
     pub fn handle_closed(&mut self, now: Time, connection: WatchConnection) {
         self.polls.retain(|poll| poll.connection != connection);
         if self.last_responsive == Some(connection) {
--- a/crates/core/src/watch/tests.rs
+++ b/crates/core/src/watch/tests.rs
@@ -11,12 +11,13 @@
 }
 
 #[test]
-fn polling_takes_at_most_half_of_the_time_to_stop_sending() {
+fn polling_takes_at_most_half_the_time_to_stop_sending() {
     for stop_within in [0.12, 0.5, 1.0, 2.0, 6.0, 600.0] {
         let timing = PollTiming::new(stop_within, false);
         assert!(timing.max_staleness() <= stop_within / 2.0 + 1e-9, "{stop_within}");
     }
-    // A change that a poll of discovery itself misses counts as notified after 6 s, or 2 s after the poll's wait.
+    // If a poll of discovery itself misses a change, the gateway counts as notified after 6 s, or 2 s after
+    // the poll's wait.
     let direct = PollTiming::new(0.5, true);
     assert!(direct.max_staleness() < 6.0 && direct.wait + direct.grace < direct.wait + 2.0);
 }
@@ -32,11 +33,11 @@
     assert_eq!(
         watch.polls.iter().map(|poll| poll.connection).collect::<Vec<_>>(),
         [1, 7, 8, 9],
-        "the oldest stays"
+        "the oldest is kept"
     );
     let closed = [1, 7, 9].map(WatchOutput::Close);
     assert_eq!(watch.handle_response(now, 8), Some(closed.to_vec()));
-    assert_eq!(watch.handle_response(now, 9), None, "it was abandoned");
+    assert_eq!(watch.handle_response(now, 9), None, "the poll was abandoned");
     assert!(watch.handle_timeout(now + 0.19).is_empty());
     assert_eq!(opened(&watch.handle_timeout(now + 0.2)), [10]);
 }
@@ -57,15 +58,17 @@
     assert!((90..=101).contains(&polls), "{polls}");
 }
 
-/// Simulates an agent that is silent, resets, answers late or stops amid a response until some time, and answers at once
-/// after it. Returns that time and when the complete list arrived.
+/// Simulates an agent that until some time does not respond, resets connections, responds late or stops
+/// within a response, and after that time responds at once. Returns that time and the arrival time of the
+/// complete list.
 fn recovery(timing: PollTiming, seed: u64) -> (f64, f64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut watch, back) = (
         EndpointWatch::new(0.0, timing, seed),
         rng.f64() * 3.0 * timing.max_staleness() / TIMING.max_staleness(),
     );
-    // When each poll's response arrives (`true`) or its connection ends (`false`). A silent one does neither.
+    // When each poll's response arrives (`true`) or its connection ends (`false`). An unanswered poll has no
+    // entry.
     let mut ends: Vec<(f64, WatchConnection, bool)> = Vec::new();
     let mut now = 0.0;
     loop {
@@ -80,7 +83,7 @@
                 if now >= back {
                     return (back, now);
                 }
-                // A poll in flight as silence begins may be lost too.
+                // A poll that is in flight when the agent stops responding may be lost too.
                 if rng.bool() {
                     ends.push((now + watch.wait() + rng.f64() * 0.3, connection, rng.bool()));
                 }
@@ -107,12 +110,12 @@
 }
 
 #[test]
-fn whatever_became_of_earlier_polls_the_list_arrives_within_the_bound() {
+fn the_list_arrives_within_the_bound_after_failed_polls() {
     // An agent beside the gateway, and discovery itself, whose changes count as notified 6 s later.
     for timing in [TIMING, PollTiming::new(0.5, true)] {
         let runs = (0..20_000).map(|seed| recovery(timing, seed));
         let worst = runs.map(|(back, arrived)| arrived - back).fold(0.0, f64::max);
         assert!(worst <= timing.max_staleness() + 1e-9 && timing.max_staleness() <= 5.5, "{worst}");
-        assert!(worst > timing.grace, "the schedules are too mild: {worst}");
+        assert!(worst > timing.grace, "the simulated failures are too mild: {worst}");
     }
 }
