--- a/crates/core/benches/memory.rs
+++ b/crates/core/benches/memory.rs
@@ -1,23 +1,23 @@
-//! Memory of an open request and of a customer, as the process's resident size shows it.
+//! Memory used by an open request and by a customer, measured by the process's resident set size.
 //!
 //! `cargo bench -p weirusher-core --bench memory` (Linux).
 
 use weirusher::{Class, Endpoint, EndpointListKind, Plan, Settings};
 use weirusher_core::{Check, Engine, InstanceRange, Key, Keyring};
 
-/// Requests that are opened.
+/// Number of requests that are opened.
 const REQUESTS: u64 = 15_000;
-/// Bytes of a memory page.
+/// Size of a memory page in bytes.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// The process's resident bytes.
+/// The process's resident set size in bytes.
 fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").expect("Linux");
     let pages: f64 = text.split_whitespace().nth(1).and_then(|p| p.parse().ok()).expect("a number of pages");
     pages * PAGE_BYTES
 }
 
-/// Bytes per open request, with the requests spread over so many customers.
+/// Bytes per open request, with the requests spread over `customers` customers.
 fn bytes_per_request(customers: u64) -> f64 {
     let mut settings = Settings::default();
     let mut plan = Plan::default();
@@ -36,7 +36,11 @@
         engine.handle_check(1e6, caller, &check);
         engine.drain_outputs().for_each(drop);
     }
-    assert!(engine.pending() > REQUESTS as usize / 2, "most must be in flight: {}", engine.pending());
+    assert!(
+        engine.pending() > REQUESTS as usize / 2,
+        "most requests must be in flight: {}",
+        engine.pending()
+    );
     (resident_bytes() - before) / engine.open_requests() as f64
 }
 
--- a/crates/core/benches/wheel.rs
+++ b/crates/core/benches/wheel.rs
@@ -1,6 +1,7 @@
-//! The timing wheel beside an ordered map, as a gateway uses timers: set, most of them cancelled, the rest due.
+//! Compares the timing wheel with an ordered map for a gateway's use of timers: most are cancelled, the rest
+//! expire.
 //!
-//! `cargo bench -p weirusher-core --bench wheel`. The ratio is the figure.
+//! `cargo bench -p weirusher-core --bench wheel`. The ratio of the two is the result to compare.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -46,7 +47,10 @@
 fn main() {
     for open in [100, 10_000, 100_000] {
         let best = |f: fn(u64) -> f64| (0..3).map(|_| f(open)).fold(f64::INFINITY, f64::min);
-        let (ours, plain) = (best(wheel), best(map));
-        println!("{open:>7} open: wheel {ours:.0} ns, map {plain:.0} ns, ratio {:.2}", ours / plain);
+        let (wheel_ns, map_ns) = (best(wheel), best(map));
+        println!(
+            "{open:>7} open: wheel {wheel_ns:.0} ns, map {map_ns:.0} ns, ratio {:.2}",
+            wheel_ns / map_ns
+        );
     }
 }
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -55,7 +55,7 @@
     AttemptDeadline(AttemptId),
     /// No check has claimed the request's last attempt in time.
     UnclaimedRetry(u64),
-    /// A check has waited in vain for the report of the request's last attempt.
+    /// The report of the request's last attempt, for which a check waits, is overdue.
     MissingReport(u64),
     /// The request's deadline and the grace period for late checks have passed.
     RequestExpiry(u64),
--- a/crates/core/src/engine/attempts.rs
+++ b/crates/core/src/engine/attempts.rs
@@ -80,7 +80,7 @@
         self.respond(id.request, CheckOutcome::Allowed(grant), Some(id));
     }
 
-    /// Closes an attempt. An attempt that is already closed stays as it is.
+    /// Closes an attempt. Does nothing if it is already closed.
     pub(super) fn close_attempt(&mut self, now: Time, id: AttemptId, end: AttemptEnd) {
         let Some(open) = self.requests.get_mut(id.request) else { return };
         let Some(attempt) = open.attempts.get_mut(id.attempt as usize) else { return };
@@ -122,8 +122,8 @@
         self.close_attempt(now, id, AttemptEnd::unreported(Status::Timeout, false));
     }
 
-    /// Closes the request's attempt in flight after a retry's check has waited in vain for its report. The
-    /// attempt may have been executed and ends as reset.
+    /// Closes the request's attempt in flight because its report did not arrive while a retry's check waited
+    /// for it. The attempt may have been executed, and ends as reset.
     pub(super) fn close_without_report(&mut self, now: Time, request: u64) {
         let Some(open) = self.requests.get_mut(request) else { return };
         open.report_timer = None;
--- a/crates/core/src/engine/check.rs
+++ b/crates/core/src/engine/check.rs
@@ -65,8 +65,8 @@
     InvalidTicket,
     /// Another check for the request is pending, or the ticket was already used for a retry.
     Duplicate,
-    /// The previous attempt is not known here, and a request of its class must not be retried without knowing
-    /// how that attempt ended.
+    /// The previous attempt is unknown to this instance, and a request of its class must not be retried
+    /// without knowing how that attempt ended.
     UnknownAttempt,
 }
 
@@ -203,8 +203,8 @@
     }
 
     /// Handles a retry with a ticket of another instance, or of an earlier incarnation of this one. The
-    /// issuer's request table is not available here: an idempotent request starts over and is charged to the
-    /// quota again, any other fails.
+    /// issuer's request table is not available to this instance: an idempotent request starts over and is
+    /// charged to the quota again, any other fails.
     fn retry_of_other_issuer(&mut self, now: Time, caller: CallerId, check: &Check, class: usize) {
         self.metrics.foreign_checks += 1;
         if self.is_idempotent(class) && check.class == class {
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Replaces the start times in an endpoint list by times on the gateway's clock. 0, which means "long
-    /// ago", is kept.
+    /// Replaces the start times in an endpoint list by times on the gateway's clock. A start of 0, which
+    /// means "long ago", is kept.
     pub fn localize(&mut self, now: Time, kind: EndpointListKind, endpoints: &mut [Endpoint]) {
         for endpoint in endpoints {
             if endpoint.started > 0.0 {
--- a/crates/core/src/start_times/tests.rs
+++ b/crates/core/src/start_times/tests.rs
@@ -36,8 +36,9 @@
     assert_eq!(localized(&mut starts, 5052.0, EndpointListKind::Snapshot, "d", 0.0), 0.0, "long ago");
 }
 
+/// The reported value may be earlier: the backend's clock may have been set back.
 #[test]
-fn a_changed_start_time_is_a_later_start_even_if_its_value_is_earlier() {
+fn a_changed_start_time_is_always_a_later_start() {
     let mut starts = StartTimes::default();
     let first = localized(&mut starts, 5000.0, EndpointListKind::Snapshot, "a", 4990.0);
     let again = localized(&mut starts, 5000.0, EndpointListKind::Delta, "a", 4100.0);
--- a/crates/core/tests/guard.rs
+++ b/crates/core/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Which requests are accepted, which attempts are sent and retried, and that violations are counted.
+//! Which requests are accepted, which attempts may be sent and retried, and the counting of violations.
 
 use proptest::prelude::*;
 use weirusher::{Class, DedupScope, Idempotency, Reason, Settings};
@@ -14,24 +14,26 @@
     Guard::new(&settings)
 }
 
+/// The platform counts the longest deadline as at most 3 s and adds a margin of 0.7 s.
 #[test]
-fn the_earliest_kill_is_the_longest_deadline_counted_as_three_seconds_at_most_and_a_margin() {
+fn the_earliest_kill_follows_from_the_longest_deadline() {
     for (deadline, span) in [(0.2, 0.9), (1.5, 2.2), (3.0, 3.7), (6.0, 3.7)] {
         let shutdown = Shutdown::new(100.0, deadline);
         assert!((shutdown.kill_at - 100.0 - span).abs() < 1e-9, "{deadline}");
-        assert!(shutdown.respond_by() < shutdown.kill_at - 0.29, "two stalls of 0.15 s fit in");
+        assert!(shutdown.respond_by() < shutdown.kill_at - 0.29, "there is time for two stalls of 0.15 s");
         assert!(shutdown.accept_until() <= shutdown.respond_by());
     }
     let mut class = Class::default();
     (class.latency_objective, class.deadline) = (2.0, 1.0);
-    assert_eq!(longest_deadline(&[class]), 2.0, "a deadline is never shorter than the latency objective");
+    assert_eq!(longest_deadline(&[class]), 2.0, "a deadline counts as at least the latency objective");
     assert_eq!(longest_deadline(&[]), 0.0);
 }
 
 proptest! {
-    /// Whenever a request is read, its response is due before its client's deadline and before the process may be killed.
+    /// Whenever a request is read, its response is due before the client's deadline and before the process
+    /// may be killed.
     #[test]
-    fn an_accepted_request_has_its_response_before_its_deadline_and_the_kill(
+    fn a_response_is_due_before_the_deadline_and_the_kill(
         deadline in 0.05..8.0f64, waits in 0.001..8.0f64, stopped in 0.0..5.0f64, read in 0.0..12.0f64,
     ) {
         let mut guard = guard(Idempotency::NonIdempotent, false, deadline);
@@ -41,11 +43,11 @@
             (Ok(due), None) => prop_assert!(due < read + waits),
             (Ok(due), Some(shutdown)) => {
                 prop_assert!(due < read + waits && due <= shutdown.respond_by());
-                prop_assert!(read < due || waits < 0.001, "time is left for it");
+                prop_assert!(read < due || waits < 0.001, "there is time left to handle the request");
             }
             (Err(reason), Some(shutdown)) => {
                 prop_assert_eq!(reason, Reason::Stopping);
-                prop_assert!(read > shutdown.respond_by() - 0.1, "rejected only when no time is left");
+                prop_assert!(read > shutdown.respond_by() - 0.1, "rejected only if there is no time left");
             }
             (Err(reason), None) => prop_assert!(false, "{}", reason),
         }
@@ -53,7 +55,7 @@
 }
 
 #[test]
-fn the_first_signal_sets_the_schedule() {
+fn the_first_signal_determines_the_schedule() {
     let mut guard = guard(Idempotency::Idempotent, false, 1.0);
     assert!(guard.may_read(1e9));
     let first = guard.begin_shutdown(10.0);
@@ -72,7 +74,7 @@
     };
     let limits = guard.check_send(2.5, &conditions).unwrap();
     assert_eq!(limits.timeout, 1.5);
-    assert!((limits.write_timeout - 0.35).abs() < 1e-9, "0.15 s are for a stall");
+    assert!((limits.write_timeout - 0.35).abs() < 1e-9, "0.15 s are reserved for a stall");
     let later = SendConditions { write_deadline: f64::INFINITY, request_deadline: Some(3.5), ..conditions };
     assert_eq!(guard.check_send(3.0, &later).unwrap().timeout, 0.5, "at most the request's time budget");
     let blocked = [
@@ -89,12 +91,12 @@
 }
 
 #[test]
-fn an_attempt_that_would_break_a_rule_is_prevented_and_counted() {
+fn an_attempt_that_breaks_a_rule_is_prevented_and_counted() {
     let keyed = Idempotency::Keyed { scope: DedupScope::All, window: 2.0 };
     let at = |started_at, execution| PriorAttempt { started_at, execution };
     let (never, maybe, in_flight) =
         (at(0.0, Execution::NotExecuted), at(0.5, Execution::MayHaveExecuted), at(0.5, Execution::InFlight));
-    // Idempotency, hedging, prior attempts, time, allowed.
+    // Columns: idempotency, hedging, prior attempts, time, whether a further attempt is allowed.
     let cases = [
         (Idempotency::NonIdempotent, true, vec![], 1.0, true),
         (Idempotency::NonIdempotent, true, vec![never], 1.0, true),
@@ -117,7 +119,7 @@
             "{idempotency:?} {hedging} {prior:?} {now}"
         );
         assert_eq!(guard.violations().total(), u64::from(!allowed));
-        // A class that the settings do not have is not idempotent either.
+        // A class that is not in the settings counts as non-idempotent.
         assert_eq!(guard.check_attempt(now, 7, &[maybe]), Err(Violation::UnsafeRetry));
     }
     let mut guard = guard(keyed, true, 1.0);
--- a/crates/core/tests/idempotency_window.rs
+++ b/crates/core/tests/idempotency_window.rs
@@ -1,4 +1,5 @@
-//! Retries with an idempotency key: none may reach a backend after the backends have forgotten the key.
+//! Retries with an idempotency key: none may be accepted by a backend after the backends have discarded the
+//! key.
 
 use weirusher::{Class, DedupScope, Endpoint, EndpointListKind, Idempotency, Plan, Settings, Status};
 use weirusher_core::{
@@ -7,11 +8,11 @@
 };
 
 const START: f64 = 1_000_000.0;
-/// Seconds for which the backends remember a key.
+/// Seconds for which the backends keep a key.
 const WINDOW: f64 = 1.0;
 /// Seconds by which a backend's clock may differ from the gateway's (docs/external-authorisation.md).
 const CLOCK_SKEWS: [f64; 3] = [-0.25, 0.0, 0.25];
-/// Longer than the window: only the window ends a retry.
+/// Longer than the window, so that only the window limits a retry.
 const TIME_BUDGET: f64 = 6.0;
 
 fn keyring() -> Keyring {
@@ -35,7 +36,7 @@
     Idempotency::Keyed { scope: DedupScope::All, window: WINDOW }
 }
 
-/// The outcome of a check at `now`, with the ticket of the attempt before.
+/// The outcome of a check at `now`, with the ticket of the previous attempt.
 fn check(engine: &mut Engine, now: f64, ticket: Option<&str>) -> CheckOutcome {
     let check = Check {
         customer: "c".into(),
@@ -52,7 +53,7 @@
         EngineOutput::CheckOutcome { outcome, .. } => Some(outcome),
         EngineOutput::Command(_) => None,
     });
-    outcome.expect("the check has its outcome at once")
+    outcome.expect("the outcome of the check is immediate")
 }
 
 fn grant(engine: &mut Engine, now: f64, ticket: Option<&str>) -> Grant {
@@ -68,7 +69,7 @@
     engine.handle_report(now, &Report { ticket, completion, elapsed: None, settled_units: None });
 }
 
-/// What the grant's backend makes of its ticket at `now`, with a clock that differs by `skew` seconds.
+/// Validates the grant's ticket at its backend at `now`, with a backend clock that differs by `skew` seconds.
 fn validate(grant: &Grant, now: f64, skew: f64) -> Result<(), TicketRejection> {
     let mut validator = TicketValidator::new(keyring(), grant.backend.to_string(), 10);
     validator.validate(now + skew, Some(&grant.ticket)).map(|_| ())
@@ -76,7 +77,7 @@
 
 /// Guards against a retry that is granted within the window and reaches its backend after it.
 #[test]
-fn the_ticket_of_a_retry_ends_with_the_window_at_every_backends_clock() {
+fn a_retry_ticket_expires_with_the_window_on_any_backend_clock() {
     let mut engine = engine(keyed());
     let first = grant(&mut engine, START, None);
     report_reset(&mut engine, START + 0.2, &first.ticket);
@@ -88,7 +89,7 @@
     }
 }
 
-/// Guards against a retry that the decisions started within the window and a check claims after it.
+/// Guards against a retry that the policy started within the window and a check claims after it.
 #[test]
 fn a_retry_that_is_claimed_after_the_window_is_not_granted() {
     let mut engine = engine(keyed());
@@ -100,23 +101,23 @@
 }
 
 #[test]
-fn the_window_ends_no_other_ticket() {
-    let deadline_of = |engine: &mut Engine, now: f64, ticket: Option<&str>| {
+fn the_window_does_not_limit_other_tickets() {
+    let assert_ticket_lasts_to_deadline = |engine: &mut Engine, now: f64, ticket: Option<&str>| {
         let grant = grant(engine, now, ticket);
         let expires_at = keyring().verify(&grant.ticket).unwrap().expires_at;
         assert!((expires_at - (now + grant.timeout)).abs() < 1e-6, "{expires_at}");
         grant
     };
-    // The first attempt of a keyed request, and the retry of one that surely was not executed.
+    // The first attempt of a keyed request, and a retry after an attempt that was certainly not executed.
     let mut keyed = engine(keyed());
-    let first = deadline_of(&mut keyed, START, None);
+    let first = assert_ticket_lasts_to_deadline(&mut keyed, START, None);
     let completion = Completion::Attempt(Status::ConnectFailed);
     let report = Report { ticket: &first.ticket, completion, elapsed: None, settled_units: None };
     keyed.handle_report(START + WINDOW + 0.2, &report);
-    deadline_of(&mut keyed, START + WINDOW + 0.3, Some(&first.ticket));
-    // An idempotent request's retry.
+    assert_ticket_lasts_to_deadline(&mut keyed, START + WINDOW + 0.3, Some(&first.ticket));
+    // A retry of an idempotent request.
     let mut idempotent = engine(Idempotency::Idempotent);
-    let first = deadline_of(&mut idempotent, START, None);
+    let first = assert_ticket_lasts_to_deadline(&mut idempotent, START, None);
     report_reset(&mut idempotent, START + WINDOW + 0.2, &first.ticket);
-    deadline_of(&mut idempotent, START + WINDOW + 0.3, Some(&first.ticket));
+    assert_ticket_lasts_to_deadline(&mut idempotent, START + WINDOW + 0.3, Some(&first.ticket));
 }
--- a/crates/core/tests/pool.rs
+++ b/crates/core/tests/pool.rs
@@ -1,9 +1,10 @@
-//! The connection pool: which idle connection is used next, which is evicted, which may not be reused yet.
+//! The connection pool: which idle connection is used next, which is evicted, and which may not be reused
+//! yet.
 
 use weirusher_core::{ConnectionPool, Reservation};
 
 #[test]
-fn the_most_recently_used_is_taken_first_and_timed_out_ones_are_evicted() {
+fn take_prefers_recent_and_evict_removes_timed_out_connections() {
     let mut pool = ConnectionPool::new(8, 10.0);
     for connection in 1..=3 {
         assert_eq!(pool.reserve(), Reservation::Granted);
@@ -12,7 +13,7 @@
     assert_eq!(pool.take(4.0, &"a"), Some(3));
     assert_eq!(pool.next_eviction(), Some(11.0));
     assert_eq!(pool.evict(11.5, |_| true), [1]);
-    assert_eq!((pool.take(12.5, &"a"), pool.open()), (None, 1), "the second has timed out");
+    assert_eq!((pool.take(12.5, &"a"), pool.open()), (None, 1), "the second connection has timed out");
 }
 
 #[test]
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn an_endpoint_that_is_not_kept_loses_its_connections() {
+fn connections_of_a_removed_endpoint_are_evicted() {
     let mut pool = ConnectionPool::new(8, 10.0);
     for endpoint in ["a", "b"] {
         pool.reserve();
@@ -47,12 +48,12 @@
 }
 
 #[test]
-fn a_connection_is_not_reused_right_after_a_response() {
+fn a_connection_is_not_reused_immediately_after_a_response() {
     let mut pool = ConnectionPool::new(8, 10.0);
     for (at, connection) in [(1.0, 1), (1.5, 2)] {
         assert_eq!((pool.reserve(), pool.put(at, "a", connection)), (Reservation::Granted, None));
     }
-    assert_eq!(pool.take(1.505, &"a"), Some(1), "the most recent that may be reused");
-    assert_eq!(pool.take(1.505, &"a"), None, "a new one has to be opened");
+    assert_eq!(pool.take(1.505, &"a"), Some(1), "the most recently used connection that may be reused");
+    assert_eq!(pool.take(1.505, &"a"), None, "the other may not be reused yet");
     assert_eq!((pool.take(1.515, &"a"), pool.open()), (Some(2), 2));
 }
--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -1,5 +1,5 @@
-//! The proxy core in virtual time: in whatever order attempts end, time out, clients go and counter responses arrive, each
-//! request gets one response in time and is removed from the table.
+//! The proxy core in virtual time: in whatever order attempts end or time out, clients disconnect and counter
+//! responses arrive, each request gets one response in time and is removed from the table.
 
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Arrive,
-    /// The id of an open request once more.
+    /// A request with the id of an open request.
     Duplicate {
         request: usize,
     },
@@ -20,8 +20,8 @@
         attempt: usize,
         status: Status,
     },
-    /// An end that was reported before, or of an attempt that does not exist.
-    Stray {
+    /// The end of an attempt that has already ended or does not exist.
+    UnexpectedEnd {
         request: usize,
         attempt: u32,
     },
@@ -51,14 +51,14 @@
         4 => Just(Step::Arrive),
         1 => (0..32usize).prop_map(|request| Step::Duplicate { request }),
         4 => (0..32usize, status.clone()).prop_map(|(attempt, status)| Step::End { attempt, status }),
-        1 => (0..32usize, 0..4u32).prop_map(|(request, attempt)| Step::Stray { request, attempt }),
+        1 => (0..32usize, 0..4u32).prop_map(|(request, attempt)| Step::UnexpectedEnd { request, attempt }),
         1 => (0..32usize).prop_map(|request| Step::ClientGone { request }),
         2 => status.prop_map(|status| Step::CounterResponse { status }),
         2 => (0..900u64).prop_map(|millis| Step::Wait { millis }),
     ]
 }
 
-/// The same, with a signal to stop among them now and then.
+/// Like [`step`], with an occasional shutdown.
 fn step_or_shutdown() -> impl Strategy<Value = Step> {
     prop_oneof![30 => step(), 1 => Just(Step::Shutdown)]
 }
@@ -122,7 +122,10 @@
                     assert!(!self.answered.contains_key(&id), "no attempt starts for an answered request");
                     assert!(!self.client_gone.contains(&id), "no attempt starts for a client that is gone");
                     assert!(self.now + timeout <= self.arrived[&id] + TIME_BUDGET);
-                    assert!(self.now + timeout <= self.respond_by + 1e-6, "it ends before the process may");
+                    assert!(
+                        self.now + timeout <= self.respond_by + 1e-6,
+                        "it ends before the process may be killed"
+                    );
                     self.in_flight.push((id, attempt));
                 }
                 ProxyOutput::Abort { request: id, attempt } => {
@@ -159,7 +162,7 @@
 
     fn wait(&mut self, until: f64) {
         while let Some(due) = self.proxy.next_timeout().filter(|due| *due <= until) {
-            // A little later, so that rounding does not stop the time.
+            // A little later, so that time advances despite rounding.
             self.now = due.max(self.now) + 1e-5;
             self.proxy.handle_timeout(self.now);
             self.carry_out();
@@ -183,7 +186,7 @@
                     self.answer(id);
                 }
             }
-            Step::Stray { request, attempt } => {
+            Step::UnexpectedEnd { request, attempt } => {
                 let Some(id) = pick(&self.requests, request) else { return };
                 if !self.in_flight.contains(&(id.clone(), attempt)) {
                     assert!(!self.proxy.handle_attempt_ended(
@@ -230,10 +233,10 @@
 
 proptest! {
     #[test]
-    fn each_request_gets_one_response_in_time_and_is_removed(steps in proptest::collection::vec(step_or_shutdown(), 1..120)) {
+    fn each_request_gets_one_response_and_is_removed(steps in proptest::collection::vec(step_or_shutdown(), 1..120)) {
         let mut harness = ProxyHarness::new();
         steps.into_iter().for_each(|step| harness.step(step));
-        // Nothing more arrives: timeouts end what is open.
+        // Nothing more arrives: timeouts end the open requests.
         harness.wait(harness.now + 2.0 * TIME_BUDGET);
         for id in &harness.requests {
             let responses = harness.answered.get(id).copied().unwrap_or(0);
@@ -245,7 +248,7 @@
 }
 
 #[test]
-fn a_request_that_is_not_decided_is_answered_before_its_deadline() {
+fn an_undecided_request_is_answered_before_its_deadline() {
     let mut harness = ProxyHarness::new();
     harness.arrive();
     harness.carry_out();
--- a/crates/core/tests/request_table.rs
+++ b/crates/core/tests/request_table.rs
@@ -1,4 +1,5 @@
-//! The engine under any order of events: one outcome a check, no non-idempotent request twice, nothing left open.
+//! The engine under events in any order: each check has one outcome, no non-idempotent request may be
+//! executed twice, and no request stays open.
 
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
@@ -31,7 +32,7 @@
         status: Status,
         request_ended: bool,
     },
-    /// Hands the last grant back as undelivered.
+    /// Reports the last grant as undelivered.
     Undelivered,
     CounterResponse {
         status: Status,
@@ -77,13 +78,13 @@
     settings.classes = vec![Class::default(), non_idempotent_class];
     (settings.has_counter, settings.max_attempts, settings.max_open_requests) = (true, 3, 1000);
     let mut engine = Engine::new(settings, keyring(), 5, 7, START).unwrap();
-    let server = |n: u32| Endpoint::warm(format!("127.0.0.1:{n}"));
-    engine.handle_endpoint_list(START, EndpointListKind::Snapshot, (1..=4).map(server).collect());
+    let backend = |n: u32| Endpoint::warm(format!("127.0.0.1:{n}"));
+    engine.handle_endpoint_list(START, EndpointListKind::Snapshot, (1..=4).map(backend).collect());
     engine
 }
 
-/// The engine with what was seen of it from outside.
-struct Environment {
+/// The engine, and the effects of it that were observed.
+struct EngineHarness {
     engine: Engine,
     now: f64,
     callers: u64,
@@ -98,26 +99,30 @@
     last_delivery: Option<DeliveryId>,
 }
 
-impl Environment {
-    fn settle(&mut self) -> Result<(), TestCaseError> {
+impl EngineHarness {
+    fn process_outputs(&mut self) -> Result<(), TestCaseError> {
         loop {
             let outputs: Vec<EngineOutput> = self.engine.drain_outputs().collect();
             if outputs.is_empty() {
                 return Ok(());
             }
             for output in outputs {
-                self.output(output)?;
+                self.process_output(output)?;
             }
         }
     }
 
-    fn output(&mut self, output: EngineOutput) -> Result<(), TestCaseError> {
+    fn process_output(&mut self, output: EngineOutput) -> Result<(), TestCaseError> {
         match output {
             EngineOutput::CheckOutcome { caller, outcome, delivery } => {
                 let outcomes = self.outcomes.entry(caller).or_default();
                 *outcomes += 1;
                 prop_assert_eq!(*outcomes, 1, "caller {} has two outcomes", caller);
-                prop_assert!(!self.closed.contains(&caller), "caller {} had closed", caller);
+                prop_assert!(
+                    !self.closed.contains(&caller),
+                    "caller {} got an outcome after it closed",
+                    caller
+                );
                 if let CheckOutcome::Allowed(grant) = outcome {
                     let AttemptId { request, attempt } = grant.attempt;
                     if self.non_idempotent_callers.contains(&caller) {
@@ -198,15 +203,15 @@
             | Step::Report { .. }
             | Step::CounterResponse { .. } => {}
         }
-        self.settle()
+        self.process_outputs()
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
     #[test]
-    fn every_check_has_one_outcome_and_nothing_stays(steps in proptest::collection::vec(step(), 1..120)) {
-        let mut environment = Environment {
+    fn every_check_has_one_outcome_and_no_request_stays_open(steps in proptest::collection::vec(step(), 1..120)) {
+        let mut harness = EngineHarness {
             engine: engine(),
             now: START,
             callers: 0,
@@ -219,22 +224,22 @@
             last_delivery: None,
         };
         for step in steps {
-            environment.step(step)?;
+            harness.step(step)?;
         }
-        // All deadlines pass; no report arrives any more.
+        // All deadlines pass without further reports.
         for _ in 0..20 {
-            environment.step(Step::Wait { millis: 300 })?;
+            harness.step(Step::Wait { millis: 300 })?;
         }
-        for caller in 1..=environment.callers {
-            let answered = environment.outcomes.contains_key(&caller);
-            prop_assert!(answered || environment.closed.contains(&caller), "caller {} waits forever", caller);
+        for caller in 1..=harness.callers {
+            let answered = harness.outcomes.contains_key(&caller);
+            prop_assert!(answered || harness.closed.contains(&caller), "caller {} has no outcome", caller);
         }
-        prop_assert_eq!((environment.engine.pending(), environment.engine.open_requests()), (0, 0));
+        prop_assert_eq!((harness.engine.pending(), harness.engine.open_requests()), (0, 0));
     }
 }
 
 #[test]
-fn a_report_for_another_incarnation_of_the_issuer_changes_nothing() {
+fn a_report_for_another_incarnation_has_no_effect() {
     let mut first = engine();
     let check = Check {
         customer: "c".into(),
@@ -251,7 +256,7 @@
         EngineOutput::CheckOutcome { outcome: CheckOutcome::Allowed(grant), .. } => Some(grant.ticket),
         _ => None,
     });
-    let ticket = ticket.expect("the fallback limit admits it");
+    let ticket = ticket.expect("the fallback limit admits the request");
     let mut settings = Settings::default();
     (settings.classes, settings.plans) = (vec![Class::default()], vec![Plan::default()]);
     let mut second = Engine::new(settings, keyring(), 6, 7, START).unwrap();
