--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,10 +1,10 @@
-//! Admission: the checks that a new request passes, in order.
+//! Admission: the checks of a new request, in order.
 //!
-//! 1. It is rejected at once when it is invalid, when its deadline is too close to decide it in time, or when
-//!    as many requests are open as the settings allow.
-//! 2. It is rejected when the gateway's `concurrency_limit` is reached.
+//! 1. A request is rejected at once if it is invalid, if its deadline is too close to decide it in time, or
+//!    if the maximum number of open requests in the settings is reached.
+//! 2. It is rejected if the gateway's `concurrency_limit` is reached.
 //! 3. A plan without a rate has no quota: only the customer's number of attempts in flight is checked
-//!    (`quota`, `spend`). Otherwise the customer's quota decides (`quota`, `admit`).
+//!    (`spend` in `quota`). Otherwise the customer's quota decides (`admit` in `quota`).
 //!
 //! Inputs: the request, its deadline (seconds on the caller's clock), the settings.
 
@@ -20,7 +20,8 @@
 use crate::interface::{Plan, Reason, Request};
 
 impl Gateway {
-    /// Takes a new request: it is sent, waits for a lease, or gets its response. A known id is ignored.
+    /// Handles a new request: it is sent, waits for a lease, or is rejected. A request whose id is already
+    /// open is ignored.
     pub(super) fn accept_request(&mut self, request: Request) {
         if self.requests.contains_key(&request.id) {
             return;
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Why a request is rejected whatever its customer's quota; `None`: it is not.
+    /// Returns why a request is rejected regardless of its customer's quota, or `None` if it is not.
     fn immediate_rejection(&self, request: &Request) -> Option<Reason> {
         let settings = &self.settings;
         let valid = request.class < settings.classes.len()
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Counts the demand of a request for its customer, who is added where new.
+    /// Adds the units of a request to its customer's demand. A new customer is added.
     fn record_demand(&mut self, request: &Request, plan: &Plan) {
         let (instance, instances) = (self.settings.instance, self.settings.instances);
         let customer_instances = request.customer_instances.clamp(1, instances);
@@ -85,9 +86,9 @@
     }
 }
 
-/// Units that the fallback limit of a new customer holds: this gateway's share of the burst, and at most of
-/// the customer's gateways no less than one request. Nothing under a ceiling: a gateway that has restarted
-/// does not know what it spent before.
+/// Returns the units that the fallback limit of a new customer holds: this gateway's share of the burst,
+/// which most of the customer's gateways raise to one request. It is 0 under a ceiling, as a gateway that
+/// has restarted does not know how much it spent before.
 fn initial_fallback(request: &Request, plan: &Plan, customer_instances: u32, instance: u32) -> f64 {
     if plan.ceiling_rate > 0.0 {
         return 0.0;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,16 +1,16 @@
-//! Attempts: the first one of a request, its retries and its hedged requests.
+//! Attempts: the first attempt of a request, its retries and its hedged requests.
 //!
-//! A retry follows a failed attempt, a hedged request starts while a slow attempt is in flight. Both are
-//! sent only if all of these allow it:
-//! - the retry budget (`retry_budget`) and the concurrency limit (`concurrency_limit`);
-//! - the settings' number of attempts, and the time that is left of the request;
-//! - the retry scope (`retry_scope`): whether and where an earlier attempt that may have been executed can
-//!   be repeated;
-//! - a backend in that scope that was not tried before (`selection`).
+//! A retry follows a failed attempt; a hedged request starts while a slow attempt is in flight. Both are sent
+//! only if all of these conditions are met:
+//! - the retry budget (`retry_budget`) and the concurrency limit (`concurrency_limit`) allow one more;
+//! - the maximum number of attempts is not reached, and the request has time left;
+//! - the retry scope (`retry_scope`) allows it: if an earlier attempt may have been executed, the scope tells
+//!   whether and where it can be repeated;
+//! - `selection` finds a backend in that scope that was not tried before.
 //!
-//! A timed-out attempt is not retried: no useful time is left.
+//! A timed-out attempt is not retried, as no useful time is left.
 //!
-//! Inputs: the class of the request (latency objective, deadline), the settings' limits, the status of
+//! Inputs: the class of the request (latency objective, deadline), the limits in the settings, the status of
 //! attempts.
 
 use super::Gateway;
@@ -25,12 +25,12 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptOutcome {
-    /// Which attempt of the request, from 0.
+    /// Number of the attempt within the request, from 0.
     pub(super) attempt: u32,
     pub(super) status: Status,
-    /// The client has its response, or is gone.
+    /// The client has its response or has disconnected.
     pub(super) request_ended: bool,
-    /// True units, where they are settled afterwards.
+    /// Units actually used, if they are known only after the response.
     pub(super) settled_units: Option<f64>,
 }
 
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Sends an attempt where the rules and a backend allow one; whether it was sent.
+    /// Sends an attempt if one is allowed and a backend is available. Returns whether it was sent.
     fn send_attempt(&mut self, id: &RequestId) -> bool {
-        // Taken out of the table while it is changed along with the rest of the gateway.
+        // Removed from the table for the time being, so that the gateway can be borrowed mutably.
         let Some(mut open) = self.requests.remove(id) else { return false };
         let class = self.settings.classes[open.request.class].clone();
         let timeout = self.attempt_timeout(&open, &class);
@@ -60,8 +60,8 @@
         placement.is_some()
     }
 
-    /// Seconds until a response is of no use: past the latency objective where a late one has no value, past
-    /// the deadline in any case.
+    /// Returns the seconds until a response is of no use: until the latency objective if a late response has
+    /// no value, and until the deadline in any case.
     fn attempt_timeout(&self, open: &OpenRequest, class: &Class) -> f64 {
         let useful_until =
             if class.late_weight > 0.0 { f64::INFINITY } else { open.arrived + class.latency_objective };
@@ -69,7 +69,7 @@
         latest.min(open.request.deadline) - self.now
     }
 
-    /// Enters an attempt in all counts and forwards it.
+    /// Updates the statistics and limits for a new attempt and forwards it.
     fn forward(&mut self, open: &mut OpenRequest, placement: Placement, timeout: f64) {
         let request = &open.request;
         let backend = &mut self.backends.all[placement.backend];
@@ -90,7 +90,7 @@
         open.attempts.push(attempt);
     }
 
-    /// Sets the timer of a hedged request, unless the attempt times out before.
+    /// Sets the timer of a hedged request, unless the attempt times out before it is due.
     fn schedule_hedge(&mut self, id: &RequestId, class: &Class, timeout: f64) {
         let delay =
             (HEDGE_DELAY_FRACTION * class.latency_objective).max(HEDGE_DELAY_LATENCIES * self.latency.mean);
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Sends a hedged request where one attempt is in flight without a response and there is capacity to
-    /// spare.
+    /// Sends a hedged request if exactly one attempt is in flight, its response has not begun, and there is
+    /// spare capacity.
     pub(super) fn send_hedge(&mut self, id: &RequestId) {
         let unanswered =
             |open: &OpenRequest| !open.closed && !open.streaming && open.attempts_in_flight() == 1;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Records the end of an attempt. When it was the last in flight, the request is closed, retried or
-    /// responded to.
+    /// Records the end of an attempt. If it was the last in flight, the request is closed, retried, rejected
+    /// or failed.
     pub(super) fn attempt_ended(&mut self, id: &RequestId, outcome: AttemptOutcome) {
         let Some(open) = self.record_outcome(id, outcome) else { return };
         let (in_flight, streaming) = (open.attempts_in_flight() > 0, open.streaming);
@@ -135,7 +135,7 @@
         self.respond_locally(id, self.latency.mean, Reason::AttemptsFailed);
     }
 
-    /// Marks the attempt as ended and settles its units; `None` for an attempt that is not known.
+    /// Marks an attempt as ended and settles its units. Returns `None` if the attempt is unknown.
     fn record_outcome(&mut self, id: &RequestId, outcome: AttemptOutcome) -> Option<&OpenRequest> {
         let open = self.requests.get_mut(id)?;
         let attempt = open.attempts.get_mut(outcome.attempt as usize)?;
--- a/src/policy/backend.rs
+++ b/src/policy/backend.rs
@@ -1,4 +1,4 @@
-//! The backends that the endpoint list has named, and what attempts have shown of each. Times are in seconds.
+//! The backends that the endpoint list has named, with statistics of their attempts. Times are in seconds.
 
 use super::token_bucket::TokenBucket;
 use super::tuning::{EWMA_GAIN, INITIAL_EJECTION_SECONDS, OBSERVATION_MEMORY_SECONDS};
@@ -13,31 +13,31 @@
     pub(super) cell: u32,
     /// It has been in the list.
     listed: bool,
-    /// The list shows it as running: it takes new requests.
+    /// The list shows it as running, so it takes new requests.
     pub(super) running: bool,
     /// When it started, or may have restarted.
     pub(super) started: Time,
     /// Attempts of this gateway that are in flight.
     pub(super) in_flight: f64,
-    /// Mean latency of its attempts; older ones count less.
+    /// Moving average of the latency of its attempts.
     pub(super) latency: f64,
-    /// When the last of them ended.
+    /// When the latency was last updated.
     pub(super) last_observed: Time,
-    /// Failed attempts in a row.
+    /// Consecutive failed attempts.
     pub(super) failures: u32,
-    /// It could not be connected to.
+    /// Connecting to it failed so often that it was ejected.
     pub(super) unreachable: bool,
     pub(super) ejected_until: Time,
-    /// How long its next ejection lasts.
+    /// Duration of its next ejection.
     pub(super) next_ejection_seconds: f64,
-    /// Units that it may be sent in its slow start.
+    /// Units that it may be sent during its slow start.
     pub(super) slow_start: TokenBucket,
 }
 
 impl Backend {
-    /// Takes over an entry of the endpoint list. `initial` is what a backend starts with that is new or has
-    /// restarted: nothing learned before holds, but the attempts in flight remain.
-    pub(super) fn update(&mut self, entry: &Endpoint, initial: Initial) {
+    /// Applies an entry of the endpoint list. A backend that is new or has restarted is reset to `initial`,
+    /// as earlier observations no longer hold; only its attempts in flight are kept.
+    pub(super) fn update(&mut self, entry: &Endpoint, initial: InitialState) {
         (self.zone, self.cell) = (entry.zone, entry.cell);
         if !self.listed || entry.started > self.started {
             *self = Self {
@@ -55,41 +55,42 @@
         }
     }
 
-    /// Learns from the latency of an attempt that was served or timed out.
+    /// Adds the latency of an attempt that was served or timed out to the moving average.
     pub(super) fn observe_latency(&mut self, now: Time, elapsed: f64) {
-        // A gateway of many observes a backend rarely, and it may have changed since: old values count less.
+        // In a large fleet a gateway observes each backend rarely, and the backend may have changed since the
+        // last observation. So old values lose weight with time.
         let old_weight = (1.0 - EWMA_GAIN) * (-(now - self.last_observed) / OBSERVATION_MEMORY_SECONDS).exp();
         self.latency = elapsed + (self.latency - elapsed) * old_weight;
         self.last_observed = now;
     }
 }
 
-/// What a new or restarted backend starts with.
+/// State of a new or restarted backend.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Initial {
-    /// Seconds; the mean of all backends.
+pub(super) struct InitialState {
+    /// The mean latency of all backends, in seconds.
     pub(super) latency: f64,
-    /// Its level, from 0 to 1, is random, so that gateways do not send their first attempts at one instant.
+    /// Its level is random, from 0 to 1, so that not all gateways send their first attempt at the same time.
     pub(super) slow_start: TokenBucket,
 }
 
-/// All backends, found by index, by name or in the order of the running ones.
+/// All backends, accessible by index and by id, with a sorted list of the running ones.
 #[derive(Debug, Default)]
 pub(super) struct BackendTable {
-    /// All backends ever listed; an index stays valid.
+    /// All backends ever listed. None is removed, so an index stays valid.
     pub(super) all: Vec<Backend>,
     index: HashMap<BackendId, usize>,
-    /// Indices of the running ones, in the order of their names.
+    /// Indices of the running backends, sorted by id.
     pub(super) running: Vec<usize>,
 }
 
 impl BackendTable {
-    /// The index of a backend that has been listed.
+    /// Returns the index of a backend, or `None` if it was never listed.
     pub(super) fn find(&self, id: &BackendId) -> Option<usize> {
         self.index.get(id).copied()
     }
 
-    /// The backend of this name, which is added where it is new.
+    /// Returns the backend with this id; a new one is added.
     pub(super) fn find_or_add(&mut self, id: &BackendId) -> &mut Backend {
         let next = self.all.len();
         let index = *self.index.entry(id.clone()).or_insert(next);
@@ -99,7 +100,7 @@
         &mut self.all[index]
     }
 
-    /// Finds the running backends again after a change of the list.
+    /// Rebuilds the sorted list of running backends after a change of the endpoint list.
     pub(super) fn refresh_running(&mut self) {
         self.running = (0..self.all.len()).filter(|index| self.all[*index].running).collect();
         self.running.sort_unstable_by(|a, b| self.all[*a].id.cmp(&self.all[*b].id));
--- a/src/policy/count_reading.rs
+++ b/src/policy/count_reading.rs
@@ -1,32 +1,33 @@
-//! What the total of a count says: how much of the quota remained before the call, and whether the counter
-//! has lost its data.
+//! Interpretation of the total of a count: how much of the quota remained before the call, and whether the
+//! counter has lost its data.
 //!
-//! A count begins at nothing in each window and only grows, but for small corrections. One that has fallen
-//! much within a window was lost, and has to be restored by one gateway.
+//! A count starts at 0 in each window and only grows, except for small corrections. If it falls by more than
+//! that within a window, the counter has lost it, and one gateway has to restore it.
 //!
-//! Inputs: the total and the units that the call added, the plan, the totals before.
+//! Inputs: the total and the units that the call added, the plan, the previous total.
 
 use super::counter::Call;
 use super::tuning::{COUNT_RESET_FRACTION, UNIT_TOLERANCE};
 use super::window::{Window, window_seconds};
 use crate::interface::{Plan, Time};
 
-/// What a customer's count has shown to this gateway.
+/// The last total of a customer's count, and whether the counter is known to have lost it.
 #[derive(Debug, Default)]
 pub(super) struct CountHistory {
     /// The window of the last total.
     window: u64,
-    /// That total, with the correction that followed.
+    /// The last total, including the correction that followed it.
     total: f64,
-    /// Units missing from the burst when the window began, as the first call in it found.
+    /// Units missing from the burst when the window began, as determined at the first call in it.
     pub(super) carryover: f64,
-    /// When the counter was first seen to have lost its data; 0: it has not.
+    /// When the loss of the counter's data was first noticed; 0 if there is none.
     reset_since: Time,
 }
 
 impl CountHistory {
-    /// Decides whether this gateway restores a count that the counter has lost. The first gateway that
-    /// finds it lost does; another only if it is still lost `grace_seconds` after that one first saw it so.
+    /// Decides whether this gateway restores a count that the counter has lost. The first gateway that calls
+    /// after the loss does; any other only if the count is still lost `grace_seconds` after it noticed the
+    /// loss.
     pub(super) fn decide_restore(&mut self, reading: &CountReading, now: Time, grace_seconds: f64) -> bool {
         let since = if self.reset_since > 0.0 { self.reset_since } else { now };
         let restores = reading.reset && (reading.first || now - since > grace_seconds);
@@ -34,21 +35,21 @@
         restores
     }
 
-    /// Remembers the total of a window.
+    /// Stores the last total of a window.
     pub(super) fn record(&mut self, window: u64, total: f64) {
         (self.window, self.total) = (window, total);
     }
 }
 
-/// A total, read as the quota before the call.
+/// The state of the quota before a call, derived from the total that the call returned.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CountReading {
-    /// Seconds since the present window began.
+    /// Seconds since the current window began.
     pub(super) window_age: f64,
-    /// Units that remain of the window's limit. More than the burst if the bucket was full for a while: the
-    /// excess has expired and is still to be added to the count.
+    /// Units that remain of the window's limit. This exceeds the burst if the bucket was full for some time:
+    /// the excess has expired and has yet to be added to the count.
     pub(super) remaining: f64,
-    /// Nothing had been counted before.
+    /// The count was 0 before the call.
     pub(super) first: bool,
     /// Units by which the count has fallen since the last total in the same window.
     pub(super) lost: f64,
@@ -57,7 +58,7 @@
 }
 
 impl CountReading {
-    /// Reads the total that `call` has returned.
+    /// Interprets the total that `call` has returned.
     pub(super) fn new(call: &Call, total: f64, plan: &Plan, now: Time, history: &CountHistory) -> Self {
         let window = Window::at(now, &call.customer, plan);
         let limit = plan.burst + plan.rate * window.age;
--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -1,10 +1,10 @@
-//! Calls to the counter: which are in flight, and whether the counter is available.
+//! Calls to the counter: which ones are in flight, and whether the counter is available.
 //!
-//! The counter is unavailable after several calls in a row that failed over several timeouts, and for a while
-//! after its return: until then other gateways may not have reported what they spent meanwhile, so no lease
-//! is granted from its total. Fallback limits decide instead.
+//! The counter counts as unavailable after several consecutive calls failed over several timeouts, and for
+//! some time after it responds again: other gateways may not yet have reported what they spent meanwhile, so
+//! no request relies on its total. Fallback limits decide instead.
 //!
-//! Inputs: status and seconds of each call, the counter's timeout in seconds.
+//! Inputs: status and duration (seconds) of each call, the counter's timeout in seconds.
 
 use super::Gateway;
 use super::call_pacing::CallPacer;
@@ -14,14 +14,14 @@
 use crate::interface::{Action, CustomerId, Plan, Settings, Status, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Purpose {
-    /// A lease.
+    /// Requests a lease.
     Lease(LeaseRequest),
-    /// To read the total of the previous window.
+    /// Reads the total of the previous window.
     ReadPrevious,
-    /// To correct the total.
+    /// Corrects the total.
     Correct,
 }
 
@@ -29,14 +29,14 @@
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) customer: CustomerId,
-    /// Index of the window whose count is called.
+    /// Index of the window that the count belongs to.
     pub(super) window: u64,
     /// Units that it adds to the count.
     pub(super) amount: f64,
     pub(super) purpose: Purpose,
 }
 
-/// Calls that failed in a row.
+/// The latest consecutive failed calls.
 #[derive(Debug, Clone, Copy, Default)]
 struct Failures {
     count: u32,
@@ -44,19 +44,19 @@
     since: Time,
 }
 
-/// The counter, as this gateway's calls show it.
+/// The calls to the counter, and its availability according to their outcomes.
 #[derive(Debug)]
 pub(super) struct CounterCalls {
     enabled: bool,
-    /// Seconds until a call is given up.
+    /// Seconds after which a call times out.
     timeout: f64,
-    /// Calls in flight, by the name of the count, in the order of their making.
+    /// Calls in flight to each count, in the order in which they were made.
     in_flight: HashMap<u64, VecDeque<Call>>,
     pacer: CallPacer,
     failures: Failures,
-    /// Calls a second before the first of those failures.
+    /// Calls per second before the first of those failures.
     rate_before_failures: f64,
-    /// Until when, after an outage, gateways report what they spent meanwhile.
+    /// End of the period after an outage in which gateways report what they spent meanwhile.
     settling_until: Time,
 }
 
@@ -73,29 +73,29 @@
         }
     }
 
-    /// Whether a request of this priority (units times priority weight) may make a call.
+    /// Returns whether a request of this priority (units times priority weight) may make a call.
     pub(super) fn allows_call(&mut self, now: Time, priority: f64) -> bool {
         self.pacer.allows(now, priority) && self.enabled
     }
 
-    /// Whether the last call failed.
+    /// Returns whether the last call failed.
     pub(super) fn is_failing(&self) -> bool {
         self.failures.count > 0
     }
 
-    /// Whether totals are not to be relied on.
+    /// Returns whether the counter is unavailable, or other gateways may still have to report units to it.
     pub(super) fn is_unavailable(&self, now: Time) -> bool {
         let Failures { count, since } = self.failures;
         now < self.settling_until
             || count >= UNAVAILABLE_AFTER_FAILURES && now - since > UNAVAILABLE_AFTER_TIMEOUTS * self.timeout
     }
 
-    /// When the counter responded again after its last outage.
+    /// Returns when the counter responded again after its last outage.
     pub(super) fn returned_at(&self) -> Time {
         self.settling_until - SETTLING_SECONDS
     }
 
-    /// Removes the oldest call to a count; `None` if there is none.
+    /// Removes and returns the oldest call to a count, or `None` if there is none.
     pub(super) fn finish(&mut self, counter: u64) -> Option<Call> {
         let calls = self.in_flight.get_mut(&counter)?;
         let call = calls.pop_front();
@@ -105,7 +105,7 @@
         call
     }
 
-    /// Learns from the end of a call.
+    /// Updates the availability and the call rate from a call that ended.
     pub(super) fn observe(&mut self, now: Time, status: Status, elapsed: f64) {
         let rate_before = self.pacer.rate;
         self.pacer.observe(now, status, elapsed, self.timeout);
@@ -122,12 +122,12 @@
 }
 
 impl Gateway {
-    /// Whether the counter's totals are not to be relied on now.
+    /// Returns whether the counter is unavailable now; see [`CounterCalls::is_unavailable`].
     pub(super) fn counter_unavailable(&self) -> bool {
         self.counter.is_unavailable(self.now)
     }
 
-    /// Makes a call that adds `amount` units to a customer's count in a window.
+    /// Calls the counter to add `amount` units to a customer's count in a window.
     pub(super) fn add_to_count(
         &mut self,
         customer: &CustomerId,
@@ -136,7 +136,7 @@
         purpose: Purpose,
         plan: &Plan,
     ) {
-        let counter = counter_name(customer, self.customers.known(customer).plan, window);
+        let counter = counter_name(customer, self.customers.existing(customer).plan, window);
         let call = Call { customer: customer.clone(), window, amount, purpose };
         self.counter.in_flight.entry(counter).or_default().push_back(call);
         self.counter.pacer.withdraw();
--- a/src/policy/fallback.rs
+++ b/src/policy/fallback.rs
@@ -1,8 +1,9 @@
-//! The fallback limit: what a gateway grants a customer by itself while the count is not known.
+//! The fallback limit: what a gateway grants a customer on its own while the count is not known.
 //!
-//! It is an even share of rate and burst, less what the gateway has spent without a lease: that stays taken
-//! until the count knows of it. A share of less than one request is raised to one request, or a small
-//! customer would hardly be served. Under a ceiling it is the headroom that decides about such a share.
+//! The limit is an even share of rate and burst, less the units that the gateway has spent without a lease,
+//! which stay deducted until they are on the count. A share below one request is raised to one request;
+//! otherwise a small customer would hardly be served. Under a ceiling the headroom decides about such a
+//! share.
 //!
 //! Inputs: the plan, the number of gateways that serve the customer, the units of the request.
 
@@ -12,7 +13,7 @@
 use crate::interface::{CustomerId, Plan, Time};
 
 impl Customer {
-    /// Units that the fallback limit holds for a request of `units`.
+    /// Returns the units that the fallback limit holds for a request of `units`.
     fn fallback_level(&mut self, now: Time, plan: &Plan, units: f64) -> f64 {
         let rate = self.even_share(plan.rate);
         let burst = self.even_share(plan.burst).max(units);
@@ -25,22 +26,23 @@
         self.fallback.refill(now, self.even_share(plan.rate), f64::INFINITY);
     }
 
-    /// Lowers the fallback limit to this gateway's share of a level that others may not have reported to yet.
+    /// Lowers the fallback limit to this gateway's share of a level that may not yet include the units that
+    /// other gateways have spent.
     pub(super) fn cap_fallback(&mut self, level: f64) {
         self.fallback.level = self.fallback.level.min(self.even_share(level));
     }
 
-    /// Sets the fallback limit to this gateway's share of a known level. What was spent during the call is
-    /// not in it.
+    /// Sets the fallback limit to this gateway's share of a known level, less the units spent during the
+    /// call, which the level does not include.
     pub(super) fn set_fallback(&mut self, level: f64) {
         self.fallback.level = self.even_share(level) - self.uncounted.units.max(0.0);
     }
 }
 
 impl Gateway {
-    /// Whether the fallback limit covers a request of `units`.
+    /// Returns whether the fallback limit covers a request of `units`.
     pub(super) fn fallback_covers(&mut self, customer_id: &CustomerId, plan: &Plan, units: f64) -> bool {
-        let customer = self.customers.known(customer_id);
+        let customer = self.customers.existing(customer_id);
         let covers = customer.fallback_level(self.now, plan, units) >= units;
         if plan.ceiling_rate > 0.0 {
             let fractional = is_fractional(plan, customer.instances, units);
--- a/src/policy/fractional_share.rs
+++ b/src/policy/fractional_share.rs
@@ -1,28 +1,28 @@
-//! Fractional shares: customers whose burst, divided among the gateways that serve them, is under one
+//! Fractional shares: customers whose burst, divided among the gateways that serve them, is below one
 //! request.
 //!
-//! A gateway rarely calls twice for such a customer, so what it spends without a lease cannot wait for its
-//! own next call. Instead every call for such a customer adds a proportional estimate of what the gateway
-//! spent for all of them, and the sum over all gateways is right. What is older than a burst's refill is
-//! forgotten: the refill has paid for it.
+//! A gateway rarely calls the counter twice for such a customer, so units spent without a lease cannot be
+//! reported with its own next call. Instead, each call for any such customer adds a proportional estimate of
+//! the units that the gateway spent for all of them; summed over all gateways, the reported total is right.
+//! Units spent longer ago than the refill of a burst takes are dropped, as the refill has covered them.
 
 use super::stable_hash::hash_fraction;
 use super::token_bucket::DecayingSum;
 use super::tuning::FRACTIONAL_SHARE_START_FRACTION;
 use crate::interface::{CustomerId, Plan, Time};
 
-/// Whether the burst divided among `instances` gateways is under `units`.
+/// Returns whether the burst divided among `instances` gateways is below `units`.
 pub(super) fn is_fractional(plan: &Plan, instances: u32, units: f64) -> bool {
     plan.burst < f64::from(instances) * units
 }
 
-/// Whether this gateway admits one request of a new customer at a fractional share. The choice is the same
-/// after a restart, which must not admit another one.
+/// Returns whether this gateway admits one request of a new customer although its share is fractional. The
+/// result is the same after a restart, so that the choice of gateways does not change.
 pub(super) fn starts_with_request(customer: &CustomerId, instance: u32) -> bool {
     hash_fraction(&[customer.as_bytes(), &instance.to_le_bytes()]) < FRACTIONAL_SHARE_START_FRACTION
 }
 
-/// Units of all customers of one plan at fractional shares, over the time of a burst's refill.
+/// Units of all customers with fractional shares in one plan, decaying over the time of a burst's refill.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FractionalShares {
     /// Spent without a lease.
@@ -32,18 +32,19 @@
 }
 
 impl FractionalShares {
-    /// Counts units that were spent without a lease.
+    /// Records units that were spent without a lease.
     pub(super) fn record_uncounted(&mut self, now: Time, units: f64, plan: &Plan) {
         self.uncounted.add(now, units, plan.burst / plan.rate);
     }
 
-    /// Units that a call which requests `units` at a fractional share adds for those spent without a lease.
+    /// Records that a call for a fractional share requests `units`. Returns the units that the call adds for
+    /// those spent without a lease.
     pub(super) fn record_request(&mut self, now: Time, units: f64, plan: &Plan) -> f64 {
         self.add_requested(now, units, plan);
         (units * self.uncounted.sum / self.requested.sum).min(plan.burst)
     }
 
-    /// Counts `requested` units, and lets both sums decay; 0 units only let them decay.
+    /// Records `requested` units and lets both sums decay; 0 units only let them decay.
     pub(super) fn add_requested(&mut self, now: Time, requested: f64, plan: &Plan) {
         let memory = plan.burst / plan.rate;
         self.requested.add(now, requested, memory);
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -1,9 +1,9 @@
-//! Leases: when units of a customer's quota are requested from the counter, how many, and what the waiting
-//! requests get.
+//! Leases: when a gateway requests units of a customer's quota from the counter, how many, and how the
+//! requests that wait for them are decided.
 //!
-//! A call adds to the customer's count what the waiting requests need, a second of recent demand on top, and
-//! what the gateway has spent without a lease. The total in the response decides how much of that is granted
-//! (`settlement`). Requests wait a few milliseconds at most; then the fallback limit decides.
+//! A call adds to the customer's count the units that the waiting requests need, a second of recent demand,
+//! and the units that the gateway has spent without a lease. The total in the response determines how much of
+//! that is granted (`settlement`). Requests wait a few milliseconds at most; then the fallback limit decides.
 //!
 //! Inputs: the customer's recent demand and last known level (units), the status of counter calls, the
 //! counter's timeout in seconds.
@@ -20,13 +20,13 @@
 use super::window::Window;
 use crate::interface::{CustomerId, Plan, RequestId, Status, Time};
 
-/// Units that a call for a lease adds to the count. What it adds beyond both is the estimate for fractional
-/// shares.
+/// Units that a call for a lease adds to the count. Any units that the call adds beyond these are the
+/// estimate for fractional shares.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LeaseRequest {
     /// Units to be leased.
     pub(super) requested: f64,
-    /// Units spent before without a lease.
+    /// Units spent earlier without a lease.
     pub(super) uncounted: f64,
 }
 
@@ -35,19 +35,19 @@
 pub(super) struct PendingCall {
     /// The token of the timer that ends the wait for it.
     token: u64,
-    /// Requests no longer wait for it, or none ever did.
+    /// No request waits for it: the wait has ended, or there was none.
     wait_ended: bool,
 }
 
 impl Customer {
-    /// Whether a request may wait for the call in flight.
+    /// Returns whether a call is in flight that a request may wait for.
     pub(super) fn may_wait(&self) -> bool {
         self.pending_call.is_some_and(|call| !call.wait_ended)
     }
 
-    /// Units to request where the waiting requests need `needed`: with spare ones for the recent demand, up
-    /// to this gateway's share of the level. Only whole units are spare: a unit unused at each gateway is
-    /// most of a small burst.
+    /// Returns the units to request when the waiting requests need `needed` units. Spare units for the recent
+    /// demand are added, up to this gateway's share of the level, but only whole ones: one unused unit at
+    /// each gateway would be most of a small burst.
     fn lease_units(&self, now: Time, needed: f64, plan: &Plan) -> f64 {
         let demand = self.demand.sum / DEMAND_MEMORY_SECONDS;
         let level = self.level.map_or(plan.burst, |mut level| level.refill(now, plan.rate, plan.burst));
@@ -57,10 +57,10 @@
 }
 
 impl Gateway {
-    /// Calls for a lease that covers the waiting requests.
+    /// Calls the counter for a lease that covers the waiting requests.
     pub(super) fn request_lease(&mut self, customer_id: &CustomerId, plan: &Plan) {
         let window = Window::at(self.now, customer_id, plan).index;
-        let customer = self.customers.known(customer_id);
+        let customer = self.customers.existing(customer_id);
         let needed: f64 = customer.waiting.iter().map(|id| self.requests[id].request.units).sum();
         let requested = customer.lease_units(self.now, needed, plan);
         let shares = &mut self.fractional_shares[customer.plan];
@@ -75,16 +75,16 @@
         self.add_to_count(customer_id, window, requested + uncounted + estimate, purpose, plan);
         let wait = COUNTER_WAIT_FRACTION * self.settings.counter_timeout;
         let token = self.set_timer(self.now + wait, Timer::LeaseWait(customer_id.clone()));
-        let customer = self.customers.known(customer_id);
+        let customer = self.customers.existing(customer_id);
         customer.lease_window = window;
         customer.pending_call = Some(PendingCall { token, wait_ended: false });
     }
 
-    /// While the counter is unavailable: calls it to report what was spent without a lease, or, while calls
-    /// fail, to try whether it responds. No request waits for this call.
+    /// Calls the counter while it is unavailable, to report units that were spent without a lease or, while
+    /// calls fail, to probe whether it responds. No request waits for this call.
     pub(super) fn report_uncounted(&mut self, customer_id: &CustomerId, plan: &Plan) {
         let window = Window::at(self.now, customer_id, plan).index;
-        let customer = self.customers.known(customer_id);
+        let customer = self.customers.existing(customer_id);
         let nothing_to_report = !self.counter.is_failing() && customer.uncounted.units <= 0.0;
         if nothing_to_report || customer.pending_call.is_some() {
             return;
@@ -93,15 +93,15 @@
         let purpose = Purpose::Lease(LeaseRequest { requested: 0.0, uncounted });
         self.add_to_count(customer_id, window, uncounted, purpose, plan);
         let token = self.timers.next_token();
-        let customer = self.customers.known(customer_id);
+        let customer = self.customers.existing(customer_id);
         customer.pending_call = Some(PendingCall { token, wait_ended: true });
     }
 
-    /// Takes the units that the next call has to report, without those that the refill has paid for during an
-    /// outage: the count does not know of that refill, as it holds no more than the burst. Nothing while
-    /// calls fail: a call that was counted without a response would be paid twice.
+    /// Takes the uncounted units that the next call has to report, less those covered by the refill during an
+    /// outage: the count does not include that refill, as at most the burst is credited. Returns 0 while
+    /// calls fail: units of a call that was counted but got no response would be counted twice.
     fn take_uncounted(&mut self, customer_id: &CustomerId, plan: &Plan) -> f64 {
-        let customer = self.customers.known(customer_id);
+        let customer = self.customers.existing(customer_id);
         if self.counter.is_failing() {
             return 0.0;
         }
@@ -111,8 +111,8 @@
         (uncounted.units - customer.even_share(refilled.max(0.0))).max(0.0)
     }
 
-    /// Takes the end of a call to the counter: settles its total, and decides the requests that waited for
-    /// it. `total` is valid with [`Status::Ok`].
+    /// Handles the end of a call to the counter: settles its total and decides the requests that waited for
+    /// it. `total` is valid only with [`Status::Ok`].
     pub(super) fn counter_response(&mut self, counter: u64, status: Status, total: f64, elapsed: f64) {
         let Some(call) = self.counter.finish(counter) else { return };
         self.counter.observe(self.now, status, elapsed);
@@ -120,21 +120,22 @@
         let plan = self.settings.plans[customer.plan].clone();
         match call.purpose {
             _ if status == Status::Ok => self.apply_total(&call, total, &plan),
-            // Unless it surely was added, it stays uncounted: a customer must not gain by a lost response.
+            // Units stay uncounted unless they were certainly added: a customer must not gain by a lost
+            // response.
             Purpose::Lease(lease) if lease.uncounted > 0.0 && status != Status::Error => {
                 customer.uncounted.add(self.now, lease.uncounted);
             }
             _ => {}
         }
         if let Purpose::Lease(_) = call.purpose {
-            let customer = self.customers.known(&call.customer);
+            let customer = self.customers.existing(&call.customer);
             customer.pending_call = None;
             let waiting = std::mem::take(&mut customer.waiting);
             self.admit_waiting(waiting, status == Status::Ok, &plan);
         }
     }
 
-    /// Ends the wait for a lease that was requested with this token. Guards against a slow counter that holds
+    /// Ends the wait for the lease that was requested with this token, so that a slow counter does not delay
     /// requests.
     pub(super) fn end_lease_wait(&mut self, customer_id: &CustomerId, token: u64) {
         let Some(customer) = self.customers.find(customer_id) else { return };
@@ -145,7 +146,8 @@
         self.admit_waiting(waiting, false, &plan);
     }
 
-    /// Decides requests that waited for a lease; `total_known`: the count's total is known now.
+    /// Decides requests that waited for a lease. `total_known` tells whether the call returned the count's
+    /// total.
     fn admit_waiting(
         &mut self,
         waiting: impl IntoIterator<Item = RequestId>,
@@ -155,7 +157,7 @@
         for id in waiting {
             let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { continue };
             let units = open.request.units;
-            if self.customers.known(&open.request.customer).lease >= units {
+            if self.customers.existing(&open.request.customer).lease >= units {
                 self.spend(&id, units, Funding::Lease);
             } else if total_known {
                 self.over_quota(&id, plan);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,28 +1,29 @@
-//! The decisions of a gateway, one module for each rule; the interface's types are in `src/interface.rs`.
+//! The decision logic of a gateway, one module per rule; the interface types are in `src/interface.rs`.
 //!
-//! A new request passes `admission` and `quota`: it spends its customer's `lease`, waits for a new one, or is
-//! decided by the local `fallback` limit and the `ceiling`. `counter` and `call_pacing` make the calls for
-//! leases, and `settlement` reads what the count's total grants. `attempts` sends an admitted request under
-//! the `concurrency_limit`, to the backend of `selection`, and retries and hedges it as far as `retry_scope`
-//! and `retry_budget` allow. `observation` learns from the outcome of each attempt. `response` is the
-//! gateway's own response.
+//! A new request passes `admission` and `quota`: it spends units of its customer's `lease`, waits for a new
+//! lease, or is decided by the local `fallback` limit and the `ceiling`. `counter` and `call_pacing` make the
+//! calls that request leases, and `settlement` computes from the count's total how much is granted.
+//! `attempts` sends an admitted request within the `concurrency_limit` to the backend that `selection`
+//! chooses, and retries and hedges it as far as `retry_scope` and `retry_budget` allow. `observation` updates
+//! the statistics of backends from the outcome of each attempt. `response` produces the responses of the
+//! gateway itself.
 //!
 //! Terms:
-//! - *count*: the units of a customer's quota that are used or leased in one window; kept by the counter
-//!   service.
+//! - *count*: the units of a customer's quota that are used or leased in one window; stored by the counter
+//!   service, which all gateways share.
 //! - *lease*: units that a gateway has added to the count before it spends them.
-//! - *level*: of a quota, what remains of it, as a count showed it; of a token bucket, the units that it
-//!   holds.
-//! - *uncounted*: spent without a lease, not on the count yet.
-//! - *fallback limit*: what a gateway spends without a lease while the count is not known.
+//! - *level*: of a quota, the units that remain according to the last known count; of a token bucket, the
+//!   units that it holds.
+//! - *uncounted*: spent without a lease and not yet added to the count.
+//! - *fallback limit*: what a gateway may spend without a lease while the count is not known.
 //! - *ceiling headroom*: the units between a plan's quota and its hard ceiling.
 //! - *in flight*: an attempt that has not ended. *open*: a request without a response, or with attempts in
 //!   flight.
 //!
-//! A request beyond its quota is one of several reasons to reject a request: they are the variants of
-//! [`Reason`](crate::Reason).
+//! The variants of [`Reason`](crate::Reason) list why a request is rejected; an exhausted quota is one of
+//! them.
 //!
-//! Times are seconds on the caller's clock, quantities quota units.
+//! Times are seconds on the caller's clock; quantities are quota units.
 
 mod admission;
 mod attempts;
@@ -71,23 +72,23 @@
 use subset::subset_start;
 use timers::Timers;
 
-/// The decisions of one gateway.
+/// The state and decision logic of one gateway.
 #[derive(Debug)]
 pub struct Gateway {
     settings: Settings,
     rng: fastrand::Rng,
-    /// The time of the event at hand.
+    /// The time of the event being handled.
     now: Time,
-    /// The actions that the event at hand has led to.
+    /// The actions produced so far by the event being handled.
     actions: Vec<Action>,
     timers: Timers,
     requests: HashMap<RequestId, OpenRequest>,
     customers: CustomerTable,
     counter: CounterCalls,
-    /// By plan.
+    /// Indexed by plan.
     fractional_shares: Vec<FractionalShares>,
     backends: BackendTable,
-    /// Where in the list of running backends, from 0 to 1, this gateway's subset begins.
+    /// Start of this gateway's subset in the list of running backends, as a fraction of the list.
     subset_start: f64,
     load: FleetLoad,
     latency: LatencyEstimate,
@@ -96,10 +97,10 @@
 }
 
 impl Gateway {
-    /// A gateway without backends or customers. `seed` feeds all its randomness.
+    /// Creates a gateway without backends or customers. All its random numbers are derived from `seed`.
     ///
     /// # Errors
-    /// Settings that no gateway can work with.
+    /// Returns an error if a setting is invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         Ok(Self {
@@ -121,7 +122,7 @@
         })
     }
 
-    /// Takes one event at `now` and appends the actions to be carried out, in order.
+    /// Handles one event at `now` and appends the actions that the caller must carry out, in order.
     pub fn handle_event(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -147,7 +148,7 @@
                 self.attempt_ended(&request, outcome);
             }
             Event::ClientGone { request } => self.close_request(&request),
-            Event::Timer { token } => self.handle_timeout(token),
+            Event::Timer { token } => self.handle_timer(token),
             Event::CounterResponse { counter, status, total, elapsed } => {
                 self.counter_response(counter, status, total, elapsed);
             }
@@ -155,8 +156,8 @@
         actions.append(&mut self.actions);
     }
 
-    /// A random number from 0 to 1.
-    fn draw(&mut self) -> f64 {
+    /// Returns a random number from 0 to 1.
+    fn random_fraction(&mut self) -> f64 {
         self.rng.f64()
     }
 }
--- a/src/policy/observation.rs
+++ b/src/policy/observation.rs
@@ -1,7 +1,7 @@
-//! Passive observation: what the end of an attempt shows of its backend and of all backends together.
+//! Passive health observation: statistics of each backend, and of all backends, from the attempts that end.
 //!
-//! Slow, failing and vanished backends all show in the attempts, whatever the cause, so no health checks are
-//! made.
+//! Attempts reveal slow, failing and unreachable backends, whatever the cause, so there are no active health
+//! checks.
 //!
 //! Inputs: the status of the attempt and the seconds since it was sent.
 
@@ -9,7 +9,7 @@
 use crate::interface::{BackendId, Status};
 
 impl Gateway {
-    /// Learns from the end of an attempt.
+    /// Updates the statistics with an attempt that ended.
     pub(super) fn observe_attempt(&mut self, id: &BackendId, status: Status, elapsed: f64) {
         let Some(index) = self.backends.find(id) else { return };
         let backend = &mut self.backends.all[index];
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,8 +1,9 @@
-//! Outlier ejection: when a backend gets no attempts for a while because those sent to it have failed.
+//! Outlier ejection: a backend whose attempts fail gets no further attempts for some time.
 //!
-//! [`EJECT_AFTER_FAILURES`] failures in a row eject a backend, a refused connection at once: its process is
-//! gone. Each further ejection is twice as long, until an attempt is served. No backend is ejected while many
-//! others are: failures at so many have a common cause, and the rest could not carry the load.
+//! A backend is ejected after [`EJECT_AFTER_FAILURES`] consecutive failures, or at once if it refuses a
+//! connection, which shows that its process is gone. Each further ejection is twice as long, until an attempt
+//! is served. No backend is ejected while many others are: failures at so many have a common cause, and the
+//! rest could not carry the load.
 //!
 //! Inputs: the status of each attempt, the seconds since it was sent, the connect timeout in seconds.
 
@@ -15,7 +16,7 @@
 use crate::interface::{Status, Time};
 
 impl Backend {
-    /// Counts a served or failed attempt; whether the backend is to be ejected.
+    /// Records a served or failed attempt. Returns whether the backend has to be ejected.
     pub(super) fn record_outcome(
         &mut self,
         now: Time,
@@ -25,10 +26,10 @@
     ) -> bool {
         match status {
             Status::Ok => self.record_success(now),
-            // One that rejects is running, and full. A timeout shows in the latency: in an overload all
-            // backends time out, and none is an outlier.
+            // A backend that rejects is running at full capacity. Timeouts raise the latency instead: in an
+            // overload all backends time out, and none is an outlier.
             Status::Rejected | Status::Timeout => {}
-            // A connection that does not come up in time may be slow, and counts once.
+            // Refused. A connect that times out may only be slow, so it counts as one failure below.
             Status::ConnectFailed if elapsed < REFUSED_CONNECT_FRACTION * connect_timeout => {
                 self.failures = EJECT_AFTER_FAILURES;
             }
@@ -41,7 +42,7 @@
 
     fn record_success(&mut self, now: Time) {
         if self.unreachable {
-            // It may have restarted before the list shows it, so it is treated as if in slow start.
+            // The backend may have restarted before the list shows it, so its slow start begins now.
             (self.started, self.unreachable) = (now, false);
         }
         (self.failures, self.next_ejection_seconds) = (0, INITIAL_EJECTION_SECONDS);
@@ -49,7 +50,7 @@
 }
 
 impl Gateway {
-    /// Ejects the backend with this index, unless too many are ejected.
+    /// Ejects the backend with this index, unless too many are ejected already.
     pub(super) fn eject(&mut self, index: usize) {
         let table = &mut self.backends;
         let ejected = table.running.iter().filter(|i| self.now < table.all[**i].ejected_until).count() as f64;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,10 +1,11 @@
-//! Quota: what pays for a request of a customer whose plan has a rate.
+//! Quota: how the units of a request are paid for, if the customer's plan has a rate.
 //!
-//! In this order: the lease; a call for a lease in flight or a new one; the fallback limit where no call can
-//! be made. A request beyond the quota is rejected at once with a Retry-After, unless the settings value it
-//! above its cost and there is capacity to spare. Under a ceiling it must also fit into the headroom.
+//! A request uses the first of these that is available: the lease; a call for a lease, in flight or new; the
+//! fallback limit if no call can be made. A request beyond the quota is rejected at once with a Retry-After,
+//! unless its weight in the plan exceeds its cost and there is spare capacity. Under a ceiling it must also
+//! fit into the headroom.
 //!
-//! Inputs: the plan, the units of the request, the customer's level as last known.
+//! Inputs: the plan, the units of the request, the customer's last known level.
 
 use super::Gateway;
 use super::customer::Customer;
@@ -13,19 +14,19 @@
 use super::window::Window;
 use crate::interface::{CustomerId, Plan, Reason, RequestId, Time};
 
-/// What pays for a request.
+/// Where the units of a request are taken from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Funding {
-    /// Units of the lease, which are on the count already.
+    /// The lease, whose units are on the count already.
     Lease,
-    /// The fallback limit; the units have to be reported to the count.
+    /// The fallback limit, whose units have yet to be added to the count.
     Fallback,
 }
 
 impl Customer {
-    /// Whether a recently known level shows that a call for a lease of `units` would come back empty. Where
-    /// the last lease was granted in part, all gateways wait until the refill is worth
-    /// a request for each, or half a burst.
+    /// Returns whether a recently known level shows that a call for a lease of `units` would be granted
+    /// nothing. If the last lease was granted in part, all gateways wait until the refill covers one request
+    /// for each of them, or half a burst.
     fn level_exhausted(&self, now: Time, plan: &Plan, units: f64) -> bool {
         let recent = self.level.filter(|level| now - level.at < LEVEL_REFRESH_SECONDS);
         let Some(mut level) = recent else { return false };
@@ -35,7 +36,7 @@
         level.refill(now, plan.rate, plan.burst) + self.lease + UNIT_TOLERANCE < needed
     }
 
-    /// Seconds until the lease and the level known cover a request of `units`.
+    /// Returns the seconds until the lease and the last known level cover a request of `units`.
     fn seconds_until_covered(&self, now: Time, plan: &Plan, units: f64) -> f64 {
         let level = self.level.map_or(0.0, |level| level.level + plan.rate * (now - level.at));
         (units - (self.lease + level)).max(0.0) / plan.rate
@@ -43,14 +44,14 @@
 }
 
 impl Gateway {
-    /// Admits a request by the quota, lets it wait for a lease, or rejects it.
+    /// Checks a request against the customer's quota: it is sent, waits for a lease, or is rejected.
     pub(super) fn admit(&mut self, id: &RequestId, plan: &Plan) {
         let request = &self.requests[id].request;
         let (units, customer_id) = (request.units, request.customer.clone());
         let call_allowed = self.counter.allows_call(self.now, units * plan.priority_weight);
-        let customer = self.customers.known(&customer_id);
+        let customer = self.customers.existing(&customer_id);
         if customer.lease_window != Window::at(self.now, &customer_id, plan).index {
-            customer.lease = 0.0; // It expires with its window.
+            customer.lease = 0.0; // A lease expires with its window.
         }
         if customer.lease >= units {
             return self.spend(id, units, Funding::Lease);
@@ -73,21 +74,21 @@
         self.admit_by_fallback(id, plan);
     }
 
-    /// Calls for a lease. The request waits for it, but the first one of a customer is admitted by the
-    /// fallback limit where that covers it.
+    /// Calls the counter for a lease. The request waits for it, unless the customer's level is not known yet
+    /// and the fallback limit covers the request.
     fn admit_by_new_lease(&mut self, id: &RequestId, customer_id: &CustomerId, plan: &Plan, units: f64) {
-        let customer = self.customers.known(customer_id);
+        let customer = self.customers.existing(customer_id);
         let unknown_level = customer.level.is_none() && !is_fractional(plan, customer.instances, units);
         customer.waiting.push_back(id.clone());
         self.request_lease(customer_id, plan);
         if unknown_level && self.fallback_covers(customer_id, plan, units) {
-            let customer = self.customers.known(customer_id);
+            let customer = self.customers.existing(customer_id);
             customer.waiting.pop_back();
             self.spend(id, units, Funding::Fallback);
         }
     }
 
-    /// Admits a request by the fallback limit, or treats it as beyond the quota.
+    /// Admits a request if the fallback limit covers it; otherwise it is beyond the quota.
     pub(super) fn admit_by_fallback(&mut self, id: &RequestId, plan: &Plan) {
         let request = &self.requests[id].request;
         let (units, customer_id) = (request.units, request.customer.clone());
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Rejects a request beyond the quota, or sends it where it is worth more than it costs.
+    /// Rejects a request beyond the quota, or sends it if its weight exceeds its cost and capacity is spare.
     pub(super) fn over_quota(&mut self, id: &RequestId, plan: &Plan) {
         let request = &self.requests[id].request;
         let (units, customer_id) = (request.units, request.customer.clone());
@@ -106,7 +107,7 @@
         let admitted = worthwhile
             && self.has_capacity(SPARE_CAPACITY_FRACTION)
             && (plan.ceiling_rate <= 0.0 || self.ceiling_covers(&customer_id, plan, units));
-        let customer = self.customers.known(&customer_id);
+        let customer = self.customers.existing(&customer_id);
         if admitted {
             customer.ceiling_headroom.take(units);
             self.send_first_attempt(id);
@@ -116,12 +117,13 @@
         }
     }
 
-    /// Pays for a request and sends its first attempt, unless the customer has too many attempts in flight.
+    /// Charges a request and sends its first attempt, or rejects it if the customer has too many attempts in
+    /// flight.
     pub(super) fn spend(&mut self, id: &RequestId, units: f64, funding: Funding) {
         let request = &self.requests[id].request;
         let plan = &self.settings.plans[request.plan];
         let failing = self.counter.is_failing() || self.counter.is_unavailable(self.now);
-        let customer = self.customers.known(&request.customer);
+        let customer = self.customers.existing(&request.customer);
         match funding {
             Funding::Lease => customer.lease -= units,
             Funding::Fallback => {
@@ -136,12 +138,12 @@
         if plan.ceiling_rate > 0.0 {
             customer.ceiling_headroom.take(units);
         }
-        // Each gateway has an even share of the attempts that the plan allows in flight, of one at least.
+        // Each gateway gets an even share of the attempts that the plan allows in flight, but at least one.
         let max_concurrent = (plan.max_concurrent / customer.instances).max(1);
         if plan.max_concurrent == 0 || customer.attempts_in_flight < max_concurrent {
             self.send_first_attempt(id);
         } else {
-            // Not sent. Whatever paid for it, the units are or will be on the count, so they are leased now.
+            // Not sent. The units are on the count or will be added to it, so they go to the lease.
             customer.lease += units;
             self.respond_locally(id, self.latency.mean, Reason::ConcurrencyLimit);
         }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,15 +1,15 @@
-//! A request that is open, and its attempts.
+//! Open requests and their attempts.
 
 use crate::interface::{Request, Time};
 
-/// Whether an attempt was executed by its backend, as far as is known.
+/// What is known about the execution of an attempt by its backend.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Execution {
-    /// It is in flight.
+    /// The attempt is in flight.
     InFlight,
-    /// It ended and was certainly not executed.
+    /// The attempt ended and was certainly not executed.
     NotExecuted,
-    /// It ended and may have been executed.
+    /// The attempt ended and may have been executed.
     MayHaveExecuted,
 }
 
@@ -28,24 +28,23 @@
     pub(super) request: Request,
     pub(super) arrived: Time,
     pub(super) attempts: Vec<Attempt>,
-    /// It has its response, or its client is gone.
+    /// The request has its response, or its client has disconnected.
     pub(super) closed: bool,
-    /// Its response has begun.
+    /// The response has begun.
     pub(super) streaming: bool,
 }
 
 impl OpenRequest {
-    /// A request that arrived at `now`.
+    /// Creates the record of a request that arrived at `now`.
     pub(super) fn new(request: Request, now: Time) -> Self {
         Self { request, arrived: now, attempts: Vec::new(), closed: false, streaming: false }
     }
 
-    /// How many attempts are in flight.
     pub(super) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count()
     }
 
-    /// Whether no attempt was or may be executed. Also false while one is in flight.
+    /// Returns whether certainly no attempt was executed; false while one is in flight.
     pub(super) fn never_executed(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.execution == Execution::NotExecuted)
     }
--- a/src/policy/response.rs
+++ b/src/policy/response.rs
@@ -1,10 +1,8 @@
-//! The response of the gateway itself: a rejection or a failure, once for each request.
+//! Responses of the gateway itself: a rejection or a failure, at most one per request.
 //!
-//! A request is rejected where a retry by the client is known to do no harm, and fails otherwise: the client
-//! must then assume that it may have been executed.
-//!
-//! So the same reason, say [`Reason::AttemptsFailed`], rejects an idempotent request and fails a
-//! non-idempotent one.
+//! A request is rejected if a retry by the client is known to be safe. Otherwise it fails, and the client
+//! must assume that the request may have been executed. The same reason, for example
+//! [`Reason::AttemptsFailed`], thus rejects an idempotent request but fails a non-idempotent one.
 //!
 //! Inputs: the idempotency of the request's class, the state of its attempts, the longest Retry-After in
 //! seconds.
@@ -14,8 +12,8 @@
 use crate::interface::{Action, DedupScope, Idempotency, Reason, RequestId};
 
 impl Gateway {
-    /// Responds to a request without a backend's response. `retry_after` is in seconds; it goes with a
-    /// rejection, within the bounds of the settings. Nothing happens for a request that is closed.
+    /// Rejects or fails a request and closes it. `retry_after`, in seconds, is sent with a rejection and
+    /// bounded by the settings. A closed request is ignored.
     pub(super) fn respond_locally(&mut self, id: &RequestId, retry_after: f64, reason: Reason) {
         let Some(open) = self.requests.get(id).filter(|open| !open.closed) else { return };
         if self.safe_to_retry(open) {
@@ -28,7 +26,7 @@
         self.close_request(id);
     }
 
-    /// Whether a retry by the client cannot take effect twice, wherever it goes.
+    /// Returns whether a retry by the client cannot take effect twice, whichever backend it is sent to.
     fn safe_to_retry(&self, open: &OpenRequest) -> bool {
         match self.settings.classes.get(open.request.class).map(|class| class.idempotency) {
             Some(Idempotency::NonIdempotent) => open.never_executed(),
@@ -37,7 +35,7 @@
         }
     }
 
-    /// Closes a request; it is remembered only while attempts are in flight.
+    /// Closes a request. Its record is kept only while attempts are in flight.
     pub(super) fn close_request(&mut self, id: &RequestId) {
         if let Some(open) = self.requests.get_mut(id) {
             open.closed = true;
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,11 +1,11 @@
-//! The retry budget: how many retries and hedged requests may be sent beside the first attempts.
+//! The retry budget: how many retries and hedged requests may be sent in addition to the first attempts.
 //!
-//! Each first attempt earns [`RETRIES_PER_REQUEST`]; a retry or a hedged request costs one. When many
-//! attempts fail, the retries stay a small fraction of the load and do not feed an overload.
+//! Each first attempt adds [`RETRIES_PER_REQUEST`] to the budget; a retry or a hedged request takes 1. So
+//! when many attempts fail, retries stay a small fraction of the load and do not amplify an overload.
 
 use super::tuning::{MAX_RETRY_BUDGET, RETRIES_PER_REQUEST};
 
-/// Retries and hedged requests that may be sent.
+/// The number of retries and hedged requests that may be sent now.
 #[derive(Debug)]
 pub(super) struct RetryBudget(f64);
 
@@ -16,17 +16,17 @@
 }
 
 impl RetryBudget {
-    /// Credits the first attempt of a request.
+    /// Adds the credit of a first attempt.
     pub(super) fn deposit(&mut self) {
         self.0 = (self.0 + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
-    /// Whether one more may be sent.
+    /// Returns whether one more retry or hedged request may be sent.
     pub(super) fn allows_one(&self) -> bool {
         self.0 >= 1.0
     }
 
-    /// Debits one that was sent.
+    /// Deducts a retry or hedged request that was sent.
     pub(super) fn withdraw(&mut self) {
         self.0 -= 1.0;
     }
--- a/src/policy/retry_scope.rs
+++ b/src/policy/retry_scope.rs
@@ -1,20 +1,20 @@
-//! Retry safety: whether a request may be attempted again, where and until when.
+//! Retry safety: whether a request may be attempted again, at which backends, and until when.
 //!
-//! An attempt that may have been executed is repeated only where the repeat cannot take effect twice: an
-//! idempotent request anywhere, a keyed one at the backends that deduplicate it and before they forget the
-//! key, any other one nowhere.
+//! An attempt that may have been executed is repeated only if the request cannot take effect twice. An
+//! idempotent request may be repeated at any backend. A keyed request may be repeated at the backends that
+//! deduplicate it, before they discard the key. Any other request is not repeated.
 //!
-//! Inputs: the idempotency of the request's class, its window in seconds, the attempts so far.
+//! Inputs: the idempotency of the request's class, its deduplication window in seconds, the attempts so far.
 
 use super::Gateway;
 use super::backend::Backend;
 use super::request::{Execution, OpenRequest};
 use crate::interface::{DedupScope, Idempotency};
 
-/// Where an attempt may go.
+/// The backends that an attempt may be sent to, and until when.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RetryScope {
-    /// Seconds within which the attempt must have been sent; infinity: no matter when.
+    /// Seconds within which the attempt must have been sent; infinity means no limit.
     pub(super) start_within: f64,
     dedup: DedupScope,
     zone: u32,
@@ -25,7 +25,7 @@
     /// Any backend, at any time.
     const ANYWHERE: Self = Self { start_within: f64::INFINITY, dedup: DedupScope::All, zone: 0, cell: 0 };
 
-    /// Whether the attempt may go to this backend.
+    /// Returns whether the attempt may be sent to this backend.
     pub(super) fn includes(&self, backend: &Backend) -> bool {
         match self.dedup {
             DedupScope::All => true,
@@ -36,7 +36,7 @@
 }
 
 impl Gateway {
-    /// Where the next attempt of a request may go; `None`: none is allowed.
+    /// Returns the scope of the next attempt of a request, or `None` if none is allowed.
     pub(super) fn retry_scope(&self, open: &OpenRequest) -> Option<RetryScope> {
         if open.attempts_in_flight() > 0 && !self.settings.hedging {
             return None;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,12 +1,13 @@
-//! Backend selection: which backend an attempt goes to.
+//! Backend selection: which backend an attempt is sent to.
 //!
-//! The backend with the lowest score wins: attempts in flight there, weighted by how much slower it is than
-//! the mean. The gateway's subset comes first, from a random place in it; other backends only where none of
-//! the subset may be sent to. Ejected backends, those outside the retry scope, those tried before and those
-//! whose slow-start budget is spent are passed over.
+//! The backend with the lowest score is chosen. The score is the number of attempts in flight there,
+//! weighted by how much slower the backend is than the mean. The search covers the gateway's subset first,
+//! from a random position in it; other backends are considered only if none of the subset is available.
+//! Backends are skipped if they are ejected, outside the retry scope, already tried, or have used up their
+//! slow-start budget.
 //!
-//! Inputs: for each backend the attempts in flight, the mean latency (seconds) and the time since it was
-//! observed.
+//! Inputs: for each backend the attempts in flight, the mean latency (seconds) and the time since its latency
+//! was last observed.
 
 use super::Gateway;
 use super::backend::Backend;
@@ -14,12 +15,12 @@
 use super::retry_scope::RetryScope;
 use super::tuning::{MIN_LATENCY_SECONDS, OBSERVATION_MEMORY_SECONDS, SLOW_BACKEND_FACTOR};
 
-/// Where an attempt goes.
+/// The backend that an attempt is sent to.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Placement {
     /// Index of the backend.
     pub(super) backend: usize,
-    /// Seconds within which the attempt must have been sent; infinity: no matter when.
+    /// Seconds within which the attempt must have been sent; infinity means no limit.
     pub(super) start_within: f64,
 }
 
@@ -30,14 +31,14 @@
     backend: usize,
 }
 
-/// The least score: no attempt in flight at a backend that is not slow.
-const LEAST_SCORE: f64 = 1.0;
-/// Relative error of a score by rounding.
+/// Minimum score: that of a backend that is not slow and has no attempt in flight.
+const MIN_SCORE: f64 = 1.0;
+/// Relative rounding error of a score.
 const SCORE_TOLERANCE: f64 = 1e-9;
 
 impl Gateway {
-    /// The backend for the next attempt of a request; `None`: no attempt is allowed, or no backend may be
-    /// sent to.
+    /// Returns the backend for the next attempt of a request, or `None` if no attempt is allowed or no
+    /// backend is available.
     pub(super) fn choose_backend(&mut self, open: &OpenRequest) -> Option<Placement> {
         let scope = self.retry_scope(open)?;
         let order = self.search_order();
@@ -45,13 +46,13 @@
         for step in 0..order.running {
             let in_subset = step < order.subset;
             let best_score = best.map_or(f64::INFINITY, |candidate| candidate.score);
-            if best_score <= LEAST_SCORE || !in_subset && best.is_some() {
+            if best_score <= MIN_SCORE || !in_subset && best.is_some() {
                 break;
             }
-            let index = self.backends.running[order.place(step)];
+            let index = self.backends.running[order.position(step)];
             let backend = &self.backends.all[index];
-            // A score is no less than this: most backends are passed over here.
-            if LEAST_SCORE + backend.in_flight >= best_score || !self.is_eligible(index, open, &scope) {
+            // Lower bound of the score; it skips most backends without computing their score.
+            if MIN_SCORE + backend.in_flight >= best_score || !self.is_eligible(index, open, &scope) {
                 continue;
             }
             let score = self.score(backend, best_score);
@@ -63,7 +64,8 @@
         best.map(|candidate| Placement { backend: candidate.backend, start_within: scope.start_within })
     }
 
-    /// Whether the backend with this index is not ejected, is in the retry scope, and was not tried before.
+    /// Returns whether the backend with this index is not ejected, is in the retry scope, and was not tried
+    /// before.
     fn is_eligible(&self, index: usize, open: &OpenRequest, scope: &RetryScope) -> bool {
         let backend = &self.backends.all[index];
         self.now >= backend.ejected_until
@@ -71,17 +73,18 @@
             && open.attempts.iter().all(|attempt| attempt.backend != index)
     }
 
-    /// How loaded a backend is. Slow ones score higher, by observations that fade with time; fast ones are
-    /// not told apart. Infinity may stand for a score that is not below `best_score`.
+    /// Returns the load score of a backend. Slow backends score higher, by an amount that fades as the
+    /// observation of their latency ages; fast backends are not distinguished. The result may be infinity if
+    /// the score is not below `best_score`.
     fn score(&self, backend: &Backend, best_score: f64) -> f64 {
-        let attempts = LEAST_SCORE + backend.in_flight;
+        let attempts = MIN_SCORE + backend.in_flight;
         let slowness =
             backend.latency / self.latency.mean.max(MIN_LATENCY_SECONDS) * SLOW_BACKEND_FACTOR - 1.0;
         if slowness <= 0.0 {
             return attempts;
         }
         let age = (self.now - backend.last_observed) / OBSERVATION_MEMORY_SECONDS;
-        // exp(-age) is no less than 1 - age, which saves the exponential for most backends.
+        // As exp(-age) >= 1 - age, this bound avoids computing the exponential for most backends.
         if attempts * (slowness * (1.0 - age) + 1.0) > best_score * (1.0 + SCORE_TOLERANCE) {
             return f64::INFINITY;
         }
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -1,16 +1,16 @@
-//! Settlement: what the total of a count grants, and what is corrected on the count.
+//! Settlement: how much of a requested lease the total of a count grants, and how the count is corrected.
 //!
 //! In each window the count may grow to the burst plus what the rate has refilled since the window began.
-//! Four rules apply to the total of a call for a lease, in this order:
-//! 1. *Reset*: the gateway that finds a count at nothing is the first in its window, or the counter has lost
-//!    its data. What was known of the level before then bounds what remains.
-//! 2. *Grant*: whole units, as far as they remain; what was requested beyond that is taken back.
+//! Four rules apply to the total that a call for a lease returns, in this order:
+//! 1. *Reset*: a count that was at 0 before the call is either new in its window, or the counter has lost its
+//!    data. The level known before then bounds what remains.
+//! 2. *Grant*: whole units are granted, as far as they remain; units requested beyond that are taken back.
 //! 3. *Fallback*: the fallback limit is set to this gateway's share of what is left.
-//! 4. *Correction*: what was not granted comes off the count; what expires, as the bucket is full, is added
-//!    to it.
+//! 4. *Correction*: units that were not granted are subtracted from the count; units that expire because the
+//!    bucket is full are added to it.
 //!
 //! The first call in a window is followed by a read of the previous window's count, whose total shows exactly
-//! what the new window has to carry over. Quantities are quota units, times are in seconds.
+//! how many used units the new window has to carry over. Quantities are quota units, times are in seconds.
 
 use super::Gateway;
 use super::count_reading::CountReading;
@@ -28,23 +28,24 @@
 
 /// What a settlement depends on besides the call and its total.
 #[derive(Debug, Clone, Copy)]
-struct Conditions<'a> {
+struct SettlementContext<'a> {
     now: Time,
     plan: &'a Plan,
-    /// The counter is or was recently unavailable: what others spent meanwhile is not on the count yet.
+    /// The counter is or was recently unavailable: units that other gateways spent meanwhile are not on the
+    /// count yet.
     unavailable: bool,
-    /// Seconds after which a lost count that is not restored yet is restored by this gateway.
+    /// Seconds after which this gateway restores a lost count that no gateway has restored yet.
     restore_after_seconds: f64,
     /// Largest number of units of a request.
     max_request_units: f64,
 }
 
-/// The calls that follow a settlement.
+/// The calls to make after a settlement.
 #[derive(Debug, Clone, Copy)]
 struct FollowUp {
     /// Units to add to the count, mostly negative.
     correction: f64,
-    /// The previous window's count is to be read.
+    /// The previous window's count has to be read.
     reads_previous: bool,
 }
 
@@ -53,19 +54,19 @@
 struct Grant {
     /// Units leased.
     granted: f64,
-    /// Units that remain on the count.
+    /// Units that remain of the quota.
     level: f64,
-    /// Units to add to the count, mostly negative: what was requested and not granted.
+    /// Units to add to the count, mostly negative: those requested but not granted are subtracted.
     correction: f64,
 }
 
 impl Grant {
-    /// Grants what `call` has requested out of the `remaining` units.
+    /// Grants the units that `call` has requested, as far as they are covered by the `remaining` ones.
     fn new(call: &Call, lease: LeaseRequest, remaining: f64, plan: &Plan) -> Self {
         let LeaseRequest { requested, uncounted } = lease;
         let granted = requested.min((remaining - uncounted + UNIT_TOLERANCE).floor().max(0.0));
-        // The rest is the estimate for fractional shares. It may take the level below nothing, by a burst at
-        // most, so that the lease which reports it does not pay for it.
+        // The rest is the estimate for fractional shares. It may lower the level below 0, by a burst at most,
+        // so that the lease whose call reports it is not charged for it.
         let estimate = call.amount - requested - uncounted;
         let available = remaining - uncounted - granted + plan.burst;
         let counted = estimate.min(available.max(0.0));
@@ -84,15 +85,16 @@
         call: &Call,
         lease: LeaseRequest,
         total: f64,
-        conditions: &Conditions<'_>,
+        context: &SettlementContext<'_>,
     ) -> FollowUp {
-        let Conditions { now, plan, unavailable, .. } = *conditions;
+        let SettlementContext { now, plan, unavailable, .. } = *context;
         let reading = CountReading::new(call, total, plan, now, &self.count);
-        // The gateway's own uncounted units come off before anything expires; others report theirs later.
+        // The gateway's own uncounted units are subtracted before any units expire; other gateways report
+        // theirs later.
         let own_uncounted = if unavailable { lease.uncounted + self.uncounted.units.max(0.0) } else { 0.0 };
         let unexpired = reading.remaining.min(plan.burst + own_uncounted);
-        let remaining = self.reconcile(&reading, unexpired, conditions);
-        let restores = self.count.decide_restore(&reading, now, conditions.restore_after_seconds);
+        let remaining = self.reconcile(&reading, unexpired, context);
+        let restores = self.count.decide_restore(&reading, now, context.restore_after_seconds);
 
         let grant = Grant::new(call, lease, remaining, plan);
         self.lease += grant.granted;
@@ -102,14 +104,14 @@
         self.refill_fallback(now, plan);
         if unavailable {
             self.cap_fallback(grant.level + lease.uncounted - own_uncounted);
-        } else if !is_fractional(plan, self.instances, conditions.max_request_units) {
+        } else if !is_fractional(plan, self.instances, context.max_request_units) {
             self.set_fallback(grant.level);
         }
 
         let mut correction = grant.correction;
         let expired = reading.remaining - if restores { remaining } else { unexpired };
-        // Exact where others rely on it: at the start of a window, and while uncounted units are still to
-        // come off.
+        // No slack where other gateways rely on the exact count: at the start of a window, and while
+        // uncounted units are still to be subtracted.
         let slack = if reading.first || unavailable { 0.0 } else { EXPIRY_SLACK_FRACTION * plan.burst };
         if expired > slack || restores {
             correction += expired;
@@ -119,17 +121,18 @@
         FollowUp { correction, reads_previous: reading.first && !reading.reset && call.window > 0 }
     }
 
-    /// Rule 1: the units that remain, of which the count shows `remaining`. Where the count began anew they
-    /// are bounded by the level known before.
-    fn reconcile(&mut self, reading: &CountReading, remaining: f64, conditions: &Conditions<'_>) -> f64 {
-        let Conditions { now, plan, unavailable, .. } = *conditions;
+    /// Applies rule 1 and returns the units that remain. These are the `remaining` units that the count
+    /// shows, bounded by the previously known level if the count is new or was reset.
+    fn reconcile(&mut self, reading: &CountReading, remaining: f64, context: &SettlementContext<'_>) -> f64 {
+        let SettlementContext { now, plan, unavailable, .. } = *context;
         let max_age = reading.window_age.max(LEVEL_REFRESH_SECONDS);
         let known = self.level.filter(|level| now - level.at < max_age);
         let Some(mut known) = known.filter(|_| reading.first || reading.reset) else { return remaining };
         let at_last_call = known.level;
         let refilled = known.refill(now, plan.rate, plan.burst);
         let bound = if reading.reset {
-            // Others have used what was refilled since; after an outage they will report it.
+            // Units refilled since the last call are assumed to be used by other gateways. After an outage
+            // those gateways will report what they used.
             let level = if unavailable { refilled } else { at_last_call };
             level.min(reading.remaining - reading.lost)
         } else {
@@ -142,7 +145,7 @@
 }
 
 impl Gateway {
-    /// Settles the total that a call has returned.
+    /// Applies the total that a call has returned, according to the purpose of the call.
     pub(super) fn apply_total(&mut self, call: &Call, total: f64, plan: &Plan) {
         match call.purpose {
             Purpose::Lease(lease) => self.settle_lease(call, lease, total, plan),
@@ -152,14 +155,14 @@
     }
 
     fn settle_lease(&mut self, call: &Call, lease: LeaseRequest, total: f64, plan: &Plan) {
-        let conditions = Conditions {
+        let context = SettlementContext {
             now: self.now,
             plan,
             unavailable: self.counter_unavailable(),
             restore_after_seconds: RESTORE_AFTER_TIMEOUTS * self.settings.counter_timeout,
             max_request_units: self.settings.max_request_units.max(1.0),
         };
-        let follow_up = self.customers.known(&call.customer).settle(call, lease, total, &conditions);
+        let follow_up = self.customers.existing(&call.customer).settle(call, lease, total, &context);
         if follow_up.correction.abs() > UNIT_TOLERANCE {
             self.add_to_count(&call.customer, call.window, follow_up.correction, Purpose::Correct, plan);
         }
@@ -168,18 +171,18 @@
         }
     }
 
-    /// Carries over to the present window what the previous one has used up of the burst.
+    /// Carries over to the current window the part of the burst that was used up in the previous one.
     fn carry_over(&mut self, call: &Call, total: f64, plan: &Plan) {
         let window = Window::at(self.now, &call.customer, plan);
         if call.window + 1 != window.index {
             return;
         }
-        let customer = self.customers.known(&call.customer);
+        let customer = self.customers.existing(&call.customer);
         let carryover = if total - call.amount > UNIT_TOLERANCE {
             let remaining_at_turn = plan.burst + plan.rate * window_seconds(plan) - total;
             plan.burst - (remaining_at_turn + plan.rate * window.age).min(plan.burst)
         } else {
-            // The counter has lost the previous count: what this gateway knows is all there is.
+            // The counter has lost the previous count; only this gateway's own estimate is left.
             customer.count.carryover
         };
         if let Some(level) = &mut customer.level {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,11 +1,11 @@
-//! Slow start: how much a backend may be sent while it warms up.
+//! Slow start: how many units a backend may be sent while it warms up.
 //!
-//! A backend in slow start has a token bucket of units. Its rate follows from what backends carry on average,
-//! the capacity that a backend of its age surely has, and the multiple of that at which it would be
-//! overloaded. As every gateway derives the budget from its own part of the load, the sum over all of them
-//! stays under the multiple.
+//! A backend in slow start has a token bucket of units. The rate of the bucket is derived from the mean load
+//! per backend, the guaranteed capacity of a backend of its age, and the multiple of that capacity at which
+//! it would be overloaded. As each gateway derives the budget from its own part of the load, the sum over
+//! all gateways stays below that multiple.
 //!
-//! Inputs: units sent, the age of the backend in seconds, the settings' slow-start figures.
+//! Inputs: units sent, the age of the backend in seconds, the slow-start parameters in the settings.
 
 use super::Gateway;
 use super::token_bucket::{DecayingPeak, DecayingSum};
@@ -14,7 +14,7 @@
 };
 use crate::interface::{Settings, Time};
 
-/// The recent load of this gateway, which the budgets of backends in slow start are derived from.
+/// The recent load of this gateway, from which the budgets of backends in slow start are derived.
 #[derive(Debug, Default)]
 pub(super) struct FleetLoad {
     sent_units: DecayingSum,
@@ -23,34 +23,36 @@
 }
 
 impl FleetLoad {
-    /// Counts the units of an attempt.
+    /// Adds the units of an attempt to the recent load.
     pub(super) fn record_sent(&mut self, now: Time, units: f64) {
         self.sent_units.add(now, units, RATE_MEMORY_SECONDS);
     }
 
-    /// Units a second at the recent peak: when requests are rejected the rate falls, and budgets must not
-    /// fall with it.
+    /// Returns the units per second at the recent peak. The peak is used because the rate falls when requests
+    /// are rejected, and budgets must not fall with it.
     fn peak_rate(&mut self, now: Time) -> f64 {
         self.peak_rate.observe(now, self.sent_units.sum / RATE_MEMORY_SECONDS, PEAK_MEMORY_SECONDS)
     }
 
-    /// The running backends as a fraction of their recent peak. Guards against a list that shrinks while
-    /// backends restart: those that remain carry more, and one in slow start can do no more than before.
+    /// Returns the number of running backends as a fraction of its recent peak. When the list shrinks while
+    /// backends restart, each remaining one carries more load; this fraction keeps the budget of a backend in
+    /// slow start, whose capacity is unchanged, from rising with it.
     fn running_fraction(&mut self, now: Time, running: usize) -> f64 {
         let running = running as f64;
         running / self.peak_running.observe(now, running, PEAK_MEMORY_SECONDS)
     }
 }
 
-/// The fraction of its full capacity that a backend surely has `age` seconds after its start.
+/// Returns the fraction of its full capacity that a backend is guaranteed to have `age` seconds after its
+/// start.
 fn warm_up_fraction(settings: &Settings, age: f64) -> f64 {
     settings.slow_start_min_capacity
         + (1.0 - settings.slow_start_min_capacity) * (age / settings.slow_start_seconds).max(0.0)
 }
 
-/// The level of a bucket for single units that was refilled without a bound: one unit at most, which
-/// expires `lifetime` seconds after it came due. Guards against units that all gateways save while their
-/// traffic is low and spend together as it rises.
+/// Returns the level of a bucket for single units that was refilled without a bound: at most one unit, which
+/// expires `lifetime` seconds after it became available. Without the expiry all gateways would save units
+/// while their traffic is low and spend them together as it rises.
 fn unexpired_level(level: f64, rate: f64, lifetime: f64) -> f64 {
     if level < 1.0 {
         return level;
@@ -60,11 +62,12 @@
 }
 
 impl Gateway {
-    /// Units that the backend with this index may be sent now; infinity for one that is warmed up.
-    /// `candidates` is the number of backends that this gateway's load is spread over.
+    /// Returns the units that the backend with this index may be sent now, or infinity if it is warmed up.
+    /// `candidates` is the number of backends over which this gateway's load is spread.
     pub(super) fn slow_start_budget(&mut self, index: usize, candidates: usize) -> f64 {
         let running = self.backends.running.len();
-        // The peaks are observed for warmed-up backends too, or they would fade while none is in slow start.
+        // The peaks are updated for warmed-up backends too; otherwise they would decay while no backend is in
+        // slow start.
         let mean_rate =
             self.load.peak_rate(self.now) / candidates as f64 * self.load.running_fraction(self.now, running);
         let settings = &self.settings;
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of a gateway: what each is set for, by the token that comes back when it is due.
+//! Timers of a gateway, identified by the token that comes back when the timer is due.
 
 use super::Gateway;
 use super::tuning::IDLE_CUSTOMER_SECONDS;
@@ -8,12 +8,12 @@
 /// What a timer is set for.
 #[derive(Debug, Clone)]
 pub(super) enum Timer {
-    /// Requests have waited long enough for a lease of this customer.
+    /// Ends the wait for a lease of this customer.
     LeaseWait(CustomerId),
-    /// A hedged request may be sent for this request.
+    /// Sends a hedged request for this request if it is still needed.
     Hedge(RequestId),
-    /// Idle customers are forgotten.
-    Sweep,
+    /// Removes idle customers.
+    RemoveIdle,
 }
 
 /// The timers that are set.
@@ -24,7 +24,7 @@
 }
 
 impl Timers {
-    /// A token that no other timer or call has.
+    /// Returns a token that no other timer or pending call has.
     pub(super) fn next_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
@@ -40,18 +40,18 @@
         token
     }
 
-    /// Does what the timer was set for; an unknown token is ignored.
-    pub(super) fn handle_timeout(&mut self, token: u64) {
+    /// Runs the action of a timer that is due; an unknown token is ignored.
+    pub(super) fn handle_timer(&mut self, token: u64) {
         match self.timers.set.remove(&token) {
             Some(Timer::LeaseWait(customer)) => self.end_lease_wait(&customer, token),
             Some(Timer::Hedge(request)) => self.send_hedge(&request),
-            Some(Timer::Sweep) => self.forget_idle_customers(),
+            Some(Timer::RemoveIdle) => self.remove_idle_customers(),
             None => {}
         }
     }
 
-    fn forget_idle_customers(&mut self) {
-        self.customers.forget_idle(self.now, IDLE_CUSTOMER_SECONDS);
-        self.set_timer(self.now + IDLE_CUSTOMER_SECONDS, Timer::Sweep);
+    fn remove_idle_customers(&mut self) {
+        self.customers.remove_idle(self.now, IDLE_CUSTOMER_SECONDS);
+        self.set_timer(self.now + IDLE_CUSTOMER_SECONDS, Timer::RemoveIdle);
     }
 }
--- a/src/policy/token_bucket.rs
+++ b/src/policy/token_bucket.rs
@@ -1,10 +1,10 @@
-//! Quantities that change by themselves as time passes: token buckets and decaying measures.
+//! Quantities that change with time: token buckets and exponentially decaying sums and peaks.
 //!
 //! Times are seconds on the caller's clock; rates are per second.
 
 use crate::interface::Time;
 
-/// A token bucket: `level` tokens at the time `at`.
+/// A token bucket that held `level` tokens at the time `at`.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct TokenBucket {
     pub(super) level: f64,
@@ -12,20 +12,20 @@
 }
 
 impl TokenBucket {
-    /// Adds what `rate` has refilled since the last call, up to `burst`, and returns the level at `now`.
+    /// Refills the bucket at `rate` since the last call, up to `burst`, and returns the level at `now`.
     pub(super) fn refill(&mut self, now: Time, rate: f64, burst: f64) -> f64 {
         self.level = (self.level + rate * (now - self.at)).min(burst);
         self.at = now;
         self.level
     }
 
-    /// Takes `units` out of the bucket; its level does not fall below 0.
+    /// Takes `units` from the bucket, but does not lower its level below 0.
     pub(super) fn take(&mut self, units: f64) {
         self.level = (self.level - units).max(0.0);
     }
 }
 
-/// A sum whose terms fade exponentially; divided by its memory it is the recent rate per second.
+/// An exponentially decaying sum. Divided by its time constant it is the recent rate per second.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DecayingSum {
     pub(super) sum: f64,
@@ -33,14 +33,14 @@
 }
 
 impl DecayingSum {
-    /// Adds `units` at `now`; after `memory` seconds a fraction 1/e of a term is left.
+    /// Adds `units` at `now`. `memory` is the time constant in seconds, after which 1/e of a term is left.
     pub(super) fn add(&mut self, now: Time, units: f64, memory: f64) {
         self.sum = self.sum * (-(now - self.at) / memory).exp() + units;
         self.at = now;
     }
 }
 
-/// The largest recent value, fading exponentially.
+/// An exponentially decaying maximum.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DecayingPeak {
     peak: f64,
@@ -48,8 +48,8 @@
 }
 
 impl DecayingPeak {
-    /// Takes a value into account and returns the peak at `now`; after `memory` seconds 1/e of an old peak is
-    /// left.
+    /// Updates the peak with `value` and returns the peak at `now`. `memory` is the time constant in seconds,
+    /// after which 1/e of an old peak is left.
     pub(super) fn observe(&mut self, now: Time, value: f64, memory: f64) -> f64 {
         self.peak = (self.peak * (-(now - self.at) / memory).exp()).max(value);
         self.at = now;
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -1,8 +1,8 @@
-//! The windows of a customer's count, and the names that counts go by.
+//! The windows of a customer's count, and the names of counts.
 //!
-//! A count is kept for one window, and begins at nothing in the next. A window is a few times as long as the
-//! rate takes to refill the burst. Each customer's windows begin at a phase of its own, so that the fleet's
-//! calls do not coincide.
+//! Each window has a count of its own, which starts at 0. A window is a few times as long as the rate takes
+//! to refill the burst. The windows of each customer have a phase of their own, so that the calls of the
+//! fleet at the start of a window do not coincide.
 
 use super::stable_hash::{hash_fraction, stable_hash};
 use super::tuning::{
@@ -10,17 +10,17 @@
 };
 use crate::interface::{CustomerId, Plan, Time};
 
-/// A window of a customer's count, at some instant.
+/// The window of a customer's count that contains a given time.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Window {
-    /// Its number since the origin of time.
+    /// Its number, counted from time 0.
     pub(super) index: u64,
     /// Seconds since it began.
     pub(super) age: f64,
 }
 
 impl Window {
-    /// The window of a customer at `now`.
+    /// Returns the window of a customer at `now`.
     pub(super) fn at(now: Time, customer: &CustomerId, plan: &Plan) -> Self {
         let length = window_seconds(plan);
         let windows = (now / length + phase(customer)).max(0.0);
@@ -28,22 +28,22 @@
     }
 }
 
-/// The length of a plan's windows, in seconds.
+/// Returns the length of a plan's windows, in seconds.
 pub(super) fn window_seconds(plan: &Plan) -> f64 {
     (WINDOW_REFILLS * plan.burst / plan.rate).clamp(MIN_WINDOW_SECONDS, MAX_WINDOW_SECONDS)
 }
 
-/// Seconds after its first call for which a count is kept.
+/// Returns the time to live of a count, in seconds after its first call.
 pub(super) fn count_ttl(plan: &Plan) -> f64 {
     (COUNT_TTL_WINDOWS * window_seconds(plan)).min(MAX_COUNT_TTL_SECONDS)
 }
 
-/// A customer's own phase, from 0 to 1, the same at every gateway.
+/// Returns the phase of a customer, from 0 to 1; it is the same at every gateway.
 pub(super) fn phase(customer: &CustomerId) -> f64 {
     hash_fraction(&[customer.as_bytes()])
 }
 
-/// The name, below 2^63, of a customer's count in a window.
+/// Returns the name, below 2^63, of a customer's count in a window.
 pub(super) fn counter_name(customer: &CustomerId, plan: usize, window: u64) -> u64 {
     stable_hash(&[customer.as_bytes(), &(plan as u64).to_le_bytes(), &window.to_le_bytes()])
 }
