--- a/src/bin/weirusher-benchlink/decode.rs
+++ b/src/bin/weirusher-benchlink/decode.rs
@@ -1,4 +1,4 @@
-//! The wire's messages as events of the decisions: one function for each message.
+//! Decodes wire messages to events of the decision logic, one function per message.
 
 use crate::error::MessageError;
 use crate::fields::Fields;
@@ -9,10 +9,10 @@
 /// The bit of `StateBits` that marks a client's retry.
 const RETRY_BIT: u64 = 2;
 
-/// Endpoint lists by their page number.
+/// Endpoint lists, keyed by page number.
 pub type Pages = BTreeMap<u64, Vec<Endpoint>>;
 
-/// Reads a message for one gateway; `None` for one that the decisions have no use for.
+/// Decodes a message for one gateway. Returns `None` for a message that the decision logic does not use.
 pub fn event(name: &str, values: &[Value], pages: &Pages) -> Result<Option<Event>, MessageError> {
     let event = match name {
         "PEERS_KNOWN" => endpoint_list(&Fields::new("PEERS_KNOWN", values), pages)?,
@@ -22,14 +22,14 @@
         "LEFT" => client_gone(&Fields::new("LEFT", values))?,
         "ELAPSED" => timer(&Fields::new("ELAPSED", values))?,
         "TALLIED" => counter_response(&Fields::new("TALLIED", values))?,
-        // Results of health checks and notes of other gateways: the decisions ask for neither.
+        // Results of health checks and messages from other gateways: the decision logic requests neither.
         "HEALTH_RESULT" | "NOTE_FROM" => return Ok(None),
         _ => return Err(MessageError::UnknownEvent(name.to_string())),
     };
     Ok(Some(event))
 }
 
-/// Reads a page of the endpoint list: its number and its entries.
+/// Decodes a page of the endpoint list to its number and its entries.
 pub fn page(values: &[Value]) -> Result<(u64, Vec<Endpoint>), MessageError> {
     const MESSAGE: &str = "DIRECTORY";
     let fields = Fields::new(MESSAGE, values);
@@ -134,9 +134,9 @@
 }
 
 fn load_report(fields: &Fields<'_>, position: usize) -> LoadReport {
-    let figure = |key| fields.optional(position).and_then(|report| report.get(key)).and_then(Value::as_f64);
+    let number = |key| fields.optional(position).and_then(|report| report.get(key)).and_then(Value::as_f64);
     let mut load = LoadReport::default();
-    load.inflight = figure("busy_reqs");
-    load.util = figure("cpu_share");
+    load.inflight = number("busy_reqs");
+    load.util = number("cpu_share");
     load
 }
--- a/src/bin/weirusher-benchlink/encode.rs
+++ b/src/bin/weirusher-benchlink/encode.rs
@@ -1,9 +1,9 @@
-//! The decisions' actions as messages of the wire.
+//! Encodes actions of the decision logic as wire messages.
 
 use serde_json::{Value, json};
 use weirusher::Action;
 
-/// The message of an action.
+/// Returns the wire message of an action.
 pub fn message(action: Action) -> Value {
     match action {
         Action::Forward { request, backend, timeout, .. } => {
--- a/src/bin/weirusher-benchlink/error.rs
+++ b/src/bin/weirusher-benchlink/error.rs
@@ -1,16 +1,16 @@
-//! What can be wrong with the input, each error with the batch, the message and the field.
+//! Errors of the adapter. An error in a message names the batch, the message and the field.
 
 use thiserror::Error;
 use weirusher::{PlatformSettingsError, SettingsError};
 
-/// Why the adapter ends.
+/// An error that terminates the adapter.
 #[derive(Debug, Error)]
-pub enum LinkError {
-    #[error("input: {0}")]
+pub enum AdapterError {
+    #[error("cannot read standard input: {0}")]
     Input(#[source] std::io::Error),
-    #[error("output: {0}")]
+    #[error("cannot write standard output: {0}")]
     Output(#[source] std::io::Error),
-    #[error("batch is malformed: {0}")]
+    #[error("malformed batch: {0}")]
     MalformedBatch(#[source] serde_json::Error),
     #[error("batch {number}: {error}")]
     Message {
@@ -20,14 +20,14 @@
     },
 }
 
-/// What is wrong with a message.
+/// Why a message cannot be decoded or handled.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    #[error("an event is empty")]
+    #[error("message is an empty array")]
     Empty,
-    #[error("an event's name is not a string")]
+    #[error("message name is not a string")]
     Unnamed,
-    #[error("event {0} is unknown")]
+    #[error("unknown message {0}")]
     UnknownEvent(String),
     #[error("{event} for unknown instance {instance}")]
     UnknownInstance { event: String, instance: u64 },
@@ -35,7 +35,7 @@
     Missing { message: &'static str, field: &'static str },
     #[error("{message}.{field} is not {expected}")]
     WrongType { message: &'static str, field: &'static str, expected: &'static str },
-    #[error("{message}.{field} is unknown")]
+    #[error("{message}.{field} has an unknown value")]
     UnknownValue { message: &'static str, field: &'static str },
     #[error("NEW_INSTANCE.Options: {0}")]
     PlatformSettings(#[from] PlatformSettingsError),
--- a/src/bin/weirusher-benchlink/fields.rs
+++ b/src/bin/weirusher-benchlink/fields.rs
@@ -1,9 +1,9 @@
-//! The fields of a message, read by position. Names are the wire's, for errors.
+//! Access to the fields of a message by position. The wire names of fields are used in errors only.
 
 use crate::error::MessageError;
 use serde_json::Value;
 
-/// The values of one message.
+/// The fields of one message.
 pub struct Fields<'a> {
     message: &'static str,
     values: &'a [Value],
@@ -14,7 +14,7 @@
         Self { message, values }
     }
 
-    /// The fields of a row within a message.
+    /// Returns the fields of a row within a message.
     pub fn of_row(message: &'static str, field: &'static str, row: &'a Value) -> Result<Self, MessageError> {
         let values = row.as_array();
         let values =
@@ -22,12 +22,12 @@
         Ok(Self { message, values })
     }
 
-    /// A value of any type, or `None` where it is missing or null.
+    /// Returns a value of any type, or `None` if it is missing or null.
     pub fn optional(&self, position: usize) -> Option<&'a Value> {
         self.values.get(position).filter(|value| !value.is_null())
     }
 
-    /// A value of any type.
+    /// Returns a value of any type.
     pub fn value(&self, position: usize, field: &'static str) -> Result<&'a Value, MessageError> {
         self.optional(position).ok_or(MessageError::Missing { message: self.message, field })
     }
@@ -49,7 +49,7 @@
     }
 
     pub fn boolean(&self, position: usize, field: &'static str) -> Result<bool, MessageError> {
-        self.value(position, field)?.as_bool().ok_or_else(|| self.wrong_type(field, "a bool"))
+        self.value(position, field)?.as_bool().ok_or_else(|| self.wrong_type(field, "a boolean"))
     }
 
     pub fn array(&self, position: usize, field: &'static str) -> Result<&'a [Value], MessageError> {
@@ -57,7 +57,7 @@
         array.map(Vec::as_slice).ok_or_else(|| self.wrong_type(field, "an array"))
     }
 
-    /// The error of a value that is none of the known ones.
+    /// Returns the error for a value that is none of the known ones.
     pub fn unknown(&self, field: &'static str) -> MessageError {
         MessageError::UnknownValue { message: self.message, field }
     }
--- a/src/bin/weirusher-benchlink/host.rs
+++ b/src/bin/weirusher-benchlink/host.rs
@@ -1,15 +1,15 @@
-//! The gateways that this process hosts. They share nothing but the pages of the endpoint list.
+//! The gateways that this process hosts. They share only the pages of the endpoint list.
 
 use crate::decode::{Pages, event, page};
 use crate::encode::message;
-use crate::error::{LinkError, MessageError};
+use crate::error::{AdapterError, MessageError};
 use crate::fields::Fields;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use weirusher::{Action, Gateway, PlatformSettings, Time};
 
-/// One line of input: messages of one instant.
+/// One line of input: the messages for all gateways at one point in time.
 #[derive(Deserialize)]
 struct Batch {
     #[serde(rename = "Moment")]
@@ -39,15 +39,15 @@
     /// Handles a line of input and returns the line of output.
     ///
     /// # Errors
-    /// A line that is not a batch, or the first message that cannot be read.
-    pub fn handle_batch(&mut self, line: &str) -> Result<Value, LinkError> {
-        let batch: Batch = serde_json::from_str(line).map_err(LinkError::MalformedBatch)?;
+    /// Returns an error if the line is not a batch, or for the first message that cannot be decoded.
+    pub fn handle_batch(&mut self, line: &str) -> Result<Value, AdapterError> {
+        let batch: Batch = serde_json::from_str(line).map_err(AdapterError::MalformedBatch)?;
         let mut groups = Vec::new();
         for group in &batch.groups {
             let mut actions = Vec::new();
             for message in &group.messages {
                 self.handle_message(batch.now, group.gateway, message, &mut actions)
-                    .map_err(|error| LinkError::Message { number: batch.number, error })?;
+                    .map_err(|error| AdapterError::Message { number: batch.number, error })?;
             }
             if !actions.is_empty() {
                 let decisions: Vec<Value> = actions.into_iter().map(message).collect();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,7 @@
-//! The interface of the decisions: settings at the start, events in, actions out.
+//! The interface of the decision logic: settings at construction, then events in and actions out.
 //!
-//! Times are seconds on the caller's monotonic clock, quantities quota units, fractions from 0 to 1.
+//! Times are seconds on the caller's monotonic clock, quantities are quota units, and fractions are from 0 to
+//! 1.
 
 mod action;
 mod endpoint;
@@ -16,11 +17,11 @@
 
 use std::sync::Arc;
 
-/// Seconds on the caller's monotonic clock, from an origin of its choice.
+/// A point in time, in seconds on the caller's monotonic clock; the caller chooses the origin.
 pub type Time = f64;
 /// The id of a request, unique while a gateway runs.
 pub type RequestId = Arc<str>;
-/// The address of a backend, opaque.
+/// The address of a backend, an opaque string.
 pub type BackendId = Arc<str>;
-/// The id of a customer, opaque.
+/// The id of a customer, an opaque string.
 pub type CustomerId = Arc<str>;
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,37 +1,37 @@
-//! Actions: what a gateway wants done.
+//! Actions: what the caller must do for a gateway.
 
 use super::{BackendId, RequestId, Time};
 use std::fmt;
 
-/// Why a request is rejected or fails without a backend's response.
+/// Why a request is rejected or fails without the response of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Reason {
-    /// Its class, plan or units are invalid.
+    /// The class, plan or units of the request are invalid.
     Invalid,
-    /// Too little time is left until its deadline to decide on it.
+    /// Too little time is left until the deadline to decide the request.
     TooLate,
-    /// As many requests are open as [`Settings::max_open_requests`](super::Settings::max_open_requests)
-    /// allows.
+    /// The number of open requests has reached
+    /// [`Settings::max_open_requests`](super::Settings::max_open_requests).
     TooManyOpenRequests,
     /// The concurrency limit of the gateway, over all customers, is reached.
     Overload,
-    /// Its customer is beyond its quota: the only reason that the quota gives.
+    /// The customer's quota is exhausted. No other reason is related to the quota.
     Quota,
-    /// Its customer has as many attempts in flight as its plan allows.
+    /// The customer has as many attempts in flight as its plan allows.
     ConcurrencyLimit,
-    /// No backend may be sent to now.
+    /// No backend is available.
     NoBackend,
-    /// Its attempts ended without a response that may be passed on, and no retry is allowed.
+    /// All attempts ended without a response that may be passed on, and no retry is allowed.
     AttemptsFailed,
-    /// Its deadline passed before a decision, or while it was unread.
+    /// The deadline passed before the request was decided, or before it was read.
     DeadlineExceeded,
-    /// The gateway shuts down before it could be answered.
+    /// The gateway shuts down before the request could be answered.
     Stopping,
 }
 
 impl Reason {
-    /// Every reason, in the order of their indices.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
         Self::Invalid,
         Self::TooLate,
@@ -45,7 +45,7 @@
         Self::Stopping,
     ];
 
-    /// Its name in logs and metrics.
+    /// The name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Invalid => "invalid",
@@ -68,53 +68,53 @@
     }
 }
 
-/// What is to be done.
+/// An action that the caller must carry out.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum Action {
-    /// Begin an attempt. The attempts of a request are numbered from 0 in this order.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Forward {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The backend.
+        /// The backend to send it to.
         backend: BackendId,
-        /// Seconds until it is given up.
+        /// Seconds after which the attempt times out.
         timeout: f64,
-        /// Seconds within which its last byte must have been sent, or it must not begin: past that, backends
-        /// have forgotten the idempotency key of the earlier attempt, and it would take effect twice.
-        /// Infinity: any time.
+        /// Seconds within which the last byte of the request must have been sent; otherwise the attempt must
+        /// not start. After that time backends have discarded the idempotency key of the earlier attempt, and
+        /// the request would take effect twice. Infinity means no limit.
         start_within: f64,
     },
-    /// Respond with a rejection: a retry of the client does no harm.
+    /// Respond with a rejection: the client may safely retry.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
-        /// Retry-After in seconds; 0: none.
+        /// Value of Retry-After in seconds; 0 if there is none.
         retry_after: f64,
-        /// Why.
+        /// Why the request is rejected.
         reason: Reason,
     },
     /// Respond with a failure: the request may have been executed.
     Fail {
-        /// The request.
+        /// The request that fails.
         request: RequestId,
-        /// Why.
+        /// Why the request fails.
         reason: Reason,
     },
-    /// Set a timer, which comes back as [`Event::Timer`](super::Event::Timer).
+    /// Set a timer. When it is due, [`Event::Timer`](super::Event::Timer) must be passed with its token.
     SetTimer {
-        /// Its token.
+        /// Identifies the timer.
         token: u64,
-        /// When it is due.
+        /// When the timer is due.
         at: Time,
     },
-    /// Add to a count and get its total.
+    /// Add to a count and return its total.
     AddToCounter {
         /// The name of the count, below 2^63.
         counter: u64,
-        /// Units to add; 0 only reads.
+        /// Units to add; 0 only reads the total.
         amount: f64,
-        /// Seconds to live of a count that is new.
+        /// Time to live, in seconds, of a count that does not exist yet.
         ttl: f64,
     },
     /// Watch the endpoint list from now on.
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -1,49 +1,49 @@
-//! The endpoint list: which backends there are.
+//! The endpoint list: the backends that exist and their states.
 
 use super::{BackendId, Time};
 
 /// The state of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Takes new requests.
+    /// The backend takes new requests.
     Running,
-    /// Finishes its requests and takes no new ones.
+    /// The backend finishes its requests and takes no new ones.
     Draining,
-    /// No longer exists.
+    /// The backend no longer exists.
     Removed,
 }
 
-/// A backend, as an entry of the endpoint list.
+/// An entry of the endpoint list: one backend.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Its address.
+    /// The address of the backend.
     pub id: BackendId,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: u32,
-    /// Its cell within the zone.
+    /// Index of its cell within the zone.
     pub cell: u32,
-    /// When it last started; 0: long ago.
+    /// When it last started; 0 if it started long ago and is warmed up.
     pub started: Time,
-    /// Its state.
+    /// The state of the backend.
     pub lifecycle: Lifecycle,
 }
 
 impl Endpoint {
-    /// A running, warmed-up backend in the first zone and cell.
+    /// Creates a running, warmed-up backend in the first zone and cell.
     pub fn warm(id: impl Into<BackendId>) -> Self {
         Self { id: id.into(), zone: 0, cell: 0, started: 0.0, lifecycle: Lifecycle::Running }
     }
 }
 
-/// What an endpoint list event holds.
+/// What the entries of an [`Event::EndpointList`](super::Event::EndpointList) are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
     /// The entries that have changed.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as last cached, perhaps stale.
+    /// The complete list as last cached, possibly stale.
     StaleSnapshot,
-    /// No entries: the poll failed.
+    /// No entries, as the poll of the list failed.
     Failed,
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,50 +1,50 @@
-//! Events: what has happened to a gateway.
+//! Events: what the caller reports to a gateway.
 
 use super::{BackendId, Endpoint, EndpointListKind, Request, RequestId};
 
 /// How an attempt or a counter call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Served.
+    /// It was served.
     Ok,
-    /// An error response; the request may have been executed.
+    /// An error response arrived; the request may have been executed.
     Error,
-    /// Rejected by the backend before execution; the request was not executed.
+    /// The backend rejected the request before execution; the request was not executed.
     Rejected,
-    /// No response in time; the request may have been executed.
+    /// No response arrived in time; the request may have been executed.
     Timeout,
-    /// No connection; the request was not executed.
+    /// No connection could be made; the request was not executed.
     ConnectFailed,
     /// The connection broke; the request may have been executed.
     Reset,
-    /// Cancelled by the gateway; the request may have been executed.
+    /// The gateway cancelled it; the request may have been executed.
     Cancelled,
-    /// Never sent; the request was not executed.
+    /// It was never sent; the request was not executed.
     NotSent,
 }
 
-/// A load report; what the backend did not report is `None`.
+/// A load report of a backend; values that it did not report are `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[non_exhaustive]
 pub struct LoadReport {
     /// Requests in flight at the backend.
     pub inflight: Option<f64>,
-    /// Fraction of its processor in use.
+    /// Fraction of the backend's processor time in use.
     pub util: Option<f64>,
 }
 
-/// What has happened.
+/// An event that a gateway handles.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum Event {
-    /// The endpoint list arrived, or a change of it.
+    /// The endpoint list or a change of it arrived.
     EndpointList {
-        /// What it holds.
+        /// What the entries are.
         kind: EndpointListKind,
-        /// Its entries.
+        /// The entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A request arrived. It gets one response, of a backend or of the gateway.
+    /// A request arrived. It gets exactly one response, from a backend or from the gateway.
     Request(Request),
     /// A streamed response has begun.
     ResponseStarted {
@@ -55,40 +55,40 @@
     AttemptEnded {
         /// The request.
         request: RequestId,
-        /// The attempt, from 0.
+        /// Number of the attempt within the request, from 0.
         attempt: u32,
-        /// Its backend.
+        /// The backend that it was sent to.
         backend: BackendId,
-        /// How it ended.
+        /// How the attempt ended.
         status: Status,
-        /// Seconds since it was sent.
+        /// Seconds since the attempt was sent.
         elapsed: f64,
-        /// The client has its response, or is gone.
+        /// The client has its response or has disconnected.
         request_ended: bool,
-        /// The true units, where they are settled afterwards.
+        /// Units actually used, if they are known only after the response.
         settled_units: Option<f64>,
         /// The load report that came with the response.
         load: LoadReport,
     },
-    /// The client closed its connection: no response is pending any more.
+    /// The client closed its connection, so no response is pending any more.
     ClientGone {
         /// The request.
         request: RequestId,
     },
     /// A timer is due.
     Timer {
-        /// Its token.
+        /// The token that the timer was set with.
         token: u64,
     },
-    /// A counter call ended. The calls to one count end in the order in which they were made.
+    /// A call to the counter ended. The calls to one count end in the order in which they were made.
     CounterResponse {
         /// The name of the count.
         counter: u64,
-        /// How it ended; with [`Status::Error`] it was added, but its total cannot be read.
+        /// How the call ended; with [`Status::Error`] the units were added, but the total cannot be read.
         status: Status,
-        /// The total after the call, valid with [`Status::Ok`].
+        /// The total after the call; valid only with [`Status::Ok`].
         total: f64,
-        /// Seconds since the call.
+        /// Seconds since the call was made.
         elapsed: f64,
     },
 }
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -1,25 +1,26 @@
-//! A request of a client.
+//! Requests of clients.
 
 use super::{CustomerId, RequestId, Time};
 
 /// A request of a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The id of the request.
     pub id: RequestId,
     /// Units that it takes from the quota.
     pub units: f64,
-    /// When the client gives up.
+    /// When the client stops waiting for the response.
     pub deadline: Time,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
     /// How many gateways serve this customer.
     pub customer_instances: u32,
-    /// The number of the first of them; the others follow in order, and 0 comes after the last.
+    /// Index of the first of these gateways. The others follow in order; index 0 follows the last gateway of
+    /// the fleet.
     pub first_instance: u32,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Its customer.
+    /// The customer that sent it.
     pub customer: CustomerId,
     /// The client marked it as a retry.
     pub is_retry: bool,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,8 +1,8 @@
-//! What a gateway is given at its start: classes of requests, plans of customers, limits.
+//! Settings of a gateway: classes of requests, plans of customers, limits.
 
 use thiserror::Error;
 
-/// Which backends recognize a repeat of a keyed request.
+/// Which backends recognize a repeated request by its idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// All backends.
@@ -13,19 +13,19 @@
     Cell,
 }
 
-/// What repeating a request may do.
+/// Whether and where a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
-    /// It may be executed any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// It carries an idempotency key, by which backends discard repeats.
+    /// The request carries an idempotency key, by which backends discard repeats.
     Keyed {
-        /// The backends that share the memory of keys.
+        /// The backends that share the store of keys.
         scope: DedupScope,
-        /// Seconds after the first attempt for which the key is remembered.
+        /// Seconds after the first attempt for which the key is kept.
         window: f64,
     },
-    /// It may be executed once at most.
+    /// The request may be executed at most once.
     NonIdempotent,
 }
 
@@ -33,13 +33,13 @@
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct Class {
-    /// Seconds after its arrival within which the response to a request has its full value.
+    /// Seconds after the arrival of a request within which its response has its full value.
     pub latency_objective: f64,
-    /// Fraction of its value that a later response has.
+    /// Fraction of that value that a later response has.
     pub late_weight: f64,
-    /// Seconds that a client waits at most, over all its attempts.
+    /// Maximum seconds that a client waits for a response, over all its attempts.
     pub deadline: f64,
-    /// What a repeat may do.
+    /// Whether and where requests may be repeated.
     pub idempotency: Idempotency,
 }
 
@@ -49,71 +49,72 @@
     }
 }
 
-/// A plan. Its figures hold for each customer over all gateways together.
+/// A plan of customers. Its limits apply to each customer, over all gateways together.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[non_exhaustive]
 pub struct Plan {
-    /// Units a second; 0: no quota.
+    /// Quota in units per second; 0 means no quota.
     pub rate: f64,
     /// Units that may be used at once.
     pub burst: f64,
-    /// Attempts that may be in flight at once; 0: any number.
+    /// Maximum number of attempts in flight; 0 means no limit.
     pub max_concurrent: u32,
     /// Priority of a unit, relative to other plans.
     pub priority_weight: f64,
-    /// Fraction of its value that a request sent beyond the quota has.
+    /// Fraction of the value of a request that it still has when it is sent beyond the quota.
     pub over_quota_weight: f64,
-    /// Fraction of its value that a request sent beyond the quota costs.
+    /// Cost of sending a request beyond the quota, as a fraction of its value.
     pub over_quota_cost: f64,
-    /// Units a second that refill the hard ceiling; 0: no ceiling.
+    /// Refill of the hard ceiling in units per second; 0 means no ceiling.
     pub ceiling_rate: f64,
-    /// Units that the ceiling holds.
+    /// Burst of the ceiling in units.
     pub ceiling_burst: f64,
 }
 
-/// The settings of a gateway. Build them from `Settings::default()` and set the fields.
+/// The settings of a gateway. To construct them, start from `Settings::default()` and set the fields.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct Settings {
-    /// The number of this gateway, from 0.
+    /// Index of this gateway in the fleet, from 0.
     pub instance: u32,
-    /// The number of gateways.
+    /// Number of gateways in the fleet.
     pub instances: u32,
-    /// The zone of this gateway.
+    /// Index of the zone of this gateway.
     pub zone: u32,
-    /// Classes of requests, by index.
+    /// The classes of requests; a [`Request`](super::Request) refers to one by index.
     pub classes: Vec<Class>,
-    /// Plans, by index.
+    /// The plans of customers; a [`Request`](super::Request) refers to one by index.
     pub plans: Vec<Plan>,
     /// There is a counter to call.
     pub has_counter: bool,
-    /// Seconds until a call to the counter is given up.
+    /// Seconds after which a call to the counter times out.
     pub counter_timeout: f64,
-    /// Seconds until a connection attempt to a backend has failed.
+    /// Seconds after which connecting to a backend times out.
     pub connect_timeout: f64,
-    /// Largest number of units of one request.
+    /// Maximum number of units of one request.
     pub max_request_units: f64,
     /// Two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Largest number of attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Largest number of open requests.
+    /// Maximum number of open requests.
     pub max_open_requests: u32,
     /// Rejections carry a Retry-After.
     pub sends_retry_after: bool,
     /// Longest Retry-After that clients honour, in seconds.
     pub max_retry_after: f64,
-    /// The endpoint list must be polled; it is not pushed.
+    /// The endpoint list must be polled, as it is not pushed.
     pub polls_endpoints: bool,
-    /// Fraction of its capacity that a backend has at its start.
+    /// Fraction of its full capacity that a backend has when it starts.
     pub slow_start_min_capacity: f64,
-    /// Seconds until a backend has warmed up.
+    /// Seconds that a backend takes to warm up.
     pub slow_start_seconds: f64,
-    /// Multiple of its present capacity that overloads a backend in slow start ...
+    /// Multiple of its current capacity at which a backend in slow start is overloaded, if the load lasts for
+    /// [`overload_seconds`](Self::overload_seconds).
     pub overload_multiple: f64,
-    /// ... when it lasts this many seconds.
+    /// Seconds for which such a load must last to be an overload.
     pub overload_seconds: f64,
-    /// Least seconds between two batches of events.
+    /// Minimum seconds between two batches of events.
     pub event_interval: f64,
 }
 
@@ -144,17 +145,17 @@
     }
 }
 
-/// Settings that no gateway can work with.
+/// Why settings are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum SettingsError {
     /// [`Settings::instances`] is 0.
-    #[error("there are no gateways")]
+    #[error("number of gateways is 0")]
     NoInstances,
     /// [`Settings::instance`] is not below [`Settings::instances`].
-    #[error("this gateway's number is out of range")]
+    #[error("index of this gateway is not below the number of gateways")]
     InstanceOutOfRange,
-    /// The figure with this configuration key is negative, infinite or not a number.
-    #[error("{0} is not a usable number")]
+    /// The number with this configuration key is negative, infinite or NaN.
+    #[error("{0} must be a finite number that is not negative")]
     InvalidNumber(&'static str),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! weirusher: the decisions of an API gateway that holds customers to shared quotas before a fleet of
-//! backends.
+//! weirusher: the decision logic of an API gateway that holds customers to shared quotas in front of a fleet
+//! of backends.
 //!
 //! The crate does no I/O and reads no clock. Pass [`Gateway::handle_event`] one [`Event`] at a time with the
-//! present time, and carry out the [`Action`]s that it appends.
+//! current time, and carry out the [`Action`]s that it appends.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/platform_settings.rs
+++ b/src/platform_settings.rs
@@ -1,20 +1,20 @@
-//! The platform's settings object: JSON with the platform's own keys, mapped to this crate's terms here and
-//! only here.
+//! The settings object of the platform: JSON whose keys are the platform's. Only this module maps them to the
+//! terms of this crate.
 
 use crate::interface::{Class, DedupScope, Idempotency, Plan, Settings};
 use serde_json::Value;
 use thiserror::Error;
 
-/// Seconds of idleness after which backends close a connection, where the object does not say.
+/// Default for the seconds after which backends close an idle connection.
 const DEFAULT_IDLE_TIMEOUT_SECONDS: f64 = 10.0;
-/// Seconds within which a draining backend gets no new requests, where the object does not say.
+/// Default for the seconds after which a draining backend must get no new requests.
 const DEFAULT_DRAIN_GRACE_SECONDS: f64 = 0.5;
 
-/// A settings object: the settings of the decisions, and what the proxy needs besides.
+/// A settings object: the settings of the decision logic, and further settings of the proxy.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct PlatformSettings {
-    /// The settings of the decisions.
+    /// The settings of the decision logic.
     pub settings: Settings,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
@@ -22,13 +22,13 @@
     pub plans: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Seconds of idleness after which a backend closes a connection.
+    /// Seconds after which a backend closes an idle connection.
     pub connection_idle_timeout: f64,
-    /// Seconds within which a draining backend must not get new requests any more.
+    /// Seconds after the start of a backend's drain from which on it must get no new requests.
     pub drain_grace: f64,
 }
 
-/// A settings object that cannot be used.
+/// Why a settings object cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum PlatformSettingsError {
@@ -36,15 +36,15 @@
     #[error("settings: {0} is not a number")]
     NotANumber(&'static str),
     /// The effect of a class is none of `idempotent`, `deduplicated` and `at_most_once`.
-    #[error("settings: Classes.Effect is unknown")]
+    #[error("settings: Classes.Effect is not one of idempotent, deduplicated and at_most_once")]
     UnknownEffect,
 }
 
 impl PlatformSettings {
-    /// Reads a settings object; unknown keys are ignored, missing ones take their defaults.
+    /// Reads a settings object. Unknown keys are ignored; missing keys take their default values.
     ///
     /// # Errors
-    /// A figure that is not a number, or a class whose effect is unknown.
+    /// Returns an error if a numeric setting is not a number, or if the effect of a class is unknown.
     pub fn read(value: &Value) -> Result<Self, PlatformSettingsError> {
         let object = Object(value);
         let limits = object.child("Limits");
@@ -62,7 +62,7 @@
     }
 }
 
-/// A JSON object, read key by key. Any other value reads as an empty object.
+/// Reads a JSON object key by key. Any other JSON value is treated as an empty object.
 struct Object<'a>(&'a Value);
 
 impl<'a> Object<'a> {
@@ -119,7 +119,8 @@
     Ok(Class {
         latency_objective,
         late_weight: object.number("LateWorth", 0.0)?,
-        // The shortest that a missing deadline may be: a graceful shutdown then plans for the earliest kill.
+        // A missing deadline defaults to its shortest possible value, so that a graceful shutdown plans for
+        // the earliest time at which the process may be killed.
         deadline: object.number("Deadline", latency_objective)?,
         idempotency: idempotency(&object)?,
     })
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -1,14 +1,14 @@
-//! Validation of the settings that a gateway is given at its start.
+//! Validation of the settings of a gateway.
 
 use crate::interface::{Class, Plan, Settings, SettingsError};
 
-/// A figure with its configuration key.
-type Figure = (&'static str, f64);
+/// A configuration key and its numeric value.
+type NumericSetting = (&'static str, f64);
 
-/// Rejects settings that no gateway can work with.
+/// Checks that settings are valid.
 ///
 /// # Errors
-/// The first figure that is invalid.
+/// Returns an error for the first invalid value.
 pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     if settings.instances == 0 {
         return Err(SettingsError::NoInstances);
@@ -16,11 +16,11 @@
     if settings.instance >= settings.instances {
         return Err(SettingsError::InstanceOutOfRange);
     }
-    let figures = gateway_figures(settings)
+    let numbers = gateway_numbers(settings)
         .into_iter()
-        .chain(settings.classes.iter().flat_map(class_figures))
-        .chain(settings.plans.iter().flat_map(plan_figures));
-    for (key, value) in figures {
+        .chain(settings.classes.iter().flat_map(class_numbers))
+        .chain(settings.plans.iter().flat_map(plan_numbers));
+    for (key, value) in numbers {
         if !value.is_finite() || value < 0.0 {
             return Err(SettingsError::InvalidNumber(key));
         }
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-fn gateway_figures(settings: &Settings) -> [Figure; 8] {
+fn gateway_numbers(settings: &Settings) -> [NumericSetting; 8] {
     [
         ("count_limit", settings.counter_timeout),
         ("max_retry_after", settings.max_retry_after),
@@ -41,11 +41,11 @@
     ]
 }
 
-fn class_figures(class: &Class) -> [Figure; 3] {
+fn class_numbers(class: &Class) -> [NumericSetting; 3] {
     [("aim", class.latency_objective), ("late_worth", class.late_weight), ("deadline", class.deadline)]
 }
 
-fn plan_figures(plan: &Plan) -> [Figure; 7] {
+fn plan_numbers(plan: &Plan) -> [NumericSetting; 7] {
     [
         ("rate", plan.rate),
         ("burst", plan.burst),
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The simulator adapter on bad input: an error of one line, a failing exit status, no partial reply.
+//! The simulator adapter on invalid input: it prints a one-line error and no partial reply, and its exit status
+//! shows the failure.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,7 +15,7 @@
     child.wait_with_output().expect("it ends")
 }
 
-/// Asserts that messages end the adapter with an error that names the batch and holds `expected`.
+/// Asserts that these messages end the adapter with an error that names the batch and contains `expected`.
 fn assert_error(messages: &str, expected: &str) {
     let input =
         format!("{{\"Moment\":1.0,\"n\":7,\"groups\":[{{\"GatekeeperId\":0,\"msgs\":[{messages}]}}]}}\n");
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn an_empty_batch_gets_a_reply_and_the_end_of_input_is_a_success() {
+fn an_empty_batch_gets_a_reply_and_end_of_input_is_success() {
     let output = run("{\"Moment\":8.4,\"n\":1,\"groups\":[]}\n");
     assert!(output.status.success());
     let reply: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one reply");
@@ -44,7 +45,7 @@
     let start = r#"["NEW_INSTANCE",5,{"Unknown":1}]"#;
     assert_error(r#"["ELAPSED",1]"#, "unknown instance");
     assert_error(r#"["NEW_INSTANCE",5]"#, "Options");
-    assert_error(r#"["NEW_INSTANCE",5,{"PeersTotal":0}]"#, "no gateways");
+    assert_error(r#"["NEW_INSTANCE",5,{"PeersTotal":0}]"#, "number of gateways is 0");
     assert_error(&format!("{start},[\"NONESUCH\"]"), "NONESUCH");
     assert_error(&format!("{start},[\"ELAPSED\"]"), "ELAPSED.Name");
     assert_error(&format!("{start},[\"LEFT\",5]"), "LEFT.Job");
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,22 +1,23 @@
-//! The operators' requirements of the decisions' source: small modules, with a head comment, all listed under `policy`.
+//! The operators' requirements on the source of the decision logic: small modules, each with a head comment, all
+//! listed under `policy` in the deploy file.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Most lines of a module that are not blank.
+/// Maximum number of non-blank lines in a module.
 const MAX_LINES: usize = 200;
-/// Most characters of a line.
+/// Maximum number of characters in a line.
 const MAX_CHARACTERS: usize = 110;
 
-/// The modules of the decisions, as paths from the root.
+/// Paths of the modules of the decision logic, relative to the root of the repository.
 fn modules() -> BTreeSet<String> {
     let files = fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy")).unwrap();
     files.map(|file| format!("src/policy/{}", file.unwrap().file_name().to_string_lossy())).collect()
 }
 
 #[test]
-fn the_decisions_are_in_small_modules() {
+fn the_decision_logic_is_in_small_modules() {
     for module in modules() {
         let text = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(&module)).unwrap();
         assert!(text.lines().filter(|line| !line.trim().is_empty()).count() <= MAX_LINES, "{module}");
