--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -1,9 +1,9 @@
-//! Many gateways of little load: what they do in sum.
+//! Fleets of gateways with little load each: their behaviour in total.
 
 use crate::harness::{Harness, endpoint, forwarded, new_request, rejected, settings, settings_without_quota};
 use weirusher::{BackendId, Endpoint, EndpointListKind, Event, Gateway, Lifecycle, Settings, Status};
 
-/// A fleet of `n` gateways that know the same backends.
+/// Creates a fleet of `n` gateways with the same endpoint list.
 pub fn fleet(n: u32, settings: &Settings, endpoints: &[Endpoint]) -> Vec<Harness> {
     seeded_fleet(n, settings, endpoints, 0)
 }
@@ -13,7 +13,7 @@
         let mut settings = settings.clone();
         (settings.instance, settings.instances) = (instance, n);
         let seed = seed << 32 | (u64::from(instance) * 7919 + 1);
-        let gateway = Gateway::new(settings, seed).expect("usable settings");
+        let gateway = Gateway::new(settings, seed).expect("valid settings");
         let mut harness = Harness { gateway, now: 100.0, actions: Vec::new() };
         harness.update_endpoints(EndpointListKind::StaleSnapshot, endpoints.to_vec());
         harness
@@ -21,13 +21,13 @@
     (0..n).map(harness).collect()
 }
 
-/// `n` warmed-up backends, `s000` and on.
+/// Creates `n` warmed-up backends named `s000`, `s001` and so on.
 pub fn endpoints(n: u32) -> Vec<Endpoint> {
     (0..n).map(|i| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0)).collect()
 }
 
-/// Passes one request of a customer that `customer_instances` gateways serve, and serves it if it is
-/// forwarded; the backend that it went to.
+/// Passes one request of a customer that `customer_instances` gateways serve, and ends its attempt successfully
+/// if it is forwarded. Returns the backend that it was sent to.
 pub fn serve_one(harness: &mut Harness, id: &str, customer_instances: u32) -> Option<BackendId> {
     let mut request = new_request(id, harness.now);
     request.customer_instances = customer_instances;
@@ -37,8 +37,9 @@
     Some(backend)
 }
 
+/// The ceiling holds without the counter and even if most gateways restart.
 #[test]
-fn fractional_shares_keep_the_ceiling_even_when_most_gateways_restart() {
+fn fractional_shares_keep_the_ceiling_over_restarts() {
     const GATEWAYS: u32 = 60;
     let mut settings = settings();
     settings.has_counter = false;
@@ -58,13 +59,13 @@
             sent += f64::from(u8::from(backend.is_some()));
         }
     }
-    let headroom = 16.0 + 8.0 * 10.0; // Burst, and rate over ten seconds.
-    assert!(sent <= headroom, "{sent} sent without the counter, the headroom is {headroom}");
-    assert!(sent >= 0.5 * headroom, "{sent} sent: fractional shares still serve");
+    let headroom = 16.0 + 8.0 * 10.0; // Burst plus rate over ten seconds.
+    assert!(sent <= headroom, "{sent} sent without the counter, allowed are {headroom}");
+    assert!(sent >= 0.5 * headroom, "only {sent} sent of a headroom of {headroom}");
 }
 
-/// Of 300 requests at one gateway, how many are rejected at once when `lost` in ten attempts get no response.
-fn rejected_when_lost(lost: usize) -> usize {
+/// Returns how many of 300 requests at one gateway are rejected at once if `lost` in ten attempts get no response.
+fn rejected_with_lost_responses(lost: usize) -> usize {
     let mut settings = settings_without_quota();
     settings.instances = 20;
     let mut harness = Harness::new(settings);
@@ -84,25 +85,26 @@
 
 #[test]
 fn lost_responses_are_no_overload_but_a_fleet_that_times_out_is() {
-    let some_lost = rejected_when_lost(4);
+    let some_lost = rejected_with_lost_responses(4);
     assert!(some_lost <= 3, "{some_lost} rejected when four in ten responses are lost");
-    let most_lost = rejected_when_lost(8);
-    assert!(most_lost >= 30, "{most_lost} rejected at once when eight in ten time out");
+    let most_lost = rejected_with_lost_responses(8);
+    assert!(most_lost >= 30, "{most_lost} rejected when eight in ten attempts time out");
 }
 
-/// Guards against a burst of one request at each gateway, and at each restart.
+/// A new customer with fractional shares is admitted at some gateways only, and at no others after a restart.
+/// Guards against a burst of one request at every gateway, and another one after each restart.
 #[test]
-fn a_new_customer_of_fractional_shares_is_admitted_at_some_gateways_only_and_no_more_after_a_restart() {
+fn a_new_customer_is_admitted_at_the_same_gateways_after_a_restart() {
     const GATEWAYS: u32 = 200;
     let mut settings = settings();
     settings.has_counter = false;
-    let first = || {
+    let first_requests = || {
         let mut gateways = fleet(GATEWAYS, &settings, &endpoints(9));
         let served = |harness: &mut Harness| serve_one(harness, "first", GATEWAYS).is_some();
         gateways.iter_mut().map(served).collect::<Vec<bool>>()
     };
-    let served = first();
+    let served = first_requests();
     let count = served.iter().filter(|served| **served).count();
-    assert!((150..190).contains(&count), "{count} of {GATEWAYS}: the burst is 20");
-    assert_eq!(first(), served, "restarted gateways admit what they admitted at first, no more");
+    assert!((150..190).contains(&count), "{count} of {GATEWAYS} gateways admit a request; the burst is 20");
+    assert_eq!(first_requests(), served, "a restart changes which gateways admit a first request");
 }
--- a/tests/decisions/harness.rs
+++ b/tests/decisions/harness.rs
@@ -1,4 +1,4 @@
-//! A gateway driven by events, with all actions recorded, and a counter that responds at once.
+//! Test support: a gateway whose actions are recorded, and a fake counter that responds immediately.
 
 use std::collections::{BTreeMap, VecDeque};
 use weirusher::{
@@ -6,7 +6,7 @@
     Request, RequestId, Settings, Status, Time,
 };
 
-/// A gateway and its clock.
+/// A gateway with a clock that the test sets.
 pub struct Harness {
     pub gateway: Gateway,
     pub now: Time,
@@ -14,14 +14,14 @@
     pub actions: Vec<Action>,
 }
 
-/// A plan of `rate` units a second and a burst.
+/// Creates a plan of `rate` units per second and a burst of `burst` units.
 pub fn plan(rate: f64, burst: f64) -> Plan {
     let mut plan = Plan::default();
     (plan.rate, plan.burst, plan.priority_weight) = (rate, burst, 1.0);
     plan
 }
 
-/// One of two gateways, with one class and one plan of 10 units a second and a burst of 20.
+/// Creates settings for one of two gateways, with one class and one plan of 10 units per second and a burst of 20.
 pub fn settings() -> Settings {
     let mut settings = Settings::default();
     (settings.instances, settings.has_counter) = (2, true);
@@ -33,7 +33,7 @@
     settings
 }
 
-/// The same, with a plan that has no quota.
+/// Creates the same settings with a plan that has no quota.
 pub fn settings_without_quota() -> Settings {
     let mut settings = settings();
     settings.plans = vec![Plan::default()];
@@ -44,7 +44,7 @@
     Endpoint { id: name.into(), zone: 0, cell: 0, started, lifecycle }
 }
 
-/// A request of one unit of the customer `c`, which both gateways serve.
+/// Creates a request of one unit of the customer `c`, which both gateways serve.
 pub fn new_request(id: &str, now: Time) -> Request {
     Request {
         id: id.into(),
@@ -60,7 +60,7 @@
 }
 
 impl Harness {
-    /// A gateway before three warmed-up backends.
+    /// Creates a gateway with three warmed-up backends `a`, `b` and `c`.
     pub fn new(settings: Settings) -> Self {
         let mut harness = Self::without_backends(settings);
         let endpoints = ["a", "b", "c"].map(|name| endpoint(name, Lifecycle::Running, 0.0)).to_vec();
@@ -69,7 +69,7 @@
     }
 
     pub fn without_backends(settings: Settings) -> Self {
-        Self { gateway: Gateway::new(settings, 7).expect("usable settings"), now: 100.0, actions: Vec::new() }
+        Self { gateway: Gateway::new(settings, 7).expect("valid settings"), now: 100.0, actions: Vec::new() }
     }
 
     pub fn update_endpoints(&mut self, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
@@ -93,7 +93,7 @@
         self.handle(Event::CounterResponse { counter, status, total, elapsed: 0.002 })
     }
 
-    /// Ends an attempt after 0.1 s.
+    /// Ends an attempt after 0.1 s; the request ends with it if the attempt was served.
     pub fn end_attempt(
         &mut self,
         id: &str,
@@ -135,7 +135,7 @@
     }
 }
 
-/// The calls to the counter: name of the count, units added.
+/// Returns the calls to the counter, as the name of the count and the units added.
 pub fn counter_calls(actions: &[Action]) -> Vec<(u64, f64)> {
     let call = |action: &Action| match action {
         Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
@@ -144,7 +144,7 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// The attempts: request, backend.
+/// Returns the attempts, as the request and the backend.
 pub fn forwarded(actions: &[Action]) -> Vec<(RequestId, BackendId)> {
     let forward = |action: &Action| match action {
         Action::Forward { request, backend, .. } => Some((request.clone(), backend.clone())),
@@ -153,23 +153,23 @@
     actions.iter().filter_map(forward).collect()
 }
 
-/// How many requests were rejected.
+/// Returns how many requests were rejected.
 pub fn rejected(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count()
 }
 
-/// How many requests failed.
+/// Returns how many requests failed.
 pub fn failed(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::Fail { .. })).count()
 }
 
-/// A counter that responds at once, with its counts by name.
+/// A counter that responds immediately; it holds the total of each count by name.
 #[derive(Default)]
 pub struct FakeCounter(pub BTreeMap<u64, f64>);
 
 impl FakeCounter {
-    /// Responds to the calls among `actions`, and to those that follow; returns the actions that this leads
-    /// to.
+    /// Responds to the calls in `actions` and to the calls that follow from the responses. Returns the actions
+    /// that follow.
     pub fn respond(&mut self, harness: &mut Harness, actions: &[Action]) -> Vec<Action> {
         let mut pending: VecDeque<_> = counter_calls(actions).into();
         let mut following = Vec::new();
@@ -191,7 +191,7 @@
         actions
     }
 
-    /// Passes `n` requests to the gateway, serves those that are forwarded, and returns how many those were.
+    /// Passes `n` requests to the gateway, serves those that are forwarded, and returns their number.
     pub fn serve_many(&mut self, harness: &mut Harness, prefix: &str, n: usize) -> usize {
         let mut served = 0;
         for i in 0..n {
@@ -205,7 +205,7 @@
         served
     }
 
-    /// The sum of all counts.
+    /// Returns the sum of all counts.
     pub fn sum(&self) -> f64 {
         self.0.values().sum()
     }
--- a/tests/decisions/leases.rs
+++ b/tests/decisions/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: what is granted and rejected, also when the counter fails or loses its data.
+//! Leases: which requests are admitted and rejected, also when the counter fails or loses its data.
 
 use crate::harness::{FakeCounter, Harness, counter_calls, forwarded, new_request, plan, rejected, settings};
 use weirusher::{Action, Event, Status, Time};
@@ -24,19 +24,20 @@
     assert_eq!(
         (forwarded(&actions).len(), counter_calls(&actions).len()),
         (1, 1),
-        "sent at once, beside a call for a lease"
+        "the first request is sent at once, and the counter is called for a lease"
     );
 }
 
+/// The burst is granted once; requests beyond it are rejected without a call to the counter.
 #[test]
-fn the_burst_is_granted_once_and_the_rest_rejected_without_a_call() {
+fn the_burst_is_granted_once() {
     let (mut harness, mut counter) = (Harness::new(settings()), FakeCounter::default());
-    assert_eq!(counter.serve_many(&mut harness, "a", 60), 20, "the burst, to the unit");
+    assert_eq!(counter.serve_many(&mut harness, "a", 60), 20, "exactly the burst is granted");
     let actions = harness.request("b");
     assert_eq!(
         (rejected(&actions), counter_calls(&actions).len()),
         (1, 0),
-        "a level known to be empty needs no call"
+        "no call is made while the level is known to be empty"
     );
     assert!(matches!(actions[0], Action::Reject { retry_after, .. } if retry_after > 0.0));
 }
@@ -50,7 +51,7 @@
         sent += counter.serve_many(&mut one, &format!("a{i}-"), 1);
         sent += counter.serve_many(&mut two, &format!("b{i}-"), 1);
     }
-    assert!((18..=21).contains(&sent), "{sent} sent of a burst of 20 (one unit may be uncounted)");
+    assert!((18..=21).contains(&sent), "{sent} sent with a burst of 20, of which one unit may be uncounted");
 }
 
 #[test]
@@ -62,7 +63,7 @@
         advance(&mut harness, &mut counter, at);
         sent += counter.serve_many(&mut harness, &format!("s{step}-"), 4);
     }
-    assert!((110..=124).contains(&sent), "{sent} sent; burst 20 and 10 a second for 10 s make 120");
+    assert!((110..=124).contains(&sent), "{sent} sent; a burst of 20 and 10 per second for 10 s allow 120");
 }
 
 #[test]
@@ -72,8 +73,8 @@
     counter.0.clear();
     harness.now += 0.3;
     let sent = counter.serve_many(&mut harness, "b", 60);
-    assert!(sent <= 4, "{sent} sent after 0.3 s at 10 a second");
-    assert!(counter.sum() > 15.0, "what had been used is restored on the count");
+    assert!(sent <= 4, "{sent} sent after 0.3 s at 10 per second");
+    assert!(counter.sum() > 15.0, "the units used before are restored on the count");
 }
 
 #[test]
@@ -103,8 +104,8 @@
             harness.end_attempt(&id, 0, &backend, Status::Ok);
         }
     }
-    // The last known level was empty, so the share begins empty: a burst that is spent is not granted again.
-    assert!((22..=26).contains(&sent), "{sent} sent in 5 s; half of 10 a second makes 25");
+    // The last known level was 0, so the fallback limit starts empty: a spent burst is not granted again.
+    assert!((22..=26).contains(&sent), "{sent} sent in 5 s; half of 10 per second allows 25");
 }
 
 #[test]
@@ -113,7 +114,7 @@
     counter.serve_many(&mut harness, "a", 15);
     harness.now += 30.0; // Windows are eight seconds long here.
     let actions = harness.request("b");
-    assert_eq!(counter_calls(&actions).len(), 1, "an old lease covers nothing: a new one is requested");
+    assert_eq!(counter_calls(&actions).len(), 1, "the old lease has expired, so a new one is requested");
 }
 
 #[test]
@@ -125,13 +126,21 @@
     for i in 0..6 {
         actions.extend(counter.request(&mut harness, &format!("j{i}")));
     }
-    assert_eq!((forwarded(&actions).len(), rejected(&actions)), (2, 4), "two of four at one of two gateways");
+    assert_eq!(
+        (forwarded(&actions).len(), rejected(&actions)),
+        (2, 4),
+        "one of two gateways allows two of four attempts"
+    );
     let (id, backend) = forwarded(&actions).remove(0);
     harness.end_attempt(&id, 0, &backend, Status::Ok);
-    assert_eq!(forwarded(&counter.request(&mut harness, "k")).len(), 1, "one has ended");
+    assert_eq!(
+        forwarded(&counter.request(&mut harness, "k")).len(),
+        1,
+        "one more is sent after one has ended"
+    );
 }
 
-/// Guards against an outage that is inferred from responses whose total cannot be read: those were counted.
+/// Guards against inferring an outage from responses whose total cannot be read: their units were counted.
 #[test]
 fn an_unreadable_response_of_the_counter_is_no_outage() {
     let calls_after = |status| {
@@ -147,13 +156,13 @@
     let (unreadable, late) = (calls_after(Status::Error), calls_after(Status::Timeout));
     assert!(
         unreadable > 2 * late && late > 0,
-        "{unreadable} calls where responses are unreadable, {late} where none comes"
+        "{unreadable} calls with unreadable responses, {late} calls without responses"
     );
 }
 
-/// One of many gateways, where a share is under one request, and a function that sends a request of a
-/// customer.
-fn one_of_many() -> (Harness, impl Fn(&mut Harness, &str) -> Vec<Action>) {
+/// Creates one gateway of a fleet of 100, in which a customer's share is below one request, and a function that
+/// sends a request of a given customer.
+fn gateway_with_fractional_shares() -> (Harness, impl Fn(&mut Harness, &str) -> Vec<Action>) {
     let mut settings = settings();
     (settings.instances, settings.plans[0]) = (100, plan(1.0, 4.0));
     let send_request = |harness: &mut Harness, customer: &str| {
@@ -166,15 +175,16 @@
 
 #[test]
 fn a_call_for_a_fractional_share_requests_no_spare_units() {
-    let (mut harness, send_request) = one_of_many();
-    // A second unit would stay unused: the customer's next request comes through another gateway.
+    let (mut harness, send_request) = gateway_with_fractional_shares();
+    // A second unit would stay unused, as the customer's next request goes through another gateway.
     assert_eq!(counter_calls(&send_request(&mut harness, "c"))[0].1, 1.0);
 }
 
-/// Units beyond its one that the call of a new customer adds, so many seconds after others spent without a
-/// lease, and the actions that its response leads to.
+/// Lets customers spend units without a lease and, after `seconds`, sends a request of a new customer. Returns the
+/// units that its call to the counter adds beyond the one requested, and the actions that follow the response.
 fn uncounted_after(seconds: f64) -> (f64, Vec<Action>) {
-    let ((mut harness, send_request), mut counter) = (one_of_many(), FakeCounter::default());
+    let ((mut harness, send_request), mut counter) =
+        (gateway_with_fractional_shares(), FakeCounter::default());
     for n in 0..30 {
         let mut actions = send_request(&mut harness, &format!("c{n}"));
         actions.extend(counter.respond(&mut harness, &actions.clone()));
@@ -188,15 +198,17 @@
     (uncounted, counter.respond(&mut harness, &actions))
 }
 
+/// A call that also reports uncounted units does not cause the rejection of the request it is made for.
 #[test]
-fn uncounted_units_do_not_reject_the_request_whose_call_reports_them() {
+fn reporting_uncounted_units_does_not_reject_the_request() {
     let (uncounted, actions) = uncounted_after(5.0);
-    assert!(uncounted > 2.0, "{uncounted}: the call reports what was spent without a lease");
+    assert!(uncounted > 2.0, "only {uncounted} units spent without a lease are reported");
     assert_eq!((forwarded(&actions).len(), rejected(&actions)), (1, 0));
 }
 
+/// Uncounted units are not reported once the refill has covered them.
 #[test]
-fn uncounted_units_are_forgotten_when_the_refill_has_paid_for_them() {
+fn uncounted_units_covered_by_the_refill_are_dropped() {
     let (uncounted, _) = uncounted_after(30.0);
-    assert!(uncounted < 0.3, "{uncounted} reported, seven times a burst's refill later");
+    assert!(uncounted < 0.3, "{uncounted} units reported after seven times the refill time of a burst");
 }
--- a/tests/decisions/rules.rs
+++ b/tests/decisions/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of a request, a backend and a plan, as one gateway keeps them by itself.
+//! Rules for requests, backends and plans that a single gateway keeps on its own.
 
 use crate::harness::{
     Harness, endpoint, failed, forwarded, new_request, rejected, settings, settings_without_quota,
@@ -18,9 +18,9 @@
 fn a_request_is_closed_once_whatever_events_follow() {
     let mut harness = Harness::new(with_idempotency(Idempotency::Idempotent));
     let (_, backend) = forwarded(&harness.request("j")).remove(0);
-    assert!(harness.request("j").is_empty(), "an id is taken once");
+    assert!(harness.request("j").is_empty(), "a request with a known id is ignored");
     harness.end_attempt("j", 0, &backend, Status::Ok);
-    assert!(harness.end_attempt("j", 0, &backend, Status::Error).is_empty(), "a late outcome has no action");
+    assert!(harness.end_attempt("j", 0, &backend, Status::Error).is_empty(), "a late outcome is ignored");
     assert!(harness.handle(Event::ClientGone { request: "j".into() }).is_empty());
 }
 
@@ -32,39 +32,41 @@
     settings.plans[0].ceiling_burst = 40.0;
     let mut harness = Harness::new(settings);
     let actions = harness.request("j");
-    assert!(forwarded(&actions).is_empty() && rejected(&actions) == 0, "it waits for the counter");
+    assert!(forwarded(&actions).is_empty() && rejected(&actions) == 0, "the request waits for the counter");
     let timer = actions.iter().find_map(|a| match a {
         Action::SetTimer { token, at } => Some((*token, *at)),
         _ => None,
     });
-    let (token, at) = timer.expect("a wait has its timer");
-    assert!(at - harness.now <= 0.025, "a few milliseconds");
+    let (token, at) = timer.expect("a timer ends the wait");
+    assert!(at - harness.now <= 0.025, "the lease wait is longer than 25 ms");
     harness.now = at;
     let actions = harness.handle(Event::Timer { token });
     assert_eq!(
         forwarded(&actions).len() + rejected(&actions),
         1,
-        "it does not wait longer for an unavailable counter"
+        "the request is decided when the wait ends"
     );
 }
 
+/// A request whose deadline passes before the lease wait would end is rejected at once.
 #[test]
-fn a_deadline_before_the_end_of_the_lease_wait_is_rejected_at_once() {
+fn a_deadline_within_the_lease_wait_is_rejected() {
     let mut harness = Harness::new(settings());
     let mut near = new_request("j", harness.now);
     near.deadline = harness.now + 0.003;
     assert_eq!(rejected(&harness.handle(Event::Request(near))), 1);
 }
 
+/// A non-idempotent request that may have been executed fails: it is neither retried nor rejected.
 #[test]
-fn a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() {
+fn a_non_idempotent_request_that_may_have_run_fails() {
     let mut harness = Harness::new(with_idempotency(Idempotency::NonIdempotent));
     let (_, backend) = forwarded(&harness.request("j")).remove(0);
     let actions = harness.end_attempt("j", 0, &backend, Status::Reset);
     assert_eq!((forwarded(&actions).len(), rejected(&actions), failed(&actions)), (0, 0, 1));
     let (_, backend) = forwarded(&harness.request("k")).remove(0);
     let actions = harness.end_attempt("k", 0, &backend, Status::Rejected);
-    assert_eq!(forwarded(&actions).len(), 1, "one that surely never ran is retried");
+    assert_eq!(forwarded(&actions).len(), 1, "a request that was certainly not executed is retried");
 }
 
 #[test]
@@ -80,20 +82,20 @@
     let (_, first) = forwarded(&harness.request("j")).remove(0);
     harness.now += 0.4;
     let (_, second) = forwarded(&harness.end_attempt("j", 0, &first, Status::Error)).remove(0);
-    assert_eq!(zone(&first), zone(&second), "only its zone discards the retry");
+    assert_eq!(zone(&first), zone(&second), "only backends of the first one's zone deduplicate the retry");
     let start_within = |action: &Action| match action {
         Action::Forward { start_within, .. } => Some(*start_within),
         _ => None,
     };
     let start_within: Vec<f64> = harness.actions.iter().filter_map(start_within).collect();
-    assert_eq!(start_within[0], f64::INFINITY, "a first attempt is no retry");
-    assert!((start_within[1] - 0.6).abs() < 1e-9, "later its zone has forgotten the key: {start_within:?}");
+    assert_eq!(start_within[0], f64::INFINITY, "a first attempt may be sent at any time");
+    assert!((start_within[1] - 0.6).abs() < 1e-9, "0.6 s of the window are left: {start_within:?}");
     harness.now += 2.0;
     let actions = harness.end_attempt("j", 1, &second, Status::Error);
     assert_eq!(
         (forwarded(&actions).len(), rejected(&actions), failed(&actions)),
         (0, 0, 1),
-        "the zone has forgotten the key"
+        "after the window the zone has discarded the key"
     );
 }
 
@@ -106,7 +108,7 @@
     assert_eq!(forwarded(&actions).len(), 1);
     assert!(
         !actions.iter().any(|a| matches!(a, Action::SetTimer { .. })),
-        "no timer of a hedged request is set"
+        "no timer for a hedged request is set"
     );
 }
 
@@ -125,26 +127,27 @@
         }
     }
     harness.update_endpoints(EndpointListKind::Snapshot, vec![]);
-    assert_eq!(rejected(&harness.request("last")), 1, "without backends it is rejected and does not wait");
+    assert_eq!(rejected(&harness.request("last")), 1, "without backends a request is rejected at once");
 }
 
 #[test]
-fn a_backend_in_slow_start_gets_a_small_part() {
+fn a_backend_in_slow_start_gets_few_requests() {
     let mut harness = Harness::new(with_idempotency(Idempotency::Idempotent));
     harness.update_endpoints(EndpointListKind::Delta, vec![endpoint("a", Lifecycle::Running, 99.9)]);
-    let mut to_cold = 0;
+    let mut sent = 0;
     for i in 0..90 {
         harness.now += 0.01;
         for (id, backend) in forwarded(&harness.request(&format!("j{i}"))) {
-            to_cold += usize::from(backend.as_ref() == "a");
+            sent += usize::from(backend.as_ref() == "a");
             harness.end_attempt(&id, 0, &backend, Status::Ok);
         }
     }
-    assert!(to_cold <= 12, "{to_cold} of 90 went to the backend in slow start, one of three");
+    assert!(sent <= 12, "{sent} of 90 requests sent to the one of three backends that is in slow start");
 }
 
+/// A backend that is reachable again may have restarted, so its slow start begins.
 #[test]
-fn a_backend_that_is_reachable_again_is_treated_as_in_slow_start() {
+fn a_backend_that_is_reachable_again_starts_slowly() {
     let mut harness = Harness::new(with_idempotency(Idempotency::Idempotent));
     harness.update_endpoints(EndpointListKind::Snapshot, vec![endpoint("a", Lifecycle::Running, 0.0)]);
     harness.request("j0");
@@ -153,11 +156,12 @@
     harness.request("j1");
     harness.end_attempt("j1", 0, &"a".into(), Status::Ok);
     let sent = (2..20).map(|i| forwarded(&harness.request(&format!("j{i}"))).len()).sum::<usize>();
-    assert!(sent <= 1, "{sent} sent at once to a backend that may have restarted");
+    assert!(sent <= 1, "{sent} requests sent at once to a backend that may have restarted");
 }
 
+/// Without the counter a gateway that has just started does not know what it spent of the ceiling before.
 #[test]
-fn without_the_counter_a_restarted_gateway_has_no_ceiling_headroom_at_first() {
+fn a_restarted_gateway_has_no_ceiling_headroom_at_first() {
     let mut settings = settings();
     settings.has_counter = false;
     (settings.plans[0].ceiling_rate, settings.plans[0].ceiling_burst) = (17.0, 34.0);
@@ -166,7 +170,7 @@
     assert_eq!(at_once, 0);
     harness.now += 100.0;
     let later = (0..30).map(|i| forwarded(&harness.request(&format!("b{i}"))).len()).sum::<usize>();
-    assert!(later <= 7, "{later}: an even share of the headroom between quota and ceiling is 7 at most");
+    assert!(later <= 7, "{later} sent; an even share of the headroom between quota and ceiling is at most 7");
 }
 
 #[test]
@@ -181,8 +185,8 @@
     assert_eq!(forwarded(&harness.request("after")).len(), 1);
 }
 
-/// Of 20 requests that follow `failures` attempts at one backend, each of which failed to connect after
-/// `elapsed` seconds, how many go there.
+/// Lets `failures` attempts at one backend fail to connect, each after `elapsed` seconds. Returns how many of the
+/// 20 requests that follow are sent to that backend.
 fn sent_after_failed_connections(failures: u32, elapsed: f64) -> usize {
     let mut harness = Harness::new(with_idempotency(Idempotency::Idempotent));
     let mut failed = 0;
@@ -204,12 +208,16 @@
             }
         }
     }
-    panic!("no attempt was sent to it");
+    panic!("fewer than {failures} attempts were sent to the backend");
 }
 
 #[test]
 fn a_connection_that_times_out_is_not_a_refused_one() {
-    assert_eq!(sent_after_failed_connections(1, 0.002), 0, "refused: it is ejected at once");
-    assert!(sent_after_failed_connections(1, 0.25) > 0, "timed out: another attempt shows more");
-    assert_eq!(sent_after_failed_connections(3, 0.25), 0, "three in a row: it is unreachable");
+    assert_eq!(sent_after_failed_connections(1, 0.002), 0, "one refused connection ejects the backend");
+    assert!(sent_after_failed_connections(1, 0.25) > 0, "one connect timeout does not eject the backend");
+    assert_eq!(
+        sent_after_failed_connections(3, 0.25),
+        0,
+        "three connect timeouts in a row eject the backend"
+    );
 }
--- a/tests/decisions/settings.rs
+++ b/tests/decisions/settings.rs
@@ -1,4 +1,4 @@
-//! Invalid settings and requests, and events without a request.
+//! Invalid settings, invalid requests, and events for unknown requests.
 
 use crate::harness::{Harness, new_request, rejected, settings};
 use weirusher::{Event, Gateway, Request, Settings, SettingsError, Status};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_invalid_request_is_rejected_once_and_unknown_events_are_ignored() {
+fn invalid_requests_are_rejected_and_unknown_ids_ignored() {
     let mut harness = Harness::new(settings());
     let changes: [fn(&mut Request); 4] =
         [|r| r.class = 9, |r| r.plan = 9, |r| r.units = f64::NAN, |r| r.deadline = 1.0];
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,19 +1,18 @@
-//! Slow start over a fleet: what all gateways together send to backends that have just started.
+//! Slow start in a fleet: how much all gateways together send to backends that have just started.
 
 use crate::fleet::{endpoints, fleet, seeded_fleet, serve_one};
 use crate::harness::{endpoint, settings_without_quota};
 use weirusher::{EndpointListKind, Lifecycle, Settings};
 
-/// What the backends of a fleet were sent around the restart of some.
+/// The requests that backends were sent before and after some of them restarted.
 struct Restart {
-    /// Requests a second that a backend was sent before.
+    /// Mean requests per second sent to a backend before the restart.
     rate_before: f64,
-    /// What each restarted backend was sent in each second after.
+    /// For each restarted backend, the requests sent to it in each second after the restart.
     sent_after: Vec<[f64; 5]>,
 }
 
-/// Restarts the first `restarted` of `count` backends before a fleet of gateways, all of which learn it at
-/// once.
+/// Restarts the first `restarted` of `count` backends; all gateways of the fleet are notified at the same time.
 fn restart_backends(settings: &Settings, gateways: u32, count: u32, restarted: u32, seed: u64) -> Restart {
     const STEPS: u32 = 120;
     const RESTART_STEP: u32 = 70;
@@ -25,8 +24,8 @@
         for (i, harness) in fleet.iter_mut().enumerate() {
             harness.now = now;
             if step == RESTART_STEP {
-                let fresh = |i| endpoint(&format!("s{i:03}"), Lifecycle::Running, now);
-                harness.update_endpoints(EndpointListKind::Delta, (0..restarted).map(fresh).collect());
+                let started_now = |i| endpoint(&format!("s{i:03}"), Lifecycle::Running, now);
+                harness.update_endpoints(EndpointListKind::Delta, (0..restarted).map(started_now).collect());
             }
             if (i as u32 + step) % 5 != 0 {
                 continue;
@@ -46,10 +45,10 @@
     Restart { rate_before: sent_before / seconds_before / f64::from(count), sent_after }
 }
 
-/// In no run a backend is overloaded, and over all runs what it is sent stays as far below that as is
-/// planned.
+/// Hundreds of gateways are notified of a restart at the same time. The backend is not overloaded in any run, and
+/// the mean load over all runs keeps the planned margin below an overload.
 #[test]
-fn hundreds_of_gateways_that_learn_of_a_restart_at_once_do_not_overload_the_backend() {
+fn many_gateways_do_not_overload_a_restarted_backend() {
     const RUNS: u64 = 10;
     let settings = settings_without_quota();
     for (gateways, count) in [(200, 9), (200, 60)] {
@@ -61,23 +60,23 @@
                 + (1.0 - settings.slow_start_min_capacity) * age as f64 / settings.slow_start_seconds;
             let planned = settings.overload_multiple * warm_up * rate * settings.overload_seconds;
             let allowed = planned + 3.0 * planned.sqrt() + 3.0;
-            let most = runs.iter().map(|run| run.sent_after[0][age]).fold(0.0, f64::max);
+            let max = runs.iter().map(|run| run.sent_after[0][age]).fold(0.0, f64::max);
             let mean = runs.iter().map(|run| run.sent_after[0][age]).sum::<f64>() / RUNS as f64;
-            assert!(most <= allowed, "{most} sent at the age of {age} s, {allowed} would overload it");
-            assert!(mean <= 0.7 * planned, "{mean} sent at the age of {age} s, {planned} it may be");
+            assert!(max <= allowed, "{max} sent at an age of {age} s, allowed are {allowed}");
+            assert!(mean <= 0.7 * planned, "mean of {mean} sent at an age of {age} s, {planned} overload it");
         }
-        // What it surely can do is used: a fleet half of which has restarted needs that half.
+        // The guaranteed capacity is used: if half of the backends have restarted, the fleet needs that half.
         let min_capacity = settings.slow_start_min_capacity;
-        let can = (min_capacity + (1.0 - min_capacity) * 0.25) * rate * 5.0;
+        let capacity = (min_capacity + (1.0 - min_capacity) * 0.25) * rate * 5.0;
         let sent = runs.iter().map(|run| run.sent_after[0].iter().sum::<f64>()).sum::<f64>() / RUNS as f64;
-        assert!(sent >= 0.4 * can, "{sent} sent in its first 5 s, {can} it can surely do");
+        assert!(sent >= 0.4 * capacity, "{sent} sent in its first 5 s, guaranteed capacity is {capacity}");
     }
 }
 
-/// Guards against a budget of an even part of the load, which would leave half of the capacity unused where
-/// half of a fleet has restarted.
+/// Guards against a budget that is only an even share of the load: it would leave half of the capacity unused when
+/// half of the backends have restarted.
 #[test]
-fn a_fleet_half_of_which_has_restarted_uses_the_overload_multiple() {
+fn a_half_restarted_fleet_uses_the_overload_multiple() {
     let sent = |overload_multiple: f64| {
         let mut settings = settings_without_quota();
         settings.overload_multiple = overload_multiple;
@@ -85,45 +84,46 @@
         restart.sent_after.iter().flatten().sum::<f64>()
     };
     let (two, four) = (sent(2.0), sent(4.0));
-    assert!(four >= 1.7 * two && two > 0.0, "{two} sent at a multiple of 2, {four} at 4");
+    assert!(four >= 1.7 * two && two > 0.0, "{two} sent with a multiple of 2, {four} with 4");
 }
 
-/// Requests that may be sent to a backend in slow start in any time of `overload_seconds`, where the settings
-/// allow `n`.
+/// Returns how many requests may be sent to a backend in slow start in any period of `overload_seconds` if the
+/// settings allow `n`: `n` plus a tolerance for random arrivals.
 fn allowed(n: f64) -> f64 {
     if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 }
 }
 
-/// The same with no more room for chance where `n` is small.
+/// Like [`allowed`], but without the larger tolerance for small `n`.
 fn strictly_allowed(n: f64) -> f64 {
     n + 2.0 * n.sqrt() + 2.0
 }
 
-/// A change of the endpoint list, of twelve backends before.
+/// A change of an endpoint list of twelve backends, and the traffic around it.
 #[derive(Debug, Clone, Copy)]
 struct ListChange {
-    /// Requests a second that a backend is sent on average, seven tenths of what it can bear.
+    /// Mean requests per second sent to a backend: 70 % of its capacity.
     rate: f64,
-    /// Fraction by which the traffic swings up and down.
+    /// Fraction by which the traffic rises above and falls below its mean.
     swing: f64,
-    /// Backends that remain in the list.
+    /// Number of backends that remain in the list.
     remaining: u32,
-    /// How many of those have restarted.
+    /// How many of the remaining backends have restarted.
     restarted: u32,
 }
 
-/// The most requests sent to a restarted backend in a time of `overload_seconds`, less what is `allowed`
-/// there. Gateways of unequal load learn of the change at one instant.
+/// Returns the maximum excess, over any period of `overload_seconds`, of the requests sent to a restarted backend
+/// over those `allowed`. Gateways of unequal load are notified of the change at the same time.
 fn excess_in_slow_start(gateways: u32, change: ListChange, allowed: fn(f64) -> f64, seed: u64) -> f64 {
     const BACKENDS: u32 = 12;
     const TICK_SECONDS: f64 = 0.02;
-    const BUSIEST: f64 = 8.0;
+    /// Maximum ratio between the loads of two gateways.
+    const MAX_LOAD_RATIO: f64 = 8.0;
     const CHANGE_AT: f64 = 106.0;
     let mut settings = settings_without_quota();
     (settings.overload_multiple, settings.overload_seconds) = (4.0, 1.0);
     (settings.slow_start_min_capacity, settings.slow_start_seconds) = (0.25, 10.0);
     let mut rng = fastrand::Rng::with_seed(seed);
-    let weights: Vec<f64> = (0..gateways).map(|_| 1.0 + (BUSIEST - 1.0) * rng.f64().powi(4)).collect();
+    let weights: Vec<f64> = (0..gateways).map(|_| 1.0 + (MAX_LOAD_RATIO - 1.0) * rng.f64().powi(4)).collect();
     let sum: f64 = weights.iter().sum();
     let mut fleet = fleet(gateways, &settings, &endpoints(BACKENDS));
     let mut arrivals: Vec<f64> = Vec::new();
@@ -161,8 +161,8 @@
     arrivals.iter().map(|at| sent_until(*at) - allowed_at(*at)).fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// Requests that the settings allow in a time of `overload_seconds`, `age` seconds after a restart, to a
-/// backend that is sent `rate` a second on average.
+/// Returns the requests that the settings allow in a period of `overload_seconds` to a backend that restarted `age`
+/// seconds ago and is sent `rate` requests per second on average.
 fn planned_requests(settings: &Settings, rate: f64, age: f64) -> f64 {
     let warmed_up = (age / settings.slow_start_seconds).clamp(0.0, 1.0);
     let warm_up = settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * warmed_up;
@@ -174,16 +174,19 @@
         for &change in changes {
             for seed in 0..10 {
                 let excess = excess_in_slow_start(gateways, change, allowed, seed);
-                assert!(excess <= 0.0, "{excess} too many: {gateways} gateways, {change:?}, seed {seed}");
+                assert!(
+                    excess <= 0.0,
+                    "{excess} requests too many: {gateways} gateways, {change:?}, seed {seed}"
+                );
             }
         }
     }
 }
 
-/// Each gateway plans its part by itself, and the sum holds at any number of them, with one restarted backend
-/// or half of them, and as half of the list goes at that moment.
+/// Each gateway plans its part on its own. The sum stays within the limit for any number of gateways, with one or
+/// half of the backends restarted, and also if half of the list is removed at the same time.
 #[test]
-fn the_slow_start_of_a_backend_holds_over_any_number_of_gateways() {
+fn slow_start_holds_with_any_number_of_gateways() {
     let changes = [
         ListChange { rate: 1.0, swing: 0.5, remaining: 12, restarted: 1 },
         ListChange { rate: 2.0, swing: 0.9, remaining: 12, restarted: 6 },
@@ -193,10 +196,10 @@
     assert_no_excess(&[1, 2, 4, 20, 30, 300, 900], &changes, strictly_allowed);
 }
 
-/// Guards against a budget that rises with the load of the backends that remain: one in slow start can do no
-/// more.
+/// Guards against a budget that rises with the load per remaining backend, as the capacity of a backend in slow
+/// start does not rise.
 #[test]
-fn the_slow_start_of_a_backend_holds_as_two_thirds_of_the_list_go() {
+fn slow_start_holds_when_two_thirds_of_the_list_are_removed() {
     let changes = [
         ListChange { rate: 1.0, swing: 0.5, remaining: 4, restarted: 1 },
         ListChange { rate: 5.0, swing: 0.9, remaining: 4, restarted: 1 },
@@ -207,9 +210,9 @@
     assert_no_excess(&[1, 4, 20, 30, 300], &changes, allowed);
 }
 
-/// Guards against units that all gateways save in a trough of their traffic and spend together as it ends.
+/// Guards against units that all gateways save while their traffic is low and spend together as it rises.
 #[test]
-fn the_slow_start_of_a_backend_holds_as_three_quarters_of_the_list_go() {
+fn slow_start_holds_when_three_quarters_of_the_list_are_removed() {
     let change = |rate, swing| ListChange { rate, swing, remaining: 3, restarted: 1 };
     let changes: Vec<_> =
         [1.0, 5.0, 10.0, 40.0].into_iter().flat_map(|rate| [change(rate, 0.0), change(rate, 0.9)]).collect();
@@ -217,7 +220,7 @@
     for rate in [5.0, 10.0] {
         for seed in 100..160 {
             let excess = excess_in_slow_start(300, change(rate, 0.9), allowed, seed);
-            assert!(excess <= 0.0, "{excess} too many: rate {rate}, seed {seed}");
+            assert!(excess <= 0.0, "{excess} requests too many: rate {rate}, seed {seed}");
         }
     }
 }
--- a/tests/decisions/subsets.rs
+++ b/tests/decisions/subsets.rs
@@ -1,33 +1,33 @@
-//! Subsets: how many backends a gateway uses, and how many gateways a backend.
+//! Subsets: how many backends a gateway uses, and how many gateways use the same backend.
 
 use crate::fleet::{endpoints, fleet, serve_one};
 use crate::harness::{Harness, settings_without_quota};
 use std::collections::{BTreeMap, BTreeSet};
 use weirusher::{BackendId, EndpointListKind};
 
-/// The backends that a gateway sends `requests` requests to.
+/// Sends `requests` requests through a gateway and returns the backends that it used.
 fn used_backends(harness: &mut Harness, requests: u32) -> BTreeSet<BackendId> {
     (0..requests).filter_map(|i| serve_one(harness, &format!("j{i}"), 1)).collect()
 }
 
 #[test]
-fn a_gateway_of_many_uses_few_backends() {
+fn a_gateway_of_a_large_fleet_uses_few_backends() {
     let mut fleet = fleet(100, &settings_without_quota(), &endpoints(60));
     let used = used_backends(&mut fleet[3], 200);
     assert!((2..=12).contains(&used.len()), "{} backends used", used.len());
     let first: BTreeSet<BackendId> =
         fleet.iter_mut().filter_map(|harness| serve_one(harness, "first", 1)).collect();
-    assert!(first.len() >= 30, "together they use the fleet: {}", first.len());
+    assert!(first.len() >= 30, "only {} backends used by all gateways together", first.len());
 }
 
-/// For each backend, how many of the gateways use it.
+/// Returns for each backend how many of the gateways use it.
 fn gateways_by_backend(gateways: u32, count: u32) -> Vec<usize> {
     let settings = settings_without_quota();
     let mut users: BTreeMap<BackendId, usize> =
         endpoints(count).into_iter().map(|endpoint| (endpoint.id, 0)).collect();
     for harness in &mut fleet(gateways, &settings, &endpoints(count)) {
         for backend in used_backends(harness, 400) {
-            *users.get_mut(&backend).expect("it is listed") += 1;
+            *users.get_mut(&backend).expect("a listed backend") += 1;
         }
     }
     users.into_values().collect()
@@ -38,18 +38,18 @@
     for (gateways, count) in [(300, 200), (900, 200), (100, 150)] {
         let users = gateways_by_backend(gateways, count);
         let mean = users.iter().sum::<usize>() as f64 / f64::from(count);
-        let (least, most) = (users.iter().min().unwrap(), users.iter().max().unwrap());
+        let (min, max) = (users.iter().min().unwrap(), users.iter().max().unwrap());
         assert!(
-            *least as f64 >= 0.8 * mean && *most as f64 <= 1.2 * mean,
-            "{gateways} gateways, {count} backends: {least} to {most} gateways at one, {mean:.1} on average"
+            *min as f64 >= 0.8 * mean && *max as f64 <= 1.2 * mean,
+            "{gateways} gateways, {count} backends: {min} to {max} gateways per backend, mean {mean:.1}"
         );
     }
 }
 
-/// A gateway of many may make 2.5 times the connections that it makes at 300 gateways before 200 backends,
-/// and 40 more, while half of the backends restart.
+/// In front of thousands of backends a gateway may open 2.5 times the connections that it opens in a fleet of
+/// 300 gateways in front of 200 backends, plus 40, while half of the backends restart.
 #[test]
-fn a_gateway_before_thousands_of_backends_uses_few_of_them() {
+fn a_gateway_with_thousands_of_backends_uses_few_of_them() {
     let mut settings = settings_without_quota();
     let mut used = |gateways: u32, count: u32| {
         settings.instances = gateways;
@@ -57,10 +57,10 @@
         harness.update_endpoints(EndpointListKind::StaleSnapshot, endpoints(count));
         used_backends(&mut harness, 4000).len() as f64
     };
-    let usual = used(300, 200);
-    let most = (2.5 * 1.5 * usual + 40.0) / 1.5;
+    let baseline = used(300, 200);
+    let max = (2.5 * 1.5 * baseline + 40.0) / 1.5;
     for gateways in [300, 900] {
         let used = used(gateways, 3200);
-        assert!(used <= most, "{used} backends used at {gateways} gateways, {most} at most");
+        assert!(used <= max, "{used} backends used with {gateways} gateways, allowed are {max}");
     }
 }
