--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -10,7 +10,7 @@
 
 use super::Gateway;
 use super::customer::Customer;
-use super::fractional_share::starts_with_request;
+use super::fractional_share::admits_first_request;
 use super::quota::Funding;
 use super::request::OpenRequest;
 use super::token_bucket::TokenBucket;
@@ -93,6 +93,6 @@
     if plan.ceiling_rate > 0.0 {
         return 0.0;
     }
-    let one_request = if starts_with_request(&request.customer, instance) { request.units } else { 0.0 };
+    let one_request = if admits_first_request(&request.customer, instance) { request.units } else { 0.0 };
     (plan.burst / f64::from(customer_instances)).max(one_request)
 }
--- a/src/policy/ceiling.rs
+++ b/src/policy/ceiling.rs
@@ -5,7 +5,7 @@
 //! next of the customer's gateways in turn, and expires after the time in which the headroom refills its own
 //! burst. So all gateways together stay within the headroom even if a gateway's share is below one request.
 //!
-//! Inputs: the plan's rates (units a second) and bursts (units), the position of this gateway among those
+//! Inputs: the plan's rates (units per second) and bursts (units), the position of this gateway among those
 //! that serve the customer.
 
 use super::Gateway;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -67,7 +67,7 @@
 use latency::LatencyEstimate;
 use request::OpenRequest;
 use retry_budget::RetryBudget;
-use slow_start::FleetLoad;
+use slow_start::RecentLoad;
 use std::collections::HashMap;
 use subset::subset_start;
 use timers::Timers;
@@ -90,7 +90,7 @@
     backends: BackendTable,
     /// Start of this gateway's subset in the list of running backends, as a fraction of the list.
     subset_start: f64,
-    load: FleetLoad,
+    load: RecentLoad,
     latency: LatencyEstimate,
     concurrency: ConcurrencyLimit,
     retry_budget: RetryBudget,
@@ -114,7 +114,7 @@
             fractional_shares: vec![FractionalShares::default(); settings.plans.len()],
             backends: BackendTable::default(),
             subset_start: subset_start(settings.instance),
-            load: FleetLoad::default(),
+            load: RecentLoad::default(),
             latency: LatencyEstimate::default(),
             concurrency: ConcurrencyLimit::default(),
             retry_budget: RetryBudget::default(),
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -16,13 +16,13 @@
 
 /// The recent load of this gateway, from which the budgets of backends in slow start are derived.
 #[derive(Debug, Default)]
-pub(super) struct FleetLoad {
+pub(super) struct RecentLoad {
     sent_units: DecayingSum,
     peak_rate: DecayingPeak,
     peak_running: DecayingPeak,
 }
 
-impl FleetLoad {
+impl RecentLoad {
     /// Adds the units of an attempt to the recent load.
     pub(super) fn record_sent(&mut self, now: Time, units: f64) {
         self.sent_units.add(now, units, RATE_MEMORY_SECONDS);
--- a/src/policy/stable_hash.rs
+++ b/src/policy/stable_hash.rs
@@ -3,7 +3,7 @@
 use std::hash::Hasher;
 
 /// Number of distinct values of [`hash_fraction`].
-const STEPS: u64 = 1024;
+const FRACTION_VALUES: u64 = 1024;
 /// 2^64 divided by the golden ratio: the multiplier of the final mixing round.
 const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
@@ -18,5 +18,5 @@
 
 /// Hashes the concatenated `parts` to a fraction from 0 up to, but not including, 1.
 pub(super) fn hash_fraction(parts: &[&[u8]]) -> f64 {
-    (stable_hash(parts) % STEPS) as f64 / STEPS as f64
+    (stable_hash(parts) % FRACTION_VALUES) as f64 / FRACTION_VALUES as f64
 }
--- a/tests/decisions/property.rs
+++ b/tests/decisions/property.rs
@@ -149,7 +149,7 @@
     harness.counter_response(counter, STATUSES[random.below(5) as usize], total)
 }
 
-fn change_list(harness: &mut Harness, checker: &mut Checker, random: &mut Random) -> Vec<Action> {
+fn change_endpoint_list(harness: &mut Harness, checker: &mut Checker, random: &mut Random) -> Vec<Action> {
     const STATES: [Lifecycle; 3] = [Lifecycle::Running, Lifecycle::Draining, Lifecycle::Removed];
     let name = ["a", "b", "c"][random.below(3) as usize];
     let lifecycle = STATES[random.below(3) as usize];
@@ -175,7 +175,7 @@
             0..4 => send_request(&mut harness, &mut checker, &mut random, n),
             4..7 if !checker.in_flight.is_empty() => end_attempt(&mut harness, &mut checker, &mut random),
             7 | 8 if !checker.calls.is_empty() => respond_to_call(&mut harness, &mut checker, &mut random),
-            _ => change_list(&mut harness, &mut checker, &mut random),
+            _ => change_endpoint_list(&mut harness, &mut checker, &mut random),
         };
         checker.check(harness.now, &actions);
     }
