--- a/src/policy/call_pacing.rs
+++ b/src/policy/call_pacing.rs
@@ -26,7 +26,7 @@
     pub(super) rate: f64,
     /// When the rate was last lowered.
     lowered_at: Time,
-    /// Mean priority of the requests that want a call.
+    /// Moving average of the priority of requests that need a call.
     mean_priority: f64,
 }
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -10,9 +10,9 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("it reads");
-    child.wait_with_output().expect("it ends")
+        .expect("cannot start the adapter");
+    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("cannot write to the adapter");
+    child.wait_with_output().expect("cannot wait for the adapter")
 }
 
 /// Asserts that these messages end the adapter with an error that names the batch and contains `expected`.
