--- a/src/policy/counter.rs
+++ b/src/policy/counter.rs
@@ -2,7 +2,7 @@
 //!
 //! The counter counts as unavailable after several consecutive calls failed over several timeouts, and for
 //! some time after it responds again: other gateways may not yet have reported what they spent meanwhile, so
-//! no request relies on its total. Fallback limits decide instead.
+//! no lease is granted from its total. Fallback limits decide instead.
 //!
 //! Inputs: status and duration (seconds) of each call, the counter's timeout in seconds.
 
--- a/src/policy/fractional_share.rs
+++ b/src/policy/fractional_share.rs
@@ -17,7 +17,7 @@
 }
 
 /// Returns whether this gateway admits one request of a new customer although its share is fractional. The
-/// result is the same after a restart, so that the choice of gateways does not change.
+/// result is the same after a restart, so that restarts do not let further gateways admit one.
 pub(super) fn admits_first_request(customer: &CustomerId, instance: u32) -> bool {
     hash_fraction(&[customer.as_bytes(), &instance.to_le_bytes()]) < FRACTIONAL_SHARE_START_FRACTION
 }
