--- a/crates/ext-authz/src/acceptor.rs
+++ b/crates/ext-authz/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, and hands them to the gRPC server once they speak HTTP/2.
+//! Accepts connections, and passes each to the gRPC server once it has sent the HTTP/2 preface.
 
 use crate::connection::Connection;
 use crate::metrics::Metrics;
@@ -8,34 +8,35 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, watch};
 use weirusher_net::Listener;
 
-/// What every HTTP/2 client sends first (RFC 9113, 3.4).
+/// The connection preface, which every HTTP/2 client sends first (RFC 9113, section 3.4).
 const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Time in which the preface has to arrive.
+/// Time limit for the preface to arrive.
 const PREFACE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time in which the preface has to arrive once the server stops.
+/// Time limit for the preface to arrive once the server is stopping.
 const PREFACE_TIMEOUT_STOPPING: Duration = Duration::from_millis(250);
-/// Interval at which an incomplete preface is looked at again.
+/// Interval at which an incomplete preface is checked again.
 const PREFACE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Accepts connections up to a limit.
+/// Accepts connections up to a limit; a connection beyond the limit is closed at once.
 pub struct Acceptor {
-    /// One permit for each connection that may be open.
+    /// One permit per connection that may be open.
     pub slots: Arc<Semaphore>,
     pub metrics: Arc<Metrics>,
-    /// Takes the connections that have sent the preface.
+    /// Receives the connections that have sent the preface.
     pub ready: mpsc::Sender<Connection>,
-    /// Set once the server stops.
+    /// Set once the server is stopping.
     pub stopped: watch::Receiver<bool>,
 }
 
 impl Acceptor {
-    /// Accepts until `stopped` is set and the backlog is empty. Then the listener is dropped: a later
-    /// connection is refused at once, and may go to another instance, where it would wait in vain in a
-    /// backlog.
+    /// Accepts until `stopped` is set and the backlog is empty, then drops the listener. Later connections
+    /// are refused at once, so that their clients can try another instance instead of waiting in a backlog
+    /// that nobody accepts from.
     pub async fn accept(mut self, mut listener: Listener) {
         loop {
             let stream = tokio::select! {
-                // Guards the checks on connections in the backlog: they are accepted first, not reset.
+                // The backlog is emptied before `stopped` is handled: dropping the listener would reset the
+                // connections in it, and lose the checks that they carry.
                 biased;
                 stream = listener.accept() => stream,
                 _ = self.stopped.wait_for(|stop| *stop) => return,
@@ -50,12 +51,12 @@
             return;
         };
         let (ready, metrics, stopped) = (self.ready.clone(), self.metrics.clone(), self.stopped.clone());
-        tokio::spawn(hand_over(stream, slot, ready, metrics, stopped));
+        tokio::spawn(forward_connection(stream, slot, ready, metrics, stopped));
     }
 }
 
-/// Hands a connection to the server once its peer has sent the preface.
-async fn hand_over(
+/// Passes a connection to the server once its peer has sent the preface, or closes it if the preface is late.
+async fn forward_connection(
     stream: TcpStream,
     slot: OwnedSemaphorePermit,
     ready: mpsc::Sender<Connection>,
@@ -67,23 +68,24 @@
         () = preface_timeout(stopped) => false,
     };
     if speaks_http2 {
-        let _ = ready.send(Connection::new(stream, slot)).await; // The server may have ended.
+        let _ = ready.send(Connection::new(stream, slot)).await; // Fails only if the server has ended.
     } else {
         metrics.increment(|m| &m.connections_without_preface);
     }
 }
 
-/// Ends when the preface is late.
+/// Completes when the time limit for the preface has passed.
 async fn preface_timeout(mut stopped: watch::Receiver<bool>) {
     let after_stop = async {
-        let _ = stopped.wait_for(|stop| *stop).await; // A dropped sender stops as well.
+        let _ = stopped.wait_for(|stop| *stop).await; // A dropped sender counts as a stop.
         tokio::time::sleep(PREFACE_TIMEOUT_STOPPING).await;
     };
     let _ = tokio::time::timeout(PREFACE_TIMEOUT, after_stop).await; // Whichever ends first.
 }
 
-/// Waits for the preface without consuming it; `false` if other bytes arrive. Guards the slots against peers
-/// that send nothing, as the server itself waits for the preface without a timeout.
+/// Waits for the preface without consuming it. Returns `false` if other bytes arrive or the connection ends.
+/// The gRPC server itself waits for the preface without a timeout, so peers that send nothing could otherwise
+/// occupy all connection slots.
 async fn receive_preface(stream: &TcpStream) -> bool {
     let mut seen = [0; PREFACE.len()];
     loop {
--- a/crates/ext-authz/src/admin.rs
+++ b/crates/ext-authz/src/admin.rs
@@ -5,11 +5,11 @@
 use weirusher_peers::{Peers, page::Handler};
 use weirusher_wire::http1::{Request, Response};
 
-/// What the admin page reads its answers from.
+/// The request handler of the admin page.
 #[derive(Clone)]
 pub struct AdminPage {
     pub engine: mpsc::Sender<ServiceEvent>,
-    /// The other gateway instances, if a fleet is configured.
+    /// The membership of the fleet, if a fleet is configured.
     pub peers: Option<Peers>,
 }
 
--- a/crates/ext-authz/src/attributes.rs
+++ b/crates/ext-authz/src/attributes.rs
@@ -1,4 +1,4 @@
-//! Reads a check from Envoy's request attributes, by the configuration's rules. No I/O.
+//! Parses a check from Envoy's request attributes, by the rules of the configuration. Does no I/O.
 
 use envoy_types::pb::envoy::config::core::v3::HeaderMap;
 use envoy_types::pb::envoy::service::auth::v3::{AttributeContext, attribute_context::HttpRequest};
@@ -6,15 +6,15 @@
 use weirusher_config::RequestRules;
 use weirusher_core::{Check, InstanceRange};
 
-/// Bytes of the longest customer name.
+/// Maximum length of a customer name in bytes.
 const MAX_CUSTOMER_BYTES: usize = 256;
-/// The longest time budget that a client may state: it bounds how long a request stays in the request table.
+/// Maximum time budget that a client may state; it bounds how long a request stays in the request table.
 const MAX_TIME_BUDGET_SECONDS: f64 = 3600.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// The instances of a customer for whom no header states them: all.
+/// The range for a customer whose requests have no instances header: all instances.
 const ALL_INSTANCES: InstanceRange = InstanceRange { count: u32::MAX, first: 0 };
 
-/// Why attributes give no check. The client has to change its request; the text is what it gets to read.
+/// Why attributes were rejected. The client gets the text in the response, and has to change its request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AttributeError {
     #[error("the check has no HTTP request")]
@@ -36,17 +36,19 @@
 }
 
 impl<'a> Headers<'a> {
+    /// All values of a header.
     fn all(&self, name: &str) -> Vec<&'a str> {
         let listed = self.listed.map(|map| map.headers.as_slice()).unwrap_or_default();
         let values = listed.iter().filter(|h| h.key.eq_ignore_ascii_case(name)).map(|h| {
             match h.raw_value.as_slice() {
                 [] => h.value.as_str(),
-                bytes => std::str::from_utf8(bytes).unwrap_or("\u{0}"), // No value is accepted with this.
+                bytes => std::str::from_utf8(bytes).unwrap_or("\u{0}"), // Rejected later as invalid.
             }
         });
         self.by_name.get(name).map(String::as_str).into_iter().chain(values).collect()
     }
 
+    /// The value of a header that may occur once at most.
     fn one(&self, name: &str) -> Result<Option<&'a str>, AttributeError> {
         match self.all(name)[..] {
             [] => Ok(None),
@@ -55,6 +57,7 @@
         }
     }
 
+    /// The number in a header, which must be from `min` to `max`.
     fn number(&self, name: &str, min: f64, max: f64) -> Result<Option<f64>, AttributeError> {
         let Some(text) = self.one(name)? else { return Ok(None) };
         let number = text.trim().parse::<f64>().ok().filter(|n| n.is_finite() && *n >= min && *n <= max);
@@ -62,10 +65,10 @@
     }
 }
 
-/// Reads a check.
+/// Parses a check.
 ///
 /// # Errors
-/// The attributes lack something that a check needs, or a header has an unusable value.
+/// The attributes lack something that a check needs, or a header has an invalid value.
 pub fn parse_check(
     rules: &RequestRules,
     attributes: Option<&AttributeContext>,
@@ -106,11 +109,11 @@
         _ => return Err(AttributeError::SeveralCustomers(name.clone())),
     };
     if customer.contains(',') {
-        // A proxy joins repeated headers with a comma: it would not be clear whose quota to use.
+        // Proxies join repeated headers with a comma, so it is unclear which customer's quota applies.
         return Err(AttributeError::SeveralCustomers(name.clone()));
     }
-    let usable = !customer.trim().is_empty() && customer.len() <= MAX_CUSTOMER_BYTES;
-    if !usable || customer.contains(char::is_control) {
+    let valid = !customer.trim().is_empty() && customer.len() <= MAX_CUSTOMER_BYTES;
+    if !valid || customer.contains(char::is_control) {
         return Err(AttributeError::InvalidValue(name.clone()));
     }
     Ok(customer)
@@ -120,7 +123,7 @@
     rules.routes.iter().find(|route| http.path.starts_with(&route.prefix)).map_or(0, |route| route.class)
 }
 
-/// Reads `count/first`: how many instances serve the customer, and the number of the first.
+/// Parses `count/first`: the number of instances that serve the customer, and the index of the first one.
 fn instance_range(name: &str, text: &str) -> Result<InstanceRange, AttributeError> {
     let parsed = text.split_once('/').and_then(|(count, first)| {
         Some(InstanceRange { count: count.parse().ok()?, first: first.parse().ok()? })
--- a/crates/ext-authz/src/attributes/tests.rs
+++ b/crates/ext-authz/src/attributes/tests.rs
@@ -1,4 +1,4 @@
-//! Checks read from attributes, and attributes that are rejected.
+//! Valid checks, and attributes that are rejected.
 
 use super::*;
 use envoy_types::pb::envoy::config::core::v3::HeaderValue;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_check_needs_one_customer() {
+fn a_check_needs_exactly_one_customer() {
     let parsed = |headers: &[(&str, &str)]| parse_check(&rules(), Some(&context(headers)));
     let customer = || "x-customer".to_string();
     assert_eq!(parsed(&[("x-customer", "school-1")]).unwrap().customer.as_ref(), "school-1");
@@ -31,8 +31,9 @@
     assert_eq!(parse_check(&rules(), None), Err(AttributeError::NoRequest));
 }
 
+/// A proxy may send headers as a `HeaderMap`, which can repeat a header.
 #[test]
-fn a_header_map_counts_like_headers_and_twice_is_twice() {
+fn a_header_map_is_read_and_a_repeated_customer_rejected() {
     let mut context = context(&[]);
     let value = |v: &str| HeaderValue { key: "X-Customer".into(), value: v.into(), raw_value: Vec::new() };
     let http = context.request.as_mut().unwrap().http.as_mut().unwrap();
--- a/crates/ext-authz/src/clients/counter.rs
+++ b/crates/ext-authz/src/clients/counter.rs
@@ -1,4 +1,4 @@
-//! The counter client: calls over one pipelined RESP connection.
+//! The counter client, which pipelines calls over one RESP connection.
 
 use crate::engine_task::{ClientEvent, CounterCall};
 use crate::metrics::Metrics;
@@ -16,16 +16,17 @@
 use weirusher_net::Stream;
 use weirusher_wire::resp::{self, Frame, RespCodec, RespError};
 
-/// Bytes that may wait to be written; past that the counter reads too slowly, and calls are rejected.
+/// Maximum number of bytes that wait to be written. Beyond it, the counter reads too slowly and calls are
+/// rejected.
 const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
-/// Calls that are taken from the queue at once, to be sent together.
+/// Maximum number of calls that are taken from the queue at once, to be written together.
 const BATCH: usize = 256;
-/// Responses to one call: to the command that sets the counter's expiry, and to the one that adds.
+/// Responses per call: one to the command that creates the counter with its expiry, one to the addition.
 const RESPONSES_PER_CALL: u8 = 2;
 
 pub struct CounterClient {
     pub address: SocketAddr,
-    /// Seconds after which a call times out.
+    /// Time limit for a call in seconds.
     pub call_timeout: f64,
     pub clock: Clock,
     pub calls: mpsc::Receiver<CounterCall>,
@@ -35,14 +36,14 @@
     pub seed: u64,
 }
 
-/// The engine has ended, and the client with it.
+/// The engine task has ended, so the client stops.
 struct Stopped;
 
-/// Why a session does not go on.
+/// Why a session ended.
 enum SessionEnd {
-    /// The connection failed, or is of no further use.
+    /// The connection failed, or is closed as unusable.
     Connection,
-    /// The engine has ended.
+    /// The engine task has ended.
     Stopped,
 }
 
@@ -52,18 +53,19 @@
     }
 }
 
-/// One connection's calls and bytes.
+/// The state of one connection.
 struct Session {
     pipeline: Pipeline<u64>,
+    /// Bytes that are yet to be written to the socket.
     unwritten: BytesMut,
-    /// Responses received for the call at the front.
+    /// Responses received so far for the oldest call in the pipeline.
     responses: u8,
-    /// The connection has answered something.
+    /// Whether any response has been received.
     responded: bool,
 }
 
 impl CounterClient {
-    /// Runs until the engine ends.
+    /// Runs until the engine task ends.
     pub async fn run(mut self) {
         let mut backoff = Backoff::new(self.seed);
         loop {
@@ -77,7 +79,7 @@
                 self.metrics.increment(|m| &m.counter_connections);
                 match self.serve(stream).await {
                     Err(Stopped) => return,
-                    // A connection that answered is no failure; without an answer the backoff goes on.
+                    // Only a connection that received a response resets the backoff.
                     Ok(responded) if responded => backoff.reset(),
                     Ok(_) => {}
                 }
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Serves calls until the connection ends; whether it answered any.
+    /// Sends calls until the connection ends. Returns whether any response was received.
     async fn serve(&mut self, stream: Stream) -> Result<bool, Stopped> {
         let (reader, mut writer) = tokio::io::split(stream);
         let mut frames = FramedRead::new(reader, RespCodec);
@@ -104,16 +106,18 @@
         loop {
             let deadline = session.pipeline.deadline();
             let handled = tokio::select! {
-                // Guards responses that wait in the socket of a process that was suspended: they are read
-                // before their calls time out. Timeouts and writing come before new calls, so that a flood of
-                // these delays neither.
+                // Responses come first: after the process was suspended, those that wait in the socket are
+                // read before their calls time out. Timeouts and writes come before new calls, so that a
+                // flood of calls delays neither.
                 biased;
                 frame = frames.next() => self.handle_frame(&mut session, frame).await,
                 () = self.clock.sleep_until(deadline) => self.handle_timeout(&mut session).await,
-                written = writer.write_buf(&mut session.unwritten), if !session.unwritten.is_empty() => match written {
-                    Ok(1..) => Ok(()),
-                    Ok(0) | Err(_) => Err(SessionEnd::Connection),
-                },
+                written = writer.write_buf(&mut session.unwritten), if !session.unwritten.is_empty() => {
+                    match written {
+                        Ok(1..) => Ok(()),
+                        Ok(0) | Err(_) => Err(SessionEnd::Connection),
+                    }
+                }
                 received = self.calls.recv_many(&mut batch, BATCH) => {
                     if received == 0 {
                         return Err(Stopped);
@@ -148,7 +152,7 @@
         Ok(())
     }
 
-    /// Handles what was read.
+    /// Handles a frame, an error or the end of the stream.
     async fn handle_frame(
         &self,
         session: &mut Session,
@@ -157,7 +161,7 @@
         let frame = match frame {
             None => return Err(SessionEnd::Connection),
             Some(Err(error)) => {
-                tracing::warn!(%error, "closing the connection to the counter");
+                tracing::warn!(%error, "failed to read a response from the counter; closing the connection");
                 return Err(SessionEnd::Connection);
             }
             Some(Ok(frame)) => frame,
@@ -167,14 +171,14 @@
         if session.responses == 0 { self.handle_response(session, &frame).await } else { Ok(()) }
     }
 
-    /// Handles the last response to a call.
+    /// Handles the last of the responses to a call.
     async fn handle_response(&self, session: &mut Session, frame: &Frame) -> Result<(), SessionEnd> {
         match session.pipeline.response_completed(self.clock.now()) {
             Err(error) => {
-                tracing::warn!(%error, "closing the connection to the counter");
+                tracing::warn!(%error, "unexpected response from the counter; closing the connection");
                 return Err(SessionEnd::Connection);
             }
-            Ok(None) => {} // Its call has timed out.
+            Ok(None) => {} // The call has already timed out.
             Ok(Some(EndedCall { call, elapsed })) => match resp::number(frame) {
                 Some(total) => {
                     self.metrics.increment(|m| &m.counter_responses);
@@ -182,14 +186,15 @@
                 }
                 None => {
                     self.metrics.increment(|m| &m.counter_errors);
-                    self.respond(call, Status::Rejected, 0.0, elapsed).await?; // An error: nothing was added.
+                    // An error response: nothing was added.
+                    self.respond(call, Status::Rejected, 0.0, elapsed).await?;
                 }
             },
         }
         Ok(())
     }
 
-    /// Ends the calls that have timed out, and the session if the connection is unresponsive.
+    /// Ends calls that have timed out, and ends the session if the connection is unresponsive.
     async fn handle_timeout(&self, session: &mut Session) -> Result<(), SessionEnd> {
         let now = self.clock.now();
         for EndedCall { call, elapsed } in session.pipeline.take_timed_out(now) {
@@ -209,7 +214,8 @@
     }
 }
 
-/// Ends calls at once while there is no connection, so that the decisions use the fallback limit.
+/// Fails calls at once while there is no connection, so that admission uses the fallback limit without delay.
+/// Returns when the engine task has ended.
 async fn reject_calls(
     calls: &mut mpsc::Receiver<CounterCall>,
     engine: &mpsc::Sender<ClientEvent>,
--- a/crates/ext-authz/src/clients/discovery.rs
+++ b/crates/ext-authz/src/clients/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery client: the endpoint list by Envoy's endpoint discovery service, cached on disk.
+//! The discovery client, which receives the endpoint list from Envoy's endpoint discovery service (EDS) and
+//! caches it on disk.
 
 use crate::endpoint_cache::{self, EndpointCache};
 use crate::engine_task::ClientEvent;
@@ -22,22 +23,23 @@
 use weirusher_net::Stream;
 use weirusher_wire::eds;
 
-/// Time for a connection to be made.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval of pings on an idle connection.
+/// Interval between HTTP/2 pings on an idle connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
-/// Time for a ping's answer. Guards against a half-open connection that looks like a list without changes.
+/// Time limit for the response to a ping. Without pings, a half-open connection would look like an endpoint
+/// list that does not change.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval between two warnings of one outage.
+/// Minimum interval between warnings about the same outage.
 const WARNING_INTERVAL: Duration = Duration::from_secs(60);
-/// Bytes of the largest discovery response.
+/// Maximum size of a discovery response.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
-/// Requests that may be queued for the stream; one is pending at a time.
+/// Capacity of the request queue of a stream; only one request is pending at a time.
 const REQUEST_QUEUE: usize = 4;
 
 pub struct DiscoveryClient {
     pub config: DiscoveryConfig,
-    /// The node id in requests.
+    /// The node id that requests carry.
     pub node: String,
     pub engine: mpsc::Sender<ClientEvent>,
     /// Set once the engine wants the endpoint list.
@@ -45,11 +47,12 @@
     pub metrics: Arc<Metrics>,
     /// Feeds the backoff's jitter.
     pub seed: u64,
-    /// Caches the last list, if a file for it is configured.
+    /// Caches the last list on disk, if a cache file is configured.
     pub cache: Option<EndpointCache>,
 }
 
-/// Why a discovery response is not acknowledged; discovery gets the text in the request's error detail.
+/// Why a discovery response is not acknowledged. The text is sent to the discovery server in the error detail
+/// of the next request.
 #[derive(Debug, thiserror::Error)]
 enum ResponseError {
     #[error(transparent)]
@@ -60,15 +63,15 @@
     Stopping,
 }
 
-/// What outlasts a single stream.
+/// The state of reconnecting, which outlives a single stream.
 struct Reconnect {
     backoff: Backoff,
-    /// When the present outage was logged last; `None` while discovery is available.
+    /// When the current outage was last logged; `None` while discovery is available.
     warned_at: Option<Instant>,
 }
 
 impl DiscoveryClient {
-    /// Hands the cached list on, then follows discovery until the engine ends.
+    /// Sends the cached list to the engine, then follows discovery until the engine task ends.
     pub async fn run(mut self) {
         let endpoints = match self.config.cache_file.clone() {
             Some(file) => endpoint_cache::load_in_time(file).await,
@@ -112,13 +115,13 @@
         endpoint.connect_with_connector(connector).await.map_err(|e| Status::unavailable(e.to_string()))
     }
 
-    /// Follows one stream of endpoint lists to its end, and acknowledges each.
+    /// Opens a stream, and handles and acknowledges endpoint lists until the stream ends.
     async fn follow_stream(&self, reconnect: &mut Reconnect) -> Result<(), Status> {
         let channel = self.connect().await?;
         let mut client =
             EndpointDiscoveryServiceClient::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES);
         let (requests, request_stream) = mpsc::channel(REQUEST_QUEUE);
-        let _ = requests.try_send(self.request(None, None)); // The queue is empty.
+        let _ = requests.try_send(self.request(None, None)); // Cannot fail: the queue is empty.
         let mut stream = client.stream_endpoints(ReceiverStream::new(request_stream)).await?.into_inner();
         while let Some(response) = stream.message().await? {
             let error = self.handle_response(&response).await.err();
@@ -133,7 +136,7 @@
         Ok(())
     }
 
-    /// Hands the endpoint list of a response to the cache and to the engine.
+    /// Sends the endpoint list in a response to the cache and to the engine.
     async fn handle_response(&self, response: &DiscoveryResponse) -> Result<(), ResponseError> {
         let resources = response.resources.iter().filter(|r| r.type_url == eds::TYPE_URL);
         let decoded = resources.map(|r| ClusterLoadAssignment::decode(r.value.as_slice()));
@@ -150,7 +153,7 @@
                 list.invalid,
                 list.duplicate,
                 list.excess,
-                "unusable entries of the endpoint list"
+                "the endpoint list has unusable entries; ignoring them"
             );
         }
         if let Some(cache) = &self.cache {
@@ -160,7 +163,7 @@
         self.engine.send(event).await.map_err(|_| ResponseError::Stopping)
     }
 
-    /// A request: the first one, or the (negative) acknowledgement of a response.
+    /// Builds a request: the first one of a stream, or the acknowledgement (ACK or NACK) of a response.
     fn request(
         &self,
         response: Option<&DiscoveryResponse>,
--- a/crates/ext-authz/src/connection.rs
+++ b/crates/ext-authz/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection from a proxy, with a lingering close so that the last bytes written arrive.
+//! A connection from a proxy, with a lingering close so that the peer receives the last bytes written.
 
 use std::future::Future;
 use std::io;
@@ -12,22 +12,23 @@
 use tonic::transport::server::{Connected, TcpConnectInfo};
 use weirusher_net::Stream;
 
-/// The longest that a connection stays open after its last byte was written. Closing while bytes arrive
-/// causes a reset, which may overtake the last byte; the peer closes its side once it has read the GOAWAY.
+/// Maximum time that a connection stays open after its last byte was written. Closing a socket while data is
+/// still arriving sends a reset, which can make the peer discard the last bytes before it has read them. A
+/// peer normally closes its side once it has read the GOAWAY frame.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes that are read and discarded at once while lingering.
+/// Size of the buffer that incoming data is discarded into while lingering.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
-/// An accepted connection, which holds one of the server's slots.
+/// An accepted connection, which occupies one of the server's connection slots.
 pub struct Connection {
     stream: Stream,
-    /// Set from the end of writing on.
+    /// Set once the write side has been shut down.
     linger_timeout: Option<Pin<Box<Sleep>>>,
     _slot: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// A connection that holds `slot` until it is dropped.
+    /// Creates a connection that holds `slot` until it is dropped.
     pub fn new(stream: TcpStream, slot: OwnedSemaphorePermit) -> Self {
         Self { stream: stream.into(), linger_timeout: None, _slot: slot }
     }
@@ -36,7 +37,7 @@
         Pin::new(&mut self.get_mut().stream)
     }
 
-    /// Reads and discards what still arrives, until the peer closes its side.
+    /// Reads and discards incoming data until the peer closes its side.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
         loop {
@@ -72,7 +73,7 @@
         self.stream().poll_flush(cx)
     }
 
-    /// A lingering close; RFC 9112, 9.6 gives the reason.
+    /// Performs a lingering close, for the reason given in RFC 9112, section 9.6.
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let connection = self.get_mut();
         if connection.linger_timeout.is_none() {
--- a/crates/ext-authz/src/endpoint_cache.rs
+++ b/crates/ext-authz/src/endpoint_cache.rs
@@ -1,8 +1,8 @@
-//! The last endpoint list on disk, for a start while discovery is unavailable.
+//! Caches the last endpoint list on disk, so that a gateway can start while discovery is unavailable.
 //!
-//! The file is replaced atomically: a temporary file is written and synced, renamed, and the directory
-//! synced. A crash at any moment leaves the old list or the new one. While writing fails, the latest list is
-//! tried again.
+//! The file is replaced atomically: a temporary file is written, synced and renamed, and then the directory
+//! is synced. A crash at any moment leaves either the old list or the new one. A failed write is retried with
+//! the latest list.
 
 use atomic_write_file::AtomicWriteFile;
 use serde::{Deserialize, Serialize};
@@ -13,18 +13,18 @@
 use weirusher::{Endpoint, Lifecycle};
 use weirusher_wire::eds;
 
-/// Delay before a list that could not be written is tried again.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Longest wait for the cached list at the start.
+/// Time limit for loading the cached list at startup.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An endpoint in the file. Draining endpoints are not written.
+/// An endpoint in the cache file. Draining endpoints are not written.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct CachedEndpoint {
     address: String,
     zone: u32,
-    /// Unix seconds of the last start; 0 is long ago.
+    /// When the backend was last started, in Unix seconds; 0 if long ago.
     started: f64,
 }
 
@@ -46,26 +46,29 @@
     }
 }
 
-/// Loads the cached endpoint list on another thread. It is empty if that takes too long: a disk that hangs must not keep
-/// discovery from being asked.
+/// Loads the cached endpoint list on a blocking thread. Returns an empty list if that takes too long, so that
+/// a hung disk does not keep the gateway from contacting discovery.
 pub async fn load_in_time(path: PathBuf) -> Vec<Endpoint> {
     let file = path.clone();
     let loaded = tokio::task::spawn_blocking(move || load(&file));
     match tokio::time::timeout(LOAD_TIMEOUT, loaded).await {
-        Ok(loaded) => loaded.unwrap_or_default(), // After a panic, which the hook has logged.
+        Ok(loaded) => loaded.unwrap_or_default(), // An error is a panic, which the panic hook has logged.
         Err(_) => {
-            tracing::warn!(path = %path.display(), "the cached endpoint list is not read in time; starting without one");
+            tracing::warn!(
+                path = %path.display(),
+                "the cached endpoint list was not read in time; starting without one"
+            );
             Vec::new()
         }
     }
 }
 
-/// Loads the cached endpoint list. It is empty if there is no file or the file is damaged, which is logged.
+/// Loads the cached endpoint list. If the file is missing or damaged, logs that and returns an empty list.
 pub fn load(path: &Path) -> Vec<Endpoint> {
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(error) => {
-            tracing::info!(%error, path = %path.display(), "no endpoint list is cached yet");
+            tracing::info!(%error, path = %path.display(), "no cached endpoint list could be read");
             return Vec::new();
         }
     };
@@ -77,19 +80,20 @@
     cached.into_iter().take(eds::MAX_ENDPOINTS).map(Endpoint::from).collect()
 }
 
-/// Writes the latest endpoint list to the file, in a task that ends when the cache is dropped.
+/// Writes the latest endpoint list to the cache file in a background task, which ends when this value is
+/// dropped.
 #[derive(Debug)]
 pub struct EndpointCache(watch::Sender<Vec<CachedEndpoint>>);
 
 impl EndpointCache {
-    /// Starts writing to the file at `path`.
+    /// Starts the background task, which writes to the file at `path`.
     pub fn start(path: PathBuf) -> Self {
         let (sender, latest) = watch::channel(Vec::new());
         tokio::spawn(write_latest(path, latest));
         Self(sender)
     }
 
-    /// Caches this list, in place of any that was not written yet.
+    /// Queues a list to be written. It replaces any list that has not been written yet.
     pub fn store(&self, endpoints: &[Endpoint]) {
         let running = endpoints.iter().filter(|endpoint| endpoint.lifecycle == Lifecycle::Running);
         self.0.send_replace(running.map(CachedEndpoint::from).collect());
@@ -102,7 +106,7 @@
         loop {
             let endpoints = latest.borrow_and_update().clone();
             let file = path.clone();
-            // Off the runtime's threads: a sync may take long.
+            // A sync may take long, so it runs on a blocking thread and not on the runtime's.
             let written = tokio::task::spawn_blocking(move || write(&file, &endpoints)).await;
             let Err(error) = written.unwrap_or_else(|panic| Err(io::Error::other(panic))) else { break };
             if !std::mem::replace(&mut failing, true) {
--- a/crates/ext-authz/src/endpoint_cache/tests.rs
+++ b/crates/ext-authz/src/endpoint_cache/tests.rs
@@ -1,13 +1,14 @@
-//! The form of the cached list's file.
+//! The format of the cache file.
 
 use super::*;
 
-/// A file as commit f5644fc wrote it.
+/// A cache file as an earlier version of the gateway (commit f5644fc) wrote it.
 const STORED: &[u8] = br#"[{"address":"127.0.0.1:7001","zone":0,"started":1764745200.5},{"address":"[::1]:7002","zone":3,"started":0.0}]"#;
 
-/// Guards a start without discovery after an update: the file that the older version left must still be read.
+/// After an update, a gateway that starts without discovery depends on the file that the older version wrote.
+/// It must read that file, and write the same format.
 #[test]
-fn a_file_of_an_older_version_is_read_and_written_alike() {
+fn the_file_format_of_an_older_version_is_kept() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("endpoints.json");
     std::fs::write(&path, STORED).unwrap();
--- a/crates/ext-authz/src/engine_task.rs
+++ b/crates/ext-authz/src/engine_task.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the engine.
+//! The task that owns the engine and serializes all access to it.
 
 use crate::metrics::{Metrics, MetricsSnapshot};
 use serde::Serialize;
@@ -12,20 +12,20 @@
     Report,
 };
 
-/// Events of the services that may be queued. A check that finds the queue full is rejected at once; a report
-/// waits, and holds back its stream.
+/// Capacity of the queue of events from the services. While it is full, checks are rejected at once, and a
+/// report waits, which applies backpressure to its stream.
 pub const SERVICE_QUEUE: usize = 4096;
-/// Events of the clients that may be queued; a client waits while the queue is full.
+/// Capacity of the queue of events from the counter and discovery clients, which wait while it is full.
 pub const CLIENT_QUEUE: usize = 1024;
-/// Calls that may be queued for the counter client; a further one counts as rejected.
+/// Capacity of the queue of calls for the counter client; a call that finds it full counts as rejected.
 pub const CALL_QUEUE: usize = 1024;
-/// Events of one queue that are handled before timers and outputs are.
+/// Maximum number of events of one queue that are handled before timers and outputs are.
 const BATCH: usize = 64;
 
-/// What a check's service waits for.
+/// Sends the outcome of a check to the service that waits for it.
 pub type OutcomeSender = oneshot::Sender<(CheckOutcome, DeliveryId)>;
 
-/// A check, with where its outcome goes.
+/// A check, and the channel for its outcome.
 #[derive(Debug)]
 pub struct PendingCheck {
     pub caller: CallerId,
@@ -38,8 +38,9 @@
 pub struct AttemptReport {
     pub ticket: String,
     pub completion: Completion,
-    /// Seconds.
+    /// Duration of the attempt in seconds, if it is known.
     pub elapsed: Option<f64>,
+    /// Units that the request used, if the backend stated them.
     pub settled_units: Option<f64>,
 }
 
@@ -47,9 +48,9 @@
 #[derive(Debug)]
 pub enum ServiceEvent {
     Check(Box<PendingCheck>),
-    /// The client closed while its check was pending.
+    /// The client closed its stream while its check was pending.
     ClientClosed(CallerId),
-    /// The client closed before it read the outcome.
+    /// The client closed its stream before the outcome was delivered.
     Undelivered(DeliveryId),
     Report(AttemptReport),
     GetStatus(oneshot::Sender<GatewayStatus>),
@@ -58,7 +59,7 @@
 /// An event from the counter client or the discovery client.
 #[derive(Debug)]
 pub enum ClientEvent {
-    /// A counter call ended. `total` is in units, `elapsed` in seconds.
+    /// A counter call ended. `total` is the counter's new value in units, `elapsed` is in seconds.
     CounterResponse {
         call: u64,
         status: Status,
@@ -80,7 +81,7 @@
     pub ttl: f64,
 }
 
-/// The gateway's state, as `GET /stats` shows it.
+/// The state of the gateway, as `GET /stats` returns it.
 #[derive(Debug, Serialize)]
 pub struct GatewayStatus {
     pub instance: u32,
@@ -93,11 +94,11 @@
     #[serde(rename = "ledger")]
     pub engine: EngineMetrics,
     pub process: MetricsSnapshot,
-    /// Lines that the log could not write.
+    /// Log lines that could not be written.
     pub log_lines_dropped: u64,
 }
 
-/// The engine with its clock and its channels.
+/// The engine, its clock and its channels.
 pub struct EngineTask {
     pub engine: Engine,
     pub instance: u32,
@@ -105,22 +106,22 @@
     pub clock: Clock,
     pub service_events: mpsc::Receiver<ServiceEvent>,
     pub client_events: mpsc::Receiver<ClientEvent>,
-    /// `None`: there is no counter.
+    /// `None` if no counter is configured.
     pub counter_calls: Option<mpsc::Sender<CounterCall>>,
-    /// Set once the endpoint list is to be watched.
+    /// Set when the engine first asks for updates of the endpoint list.
     pub watch_endpoints: watch::Sender<bool>,
-    /// What a graceful shutdown waits for.
+    /// The number of pending checks and attempts, which a graceful shutdown waits for.
     pub pending: watch::Sender<usize>,
     pub metrics: Arc<Metrics>,
     pub pending_checks: HashMap<CallerId, OutcomeSender>,
 }
 
 impl EngineTask {
-    /// Runs until all services or all clients are gone.
+    /// Runs until all services or all clients have dropped their senders.
     pub async fn run(mut self) {
         let (mut from_services, mut from_clients) = (Vec::with_capacity(BATCH), Vec::with_capacity(BATCH));
         loop {
-            self.carry_out_outputs();
+            self.handle_outputs();
             let deadline = self.engine.next_timeout();
             tokio::select! {
                 biased;
@@ -173,7 +174,7 @@
                     .handle_report(now, &Report { ticket: &ticket, completion, elapsed, settled_units });
             }
             ServiceEvent::GetStatus(reply) => {
-                let _ = reply.send(self.status()); // The admin page's client may have closed.
+                let _ = reply.send(self.status()); // The client of the admin page may have disconnected.
             }
         }
     }
@@ -190,20 +191,20 @@
         }
     }
 
-    /// Carries out what the engine wants done, until there is nothing more.
-    fn carry_out_outputs(&mut self) {
+    /// Handles the engine's outputs until it produces no more, as handling one may cause another.
+    fn handle_outputs(&mut self) {
         loop {
             let outputs: Vec<EngineOutput> = self.engine.drain_outputs().collect();
             if outputs.is_empty() {
                 break;
             }
-            outputs.into_iter().for_each(|output| self.carry_out(output));
+            outputs.into_iter().for_each(|output| self.handle_output(output));
         }
         let pending = self.engine.pending();
         self.pending.send_if_modified(|published| std::mem::replace(published, pending) != pending);
     }
 
-    fn carry_out(&mut self, output: EngineOutput) {
+    fn handle_output(&mut self, output: EngineOutput) {
         match output {
             EngineOutput::CheckOutcome { caller, outcome, delivery } => {
                 let sender = self.pending_checks.remove(&caller);
--- a/crates/ext-authz/src/engine_task/tests.rs
+++ b/crates/ext-authz/src/engine_task/tests.rs
@@ -1,12 +1,11 @@
-//! The form of the admin page's JSON.
+//! The JSON format of `GET /stats` on the admin page.
 
 use super::*;
 use serde_json::{Value, json};
 
-/// Guards scripts and dashboards that read `GET /stats`: its keys stay as they were when the fields were
-/// renamed.
+/// Scripts and dashboards read `GET /stats` by key, so a renamed field must keep its serialized name.
 #[test]
-fn the_keys_of_the_stats_page_stay() {
+fn stats_keys_are_stable() {
     let status = GatewayStatus {
         instance: 3,
         incarnation: 9,
@@ -51,7 +50,7 @@
         "list_entries_unusable",
     ]);
     let page = serde_json::to_value(&status).unwrap();
-    let expected = json!({ "instance": 3, "epoch": 9, "open": 2, "owed": 1, "ledger": ledger, "process": process,
-            "log_lines_dropped": 4 });
+    let expected = json!({ "instance": 3, "epoch": 9, "open": 2, "owed": 1, "ledger": ledger,
+            "process": process, "log_lines_dropped": 4 });
     assert_eq!(page, expected);
 }
--- a/crates/ext-authz/src/gateway.rs
+++ b/crates/ext-authz/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway's tasks and shuts them down in order.
+//! Starts the tasks of a gateway and shuts them down gracefully.
 
 use crate::admin::AdminPage;
 use crate::clients::{counter::CounterClient, discovery::DiscoveryClient};
@@ -27,11 +27,11 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// A listening socket cannot be opened on an address.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
     /// The configuration has no ticket key.
-    #[error("there is no ticket key")]
+    #[error("the configuration has no ticket key")]
     NoKey,
     /// The engine cannot start.
     #[error(transparent)]
@@ -43,16 +43,17 @@
 
 /// A running gateway.
 pub struct GatewayHandle {
-    /// Where the gRPC services are served.
+    /// The address of the gRPC services.
     pub ext_authz: SocketAddr,
-    /// Where the admin page is served.
+    /// The address of the admin page.
     pub admin: SocketAddr,
-    /// Where the fleet's datagrams are received, if a fleet is configured.
+    /// The UDP address for datagrams of the fleet, if a fleet is configured.
     pub fleet: Option<SocketAddr>,
     /// Set to stop the gRPC server gracefully.
     stop: watch::Sender<bool>,
-    /// Set to end the access log streams: no report is waited for any more.
+    /// Set to end the access log streams, once the gateway no longer waits for reports.
     reports_done: watch::Sender<bool>,
+    /// The number of pending checks and attempts.
     pending: watch::Receiver<usize>,
     drain_timeout: Duration,
     server: JoinHandle<()>,
@@ -60,20 +61,20 @@
 }
 
 impl GatewayHandle {
-    /// Waits until a task that all requests depend on has panicked. The gateway is to be stopped then.
+    /// Waits until a task that all requests depend on has panicked. The caller should then stop the gateway.
     pub async fn failed(&self) {
         self.tasks.failed().await;
     }
 
-    /// Shuts down gracefully: accepts no new connections, notifies each peer, and waits until nothing is
-    /// pending and each connection has ended, for the configured drain time at most. Returns how many checks
-    /// and attempts were still pending.
+    /// Shuts down gracefully: accepts no new connections, notifies each peer, and waits until no check or
+    /// attempt is pending and every connection has ended, for at most the configured drain time. Returns the
+    /// number of checks and attempts that were still pending.
     pub async fn stop(mut self) -> usize {
         let deadline = Instant::now() + self.drain_timeout;
         self.stop.send_replace(true);
         self.wait_until_idle(deadline).await;
         self.reports_done.send_replace(true);
-        // Checks that were read meanwhile get their outcome before their connections end.
+        // Checks that have arrived in the meantime get their outcome before their connections are closed.
         if tokio::time::timeout_at(deadline, &mut self.server).await.is_err() {
             tracing::warn!("connections are still open at the end of the drain time");
             self.server.abort();
@@ -84,7 +85,7 @@
         pending
     }
 
-    /// Waits until nothing is pending.
+    /// Waits until no check or attempt is pending, or until `deadline`.
     async fn wait_until_idle(&mut self, deadline: Instant) {
         let idle = self.pending.wait_for(|pending| *pending == 0);
         let _ = tokio::time::timeout_at(deadline, idle).await; // The caller reports what is still pending.
@@ -94,7 +95,8 @@
 /// Starts a gateway.
 ///
 /// # Errors
-/// An address cannot be listened on, or the settings cannot work.
+/// A listening socket cannot be opened, the settings are invalid, or the gateway cannot take part in its
+/// fleet.
 pub async fn start(config: Config) -> Result<GatewayHandle, StartError> {
     let (clock, metrics) = (Clock::start(), Arc::new(Metrics::default()));
     let (seed, incarnation) = (fastrand::u64(..), fastrand::u64(..));
@@ -153,7 +155,7 @@
     Ok(GatewayHandle { ext_authz, admin, fleet, stop, reports_done, pending, drain_timeout, server, tasks })
 }
 
-/// Starts the membership of the fleet, if one is configured.
+/// Starts the membership protocol of the fleet, if a fleet is configured.
 async fn start_membership(
     config: Option<FleetConfig>,
     tasks: &SharedTasks,
@@ -164,7 +166,7 @@
     Ok(Some(peers))
 }
 
-/// The discovery client, and the cache if a file for it is configured.
+/// Builds the discovery client, and starts its cache if a cache file is configured.
 fn discovery_client(
     config: DiscoveryConfig,
     instance: u32,
@@ -180,11 +182,11 @@
         engine,
         watch_endpoints,
         metrics: metrics.clone(),
-        seed: seed ^ 1, // Another jitter than the counter client's.
+        seed: seed ^ 1, // Gives other jitter than the counter client's seed.
     }
 }
 
-/// The gRPC server with both services. `limits` are the connections, and the streams of each.
+/// Builds the gRPC server with both services.
 fn grpc_server(
     rules: RequestRules,
     limits: ConnectionLimits,
--- a/crates/ext-authz/src/lib.rs
+++ b/crates/ext-authz/src/lib.rs
@@ -1,8 +1,9 @@
-//! The runtime of external authorisation: sockets, clock and timers around [`weirusher_core::Engine`].
+//! The runtime of the external authorisation service: the sockets, clock and timers that drive
+//! [`weirusher_core::Engine`].
 //!
 //! One task owns the engine. The gRPC services, the admin page, the counter client and the discovery client
-//! are tasks that talk to it over bounded channels. docs/external-authorisation.md says what happens at each
-//! bound.
+//! are tasks that communicate with it over bounded channels. docs/external-authorisation.md describes what
+//! happens when a channel is full.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/ext-authz/src/metrics.rs
+++ b/crates/ext-authz/src/metrics.rs
@@ -1,9 +1,9 @@
-//! What services and clients count, beside the engine's own metrics.
+//! Counters of the services and clients; the engine has metrics of its own.
 
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Defines the counters and their snapshot; the string is a counter's key on the admin page.
+/// Defines the counters and their snapshot. The string is the key of a counter in `GET /stats`.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident = $key:literal,)*) => {
         /// Counters that any task may increment.
@@ -15,7 +15,7 @@
         pub struct MetricsSnapshot { $($(#[$doc])* #[serde(rename = $key)] pub $name: u64,)* }
 
         impl Metrics {
-            /// The present values.
+            /// The current values.
             pub fn snapshot(&self) -> MetricsSnapshot {
                 MetricsSnapshot { $($name: self.$name.load(Relaxed),)* }
             }
@@ -24,41 +24,41 @@
 }
 
 counters! {
-    /// Checks whose attributes cannot be used.
+    /// Checks with missing or invalid attributes.
     invalid_checks = "bad_checks",
     /// Checks rejected because the engine's queue was full.
     queue_full = "queue_full",
     /// Access log entries without a ticket.
     entries_without_ticket = "entries_without_ticket",
-    /// Connections closed at once because there were too many.
+    /// Connections closed at once because the connection limit was reached.
     connections_rejected = "connections_refused",
-    /// Connections closed because they did not start with HTTP/2's preface in time.
+    /// Connections closed because they did not send the HTTP/2 preface in time.
     connections_without_preface = "connections_mute",
-    /// Counter calls sent.
+    /// Calls sent to the counter.
     counter_calls = "counter_calls",
     /// Counter calls answered in time.
     counter_responses = "counter_answered",
     /// Counter calls that timed out.
     counter_timeouts = "counter_given_up",
-    /// Counter calls rejected, or lost with their connection.
+    /// Counter calls that were not sent, or whose connection ended before the response.
     counter_lost = "counter_lost",
     /// Counter calls answered with an error or a wrong type.
     counter_errors = "counter_errors",
-    /// Connections made to the counter.
+    /// Connections established to the counter.
     counter_connections = "counter_connections",
     /// Endpoint lists received.
     endpoint_lists = "lists",
-    /// Entries of endpoint lists that could not be used.
+    /// Entries of endpoint lists that were discarded as invalid, duplicate or in excess of the limit.
     unusable_endpoints = "list_entries_unusable",
 }
 
 impl Metrics {
-    /// Adds one to a counter.
+    /// Increments a counter by one.
     pub fn increment(&self, counter: impl Fn(&Self) -> &AtomicU64) {
         self.add(counter, 1);
     }
 
-    /// Adds `amount` to a counter.
+    /// Increments a counter by `amount`.
     pub fn add(&self, counter: impl Fn(&Self) -> &AtomicU64, amount: u64) {
         counter(self).fetch_add(amount, Relaxed);
     }
--- a/crates/ext-authz/src/server.rs
+++ b/crates/ext-authz/src/server.rs
@@ -1,4 +1,4 @@
-//! The gRPC server of the two services.
+//! The gRPC server for Envoy's authorisation and access log services.
 
 use crate::acceptor::Acceptor;
 use crate::metrics::Metrics;
@@ -15,22 +15,23 @@
 use tonic::transport::Server;
 use weirusher_net::Listener;
 
-/// Bytes of the largest check, with its request's headers and body.
+/// Maximum size of a check message, which includes the headers and the body of the request.
 const MAX_CHECK_BYTES: usize = 256 * 1024;
-/// Bytes of the largest message of access log entries.
+/// Maximum size of a message with access log entries.
 const MAX_ACCESS_LOG_BYTES: usize = 1024 * 1024;
-/// Bytes of a call's own headers.
+/// Maximum size of the HTTP/2 headers of a gRPC call.
 const MAX_HEADER_BYTES: u32 = 16 * 1024;
-/// Streams that a peer may have reset before they are accepted; past that its connection is closed.
+/// Maximum number of streams that a peer may reset before they are accepted; beyond it, the connection is
+/// closed.
 const MAX_PENDING_RESETS: usize = 64;
-/// Interval of pings on idle connections.
+/// Interval between HTTP/2 pings on idle connections.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
-/// Time for a ping's answer; a half-open connection is closed after it.
+/// Time limit for the response to a ping, after which a half-open connection is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Connections that may wait for the server once they have sent HTTP/2's preface.
+/// Maximum number of connections that have sent the HTTP/2 preface and wait to be taken by the server.
 const READY_QUEUE: usize = 64;
 
-/// The services, and how much of them is served at once.
+/// The gRPC services and their concurrency limits.
 pub struct GrpcServer {
     pub max_connections: u32,
     pub max_streams_per_connection: u32,
@@ -40,16 +41,16 @@
 }
 
 impl GrpcServer {
-    /// Serves until `stopped` is set. After that no connections are accepted but those already in the
-    /// backlog, each peer is notified by GOAWAY, and the server ends with the last stream.
+    /// Serves until `stopped` is set. From then on, only connections that are already in the backlog are
+    /// accepted, each peer is sent a GOAWAY frame, and the server ends when the last stream has ended.
     pub async fn serve(self, listener: Listener, stopped: watch::Receiver<bool>, shared: SharedTasks) {
         let slots = Arc::new(Semaphore::new(self.max_connections as usize));
         let (ready, incoming) = mpsc::channel(READY_QUEUE);
         let acceptor = Acceptor { slots, metrics: self.metrics, ready, stopped };
         shared.spawn("accept", acceptor.accept(listener));
         let incoming = ReceiverStream::new(incoming).map(Ok::<_, io::Error>);
-        // The graceful shutdown starts when the acceptor ends. A signal of its own would drop the connections
-        // that wait.
+        // The graceful shutdown starts when the acceptor has ended and `incoming` is exhausted. A separate
+        // shutdown signal would drop the connections that are still queued in `incoming`.
         let never = std::future::pending();
         let served = Server::builder()
             .max_concurrent_streams(self.max_streams_per_connection)
--- a/crates/ext-authz/src/services/access_log.rs
+++ b/crates/ext-authz/src/services/access_log.rs
@@ -1,4 +1,4 @@
-//! `envoy.service.accesslog.v3.AccessLogService/StreamAccessLogs`: reports of how attempts ended.
+//! `envoy.service.accesslog.v3.AccessLogService/StreamAccessLogs`: reads reports of how attempts ended.
 
 use crate::engine_task::{AttemptReport, ServiceEvent};
 use crate::metrics::Metrics;
@@ -18,9 +18,9 @@
 use weirusher_core::Completion;
 use weirusher_panics::Panicked;
 
-/// Response header by which a backend states that it rejected the request before execution.
+/// Response header by which a backend states that it rejected the request without executing it.
 const REJECTED_HEADER: &str = "x-weirusher-turned-away";
-/// Response header that states the units really used.
+/// Response header by which a backend states the units that the request used.
 const SETTLED_UNITS_HEADER: &str = "x-weirusher-units";
 const NANOS_PER_SECOND: f64 = 1e9;
 
@@ -29,7 +29,7 @@
     pub rules: Arc<RequestRules>,
     pub engine: mpsc::Sender<ServiceEvent>,
     pub metrics: Arc<Metrics>,
-    /// Set once no report is waited for any more.
+    /// Set once the gateway no longer waits for reports.
     pub reports_done: watch::Receiver<bool>,
 }
 
@@ -39,14 +39,15 @@
         &self,
         request: Request<Streaming<StreamAccessLogsMessage>>,
     ) -> Result<Response<StreamAccessLogsResponse>, Status> {
-        // The proxy opens another stream; reports that are lost are closed at their attempts' deadlines.
+        // After a panic, the proxy opens another stream. Attempts whose reports are lost are closed at their
+        // deadlines.
         let read = weirusher_panics::catch(self.read_reports(request)).await;
         read.unwrap_or_else(|Panicked| Err(Status::internal("the stream's reader panicked")))
     }
 }
 
 impl AccessLog {
-    /// Passes the reports of a stream to the engine, until its end.
+    /// Passes the reports of a stream to the engine until the stream ends.
     async fn read_reports(
         &self,
         request: Request<Streaming<StreamAccessLogsMessage>>,
@@ -64,7 +65,7 @@
             for entry in &entries.log_entry {
                 match attempt_report(&self.rules.ticket_header, entry) {
                     Some(report) => {
-                        // Reports are not dropped: a full queue holds this stream back, and no other.
+                        // Reports are not dropped: a full queue applies backpressure to this stream.
                         let sent = self.engine.send(ServiceEvent::Report(report)).await;
                         sent.map_err(|_| Status::unavailable("the gateway is stopping"))?;
                     }
@@ -76,7 +77,7 @@
     }
 }
 
-/// The report that an entry states; `None` if it has no ticket.
+/// Converts an entry to a report; `None` if the entry has no ticket.
 fn attempt_report(ticket_header: &str, entry: &HttpAccessLogEntry) -> Option<AttemptReport> {
     let ticket = entry.request.as_ref()?.request_headers.get(ticket_header)?.clone();
     let common = entry.common_properties.as_ref();
@@ -85,14 +86,14 @@
     let code = response.and_then(|r| r.response_code.as_ref()).map_or(0, |code| code.value);
     let flags = common.and_then(|c| c.response_flags.as_ref());
     let status = attempt_status(flags, code, header(REJECTED_HEADER).is_some());
-    // An entry of an upstream's end leaves the request open; any other one ends it.
+    // An `UpstreamEnd` entry ends the attempt only; any other entry ends the request.
     let attempt_only = common.is_some_and(|c| c.access_log_type == AccessLogType::UpstreamEnd as i32);
     let completion = if attempt_only { Completion::Attempt(status) } else { Completion::Request(status) };
     let settled_units = header(SETTLED_UNITS_HEADER).and_then(|text| text.parse().ok());
     Some(AttemptReport { ticket, completion, elapsed: common.and_then(elapsed), settled_units })
 }
 
-/// How the attempt ended: by Envoy's response flags first, then by the backend's response.
+/// Returns how the attempt ended. Envoy's response flags take precedence over the status code.
 fn attempt_status(flags: Option<&ResponseFlags>, code: u32, rejected: bool) -> AttemptStatus {
     let flagged = flags.and_then(|f| {
         let causes = [
@@ -116,7 +117,7 @@
     })
 }
 
-/// Seconds from the first byte sent upstream to the last received.
+/// Seconds from the first byte sent to the backend to the last byte received from it.
 fn elapsed(common: &AccessLogCommon) -> Option<f64> {
     let seconds = |d: &Duration| d.seconds as f64 + f64::from(d.nanos) / NANOS_PER_SECOND;
     let last_received = common.time_to_last_upstream_rx_byte.as_ref()?;
--- a/crates/ext-authz/src/services/access_log/tests.rs
+++ b/crates/ext-authz/src/services/access_log/tests.rs
@@ -1,9 +1,10 @@
-//! How entries of the access log are understood.
+//! How access log entries are mapped to attempt statuses.
 
 use super::*;
 
+/// Also, a response with the rejection header counts as rejected, which states that it was not executed.
 #[test]
-fn flags_go_before_codes_and_a_rejected_request_was_not_executed() {
+fn response_flags_take_precedence_over_status_codes() {
     let timeout = ResponseFlags { upstream_request_timeout: true, ..ResponseFlags::default() };
     let refused = ResponseFlags { upstream_connection_failure: true, ..ResponseFlags::default() };
     assert_eq!(attempt_status(Some(&timeout), 504, false), AttemptStatus::Timeout);
--- a/crates/ext-authz/src/services/ext_authz.rs
+++ b/crates/ext-authz/src/services/ext_authz.rs
@@ -1,4 +1,4 @@
-//! `envoy.service.auth.v3.Authorization/Check`: whether an attempt may be sent, and to which backend.
+//! `envoy.service.auth.v3.Authorization/Check`: decides whether an attempt may be sent, and to which backend.
 
 use crate::attributes::parse_check;
 use crate::engine_task::{PendingCheck, ServiceEvent};
@@ -20,7 +20,7 @@
 use weirusher_core::{CallerId, CheckFailure, CheckOutcome, DeliveryId, Grant};
 use weirusher_panics::Panicked;
 
-/// Retry-After, in seconds, when the engine's queue is full: about the time that it takes to empty it.
+/// Retry-After in seconds when the queue of the engine is full; a full queue is emptied in about this time.
 const QUEUE_FULL_RETRY_AFTER_SECONDS: f64 = 1.0;
 
 /// The authorisation service.
@@ -31,20 +31,21 @@
     pub metrics: Arc<Metrics>,
 }
 
-/// Waits for a check's outcome. If it is dropped first, as the client reset its stream or its connection
-/// broke, the engine is notified. With a full queue it is not, and the attempt is closed at its deadline.
+/// Waits for the outcome of a check. If it is dropped before the response is built, because the client reset
+/// the stream, the connection broke or the task panicked, it notifies the engine. If the engine's queue is
+/// full, the notification is lost and the attempt is closed at its deadline.
 struct OutcomeWaiter {
     caller: CallerId,
     outcome: oneshot::Receiver<(CheckOutcome, DeliveryId)>,
     engine: mpsc::Sender<ServiceEvent>,
-    /// Of the outcome that was received.
+    /// The delivery of the outcome, once it was received.
     delivery: Option<DeliveryId>,
-    /// The response is made.
+    /// Whether the response has been built.
     responded: bool,
 }
 
 impl OutcomeWaiter {
-    /// The outcome; `None` if the engine has ended.
+    /// Waits for the outcome; `None` if the engine task has ended.
     async fn wait(&mut self) -> Option<CheckOutcome> {
         let (outcome, delivery) = (&mut self.outcome).await.ok()?;
         self.delivery = Some(delivery);
@@ -67,14 +68,15 @@
 #[tonic::async_trait]
 impl Authorization for ExtAuthz {
     async fn check(&self, request: Request<CheckRequest>) -> Result<Response<CheckResponse>, Status> {
-        // A grant that was decided before the panic was not delivered, and its attempt is closed as not sent.
+        // If the task panics after a grant, `OutcomeWaiter` reports the grant as undelivered, and the engine
+        // closes its attempt as not sent.
         let response = weirusher_panics::catch(self.decide(&request)).await;
         Ok(Response::new(response.unwrap_or_else(|Panicked| failed(CheckFailure::RequestFailed))))
     }
 }
 
 impl ExtAuthz {
-    /// The response to a check.
+    /// Decides a check, and returns the response to it.
     async fn decide(&self, request: &Request<CheckRequest>) -> CheckResponse {
         let check = match parse_check(&self.rules, request.get_ref().attributes.as_ref()) {
             Ok(check) => check,
@@ -110,7 +112,7 @@
 
 fn header(key: &str, value: String) -> HeaderValueOption {
     let header = Some(HeaderValue { key: key.to_string(), value, raw_value: Vec::new() });
-    // The default would append to what a client sent under that name.
+    // The default action would append to a header of the same name that the client sent.
     let append_action = HeaderAppendAction::OverwriteIfExistsOrAdd.into();
     HeaderValueOption { header, append_action, ..HeaderValueOption::default() }
 }
@@ -119,7 +121,8 @@
     Some(RpcStatus { code: code as i32, message: message.to_string(), details: Vec::new() })
 }
 
-/// Permission: headers for the backend and the proxy, and the same values as dynamic metadata.
+/// A response that allows the attempt. The values for the backend and the proxy are sent as headers and as
+/// dynamic metadata.
 fn allowed(rules: &RequestRules, grant: &Grant) -> CheckResponse {
     let values = [
         (&rules.ticket_header, grant.ticket.clone()),
@@ -154,10 +157,10 @@
     denied(StatusCode::ServiceUnavailable, code, message, None)
 }
 
-/// A response that denies the attempt. `http` and `message` are what the client gets; `retry_after` is in
-/// seconds.
+/// A response that denies the attempt. The client receives `http` as the status and `message` as the body.
+/// `retry_after` is in seconds.
 fn denied(http: StatusCode, code: Code, message: &str, retry_after: Option<f64>) -> CheckResponse {
-    // Rounded up to HTTP's whole seconds, as a client that retries too early is rejected again.
+    // HTTP has whole seconds only. Rounded up, as a client that retries too early would be rejected again.
     let retry_after =
         retry_after.map(|seconds| header("retry-after", format!("{}", seconds.ceil().max(0.0) as u64)));
     let status_code = Some(HttpStatus { code: http as i32 });
--- a/crates/ext-authz/src/services/ext_authz/tests.rs
+++ b/crates/ext-authz/src/services/ext_authz/tests.rs
@@ -1,4 +1,4 @@
-//! What proxies and clients get for each outcome.
+//! The responses to proxies and clients for each outcome.
 
 use super::*;
 
@@ -17,10 +17,9 @@
     (denied.status.expect("a denial has a status").code, grpc.code, denied.body, retry_after)
 }
 
-/// Guards proxies and clients that act on these codes and texts: they stay as they were when the code's names
-/// changed.
+/// Proxies and clients act on these codes and texts, so they must not change.
 #[test]
-fn denials_on_the_wire_stay() {
+fn denial_responses_are_stable() {
     let expected = |http, grpc, body: &str| (http, grpc, body.to_string(), None);
     let seconds = |text: &str| Some(text.to_string());
     let quota = "over the quota or the fleet's capacity".to_string();
--- a/crates/ext-authz/src/shared_task.rs
+++ b/crates/ext-authz/src/shared_task.rs
@@ -1,11 +1,12 @@
-//! Tasks that all requests depend on. A panic of one stops the gateway in order: without it the others would go on half dead.
+//! Tasks that all requests depend on. If one panics, the gateway is shut down gracefully: it cannot serve
+//! requests without that task, but the other tasks would keep running.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinHandle};
 use weirusher_panics::Panicked;
 
-/// Spawns the tasks, ends them, and learns of the panic of one.
+/// Spawns tasks, aborts them, and reports when one has panicked.
 #[derive(Clone, Default)]
 pub struct SharedTasks {
     failed: watch::Sender<bool>,
@@ -13,12 +14,12 @@
 }
 
 impl SharedTasks {
-    /// No task yet.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Spawns a task.
+    /// Spawns a task. `name` identifies it in the log.
     pub fn spawn(
         &self,
         name: &'static str,
@@ -35,13 +36,14 @@
         task
     }
 
-    /// Ends all tasks.
+    /// Aborts all tasks.
     pub fn abort(&self) {
         self.handles.lock().unwrap_or_else(PoisonError::into_inner).iter().for_each(AbortHandle::abort);
     }
 
     /// Waits until a task has panicked.
     pub async fn failed(&self) {
-        let _ = self.failed.subscribe().wait_for(|failed| *failed).await; // The sender is this value's own, and lives.
+        // Never an error: `self` keeps the sender alive.
+        let _ = self.failed.subscribe().wait_for(|failed| *failed).await;
     }
 }
--- a/crates/ext-authz/tests/panics.rs
+++ b/crates/ext-authz/tests/panics.rs
@@ -1,4 +1,5 @@
-//! Panics in the tasks of `weirusher run`: who is answered, and what is left of them. All tasks run on the test's thread.
+//! Panics in the tasks of `weirusher run`: clients still get a response, and no state is left behind. All tasks run on
+//! the thread of the test, as fault points are armed per thread.
 
 use envoy_types::pb::envoy::service::accesslog::v3::{
     StreamAccessLogsMessage,
@@ -16,25 +17,25 @@
 use weirusher_ext_authz::GatewayHandle;
 use weirusher_panics::{arm, quiet, was_reached};
 
-/// Limit for what must happen.
+/// Time limit for anything that a test waits for.
 const LIMIT: Duration = Duration::from_secs(20);
-/// Longer than a test: no attempt times out and frees its place.
+/// Longer than any test takes, so that no attempt times out and releases its slot.
 const ATTEMPT_MILLIS: u64 = 60_000;
-/// Codes of a check's response (`google.rpc.Code`).
+/// Status codes in a check's response (`google.rpc.Code`).
 const OK: i32 = 0;
 const REJECTED: i32 = 8;
 const UNAVAILABLE: i32 = 14;
-/// Checks after which the plan's limit of attempts in flight would be used up if a panic kept one.
+/// The plan's limit of attempts in flight. If panics leaked attempts, this many would exhaust it.
 const MAX_IN_FLIGHT: usize = 4;
 
-struct Site {
+struct Fixture {
     gateway: GatewayHandle,
     channel: Channel,
     _dir: tempfile::TempDir,
 }
 
-/// A gateway with a cached list of one backend, without discovery and a counter.
-async fn site() -> Site {
+/// Starts a gateway with a cached list of one backend, an unreachable discovery and no counter.
+async fn start_gateway() -> Fixture {
     quiet();
     let dir = tempfile::tempdir().unwrap();
     let cache = dir.path().join("endpoints.json");
@@ -48,15 +49,15 @@
     );
     let gateway = weirusher_ext_authz::start(Config::parse(&text).unwrap()).await.unwrap();
     let channel = Endpoint::from_shared(format!("http://{}", gateway.ext_authz)).unwrap().connect_lazy();
-    let site = Site { gateway, channel, _dir: dir };
-    while site.check().await != Some(OK) {
+    let fixture = Fixture { gateway, channel, _dir: dir };
+    while fixture.check().await != Some(OK) {
         tokio::time::sleep(Duration::from_millis(2)).await; // The cached list is not loaded yet.
     }
-    site
+    fixture
 }
 
-impl Site {
-    /// The code of a check's response; `None`: there was none.
+impl Fixture {
+    /// Returns the status code in the response to a check; `None` if there was no response.
     async fn check(&self) -> Option<i32> {
         let headers = [("x-customer".to_string(), "acme".to_string())].into();
         let http = HttpRequest { method: "GET".into(), path: "/".into(), headers, ..HttpRequest::default() };
@@ -70,15 +71,15 @@
         Some(response.into_inner().status?.code)
     }
 
-    /// A figure of the admin page.
-    async fn figure(&self, section: &str, name: &str) -> u64 {
+    /// Returns a value from `GET /stats`.
+    async fn metric(&self, section: &str, name: &str) -> u64 {
         let page = weirusher_peers::page::get(self.gateway.admin, "/stats").await.unwrap();
         let stats: serde_json::Value = serde_json::from_slice(&page.body).unwrap();
         let section = if section.is_empty() { &stats } else { &stats[section] };
         section[name].as_u64().unwrap()
     }
 
-    /// The code with which a stream of reports ends.
+    /// Sends a stream of reports, and returns the code with which it ends.
     async fn report(&self) -> Code {
         let entries = LogEntries::HttpLogs(HttpAccessLogEntries::default());
         let message =
@@ -89,49 +90,49 @@
     }
 }
 
-/// Guards against a check that is reset as its task panics, and against attempts that stay in flight.
+/// A panic in a check's task must neither reset the check's stream nor leave its attempt in flight.
 #[tokio::test]
-async fn a_check_whose_task_panics_is_answered_and_leaves_nothing_behind() {
-    let site = site().await;
-    let granted_before = site.figure("", "owed").await;
-    let undelivered_before = site.figure("ledger", "undelivered").await;
+async fn a_panicking_check_gets_a_response_and_leaks_no_attempt() {
+    let fixture = start_gateway().await;
+    let granted_before = fixture.metric("", "owed").await;
+    let undelivered_before = fixture.metric("ledger", "undelivered").await;
     for round in 0..1000 {
         arm(if round % 2 == 0 { "check pending" } else { "check decided" });
-        assert_eq!(site.check().await, Some(UNAVAILABLE), "round {round}");
+        assert_eq!(fixture.check().await, Some(UNAVAILABLE), "round {round}");
         assert!(was_reached());
     }
-    while site.figure("", "owed").await > granted_before {
+    while fixture.metric("", "owed").await > granted_before {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    assert!(site.figure("ledger", "undelivered").await >= undelivered_before + 500);
-    assert_eq!(site.figure("process", "queue_full").await, 0);
-    // One is in flight since the start of the site.
+    assert!(fixture.metric("ledger", "undelivered").await >= undelivered_before + 500);
+    assert_eq!(fixture.metric("process", "queue_full").await, 0);
+    // One attempt has been in flight since `start_gateway`.
     for _ in 1..MAX_IN_FLIGHT {
-        assert_eq!(site.check().await, Some(OK));
+        assert_eq!(fixture.check().await, Some(OK));
     }
-    assert_eq!(site.check().await, Some(REJECTED));
+    assert_eq!(fixture.check().await, Some(REJECTED));
 }
 
 #[tokio::test]
-async fn a_stream_of_reports_whose_task_panics_ends_with_a_status() {
-    let site = site().await;
+async fn a_panicking_report_stream_ends_with_a_status() {
+    let fixture = start_gateway().await;
     arm("reports read");
-    assert_eq!(site.report().await, Code::Internal);
+    assert_eq!(fixture.report().await, Code::Internal);
     assert!(was_reached());
-    assert_eq!(site.report().await, Code::Ok);
-    assert_eq!(site.check().await, Some(OK));
+    assert_eq!(fixture.report().await, Code::Ok);
+    assert_eq!(fixture.check().await, Some(OK));
 }
 
-/// Guards against a gateway that goes on without its engine, and rejects all checks for ever.
+/// Without its engine, a gateway that kept running would fail every check.
 #[tokio::test]
-async fn a_panic_of_the_engine_stops_the_gateway_in_order() {
-    let site = site().await;
+async fn a_panicking_engine_stops_the_gateway_gracefully() {
+    let fixture = start_gateway().await;
     arm("engine");
-    assert!(site.check().await.is_some(), "the check that met it is answered");
+    assert!(fixture.check().await.is_some(), "the check that caused the panic gets a response");
     assert!(was_reached());
-    tokio::time::timeout(LIMIT, site.gateway.failed()).await.expect("the panic is noticed");
-    assert!(site.check().await.is_some(), "one that comes before the stop is answered");
-    let Site { gateway, channel, .. } = site;
+    tokio::time::timeout(LIMIT, fixture.gateway.failed()).await.expect("the panic is reported");
+    assert!(fixture.check().await.is_some(), "a check before the stop gets a response");
+    let Fixture { gateway, channel, .. } = fixture;
     drop(channel);
-    tokio::time::timeout(LIMIT, gateway.stop()).await.expect("it stops");
+    tokio::time::timeout(LIMIT, gateway.stop()).await.expect("the gateway stops in time");
 }
