--- a/crates/config/src/address.rs
+++ b/crates/config/src/address.rs
@@ -1,25 +1,26 @@
-//! Addresses. Only loopback addresses are accepted.
+//! Reads socket addresses. Only loopback addresses are accepted.
 
 use crate::table::{Located, Table};
 use std::net::SocketAddr;
 
-/// The address under a key. Without the key it is the default, or a problem where there is none.
+/// Reads the address under a key. If the key is missing, returns the default, or reports a problem if there
+/// is no default.
 pub(crate) fn address(
     table: &mut Table<'_, '_>,
     key: &'static str,
     default: Option<&str>,
 ) -> Option<SocketAddr> {
-    match table.text(key) {
+    match table.string(key) {
         Some(text) => loopback_address(table, key, &text),
         None if default.is_none() => {
-            table.missing(key, "an address such as \"127.0.0.1:9000\"");
+            table.missing(key, "expected an address such as \"127.0.0.1:9000\"");
             None
         }
         None => default.and_then(|default| default.parse().ok()),
     }
 }
 
-/// An address on loopback from a text.
+/// Parses a loopback address.
 pub(crate) fn loopback_address(
     table: &Table<'_, '_>,
     key: &str,
@@ -33,8 +34,8 @@
             table.problems.add(text.offset, message, hint);
         }
         Err(_) => {
-            let message = format!("`{key}` is no address: \"{}\"", text.value);
-            let hint = "an IP address and a port, such as \"127.0.0.1:9000\"".to_string();
+            let message = format!("`{key}` is not an address: \"{}\"", text.value);
+            let hint = "expected an IP address and a port, such as \"127.0.0.1:9000\"".to_string();
             table.problems.add(text.offset, message, hint);
         }
     }
--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -1,4 +1,4 @@
-//! `[[class]]`: the latency objective, the time budget and the idempotency of each class of requests.
+//! `[[class]]`: the latency objective, time budget and idempotency of each class of requests.
 
 use crate::config::{MAX_SECONDS, read_name};
 use crate::table::Table;
@@ -6,10 +6,10 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 const DEFAULT_LATENCY_OBJECTIVE_MS: f64 = 1000.0;
-/// A client waits this many times the latency objective, where the class does not say how long.
+/// The time budget of a class that does not state one, as a multiple of its latency objective.
 const DEFAULT_TIME_BUDGET_MULTIPLE: f64 = 3.0;
 
-/// The classes and their names, in the order of the file.
+/// The classes and their names, in file order.
 pub(crate) struct Classes {
     pub classes: Vec<Class>,
     pub names: Vec<String>,
@@ -24,7 +24,7 @@
             table.finish();
         }
         if classes.is_empty() {
-            root.missing("[[class]]", "one class or more, with `name` and `aim_ms`");
+            root.missing("[[class]]", "expected at least one class, with `name` and `aim_ms`");
         }
         Self { classes, names }
     }
@@ -42,27 +42,30 @@
     let default_ms = class.latency_objective * (DEFAULT_TIME_BUDGET_MULTIPLE * MILLIS_PER_SECOND);
     class.deadline = table.number("patience_ms", default_ms, millis) / MILLIS_PER_SECOND;
     if class.deadline < class.latency_objective {
-        let hint = "`patience_ms` is `aim_ms` or more".to_string();
-        table.add_problem("clients give up before the aim", hint);
+        let hint = "`patience_ms` must be at least `aim_ms`".to_string();
+        table.add_problem(
+            "`patience_ms` is less than `aim_ms`: clients would give up before the latency objective",
+            hint,
+        );
     }
     class
 }
 
-/// What a repeat of a request does, from `effect`, `group` and `window_seconds`.
+/// Reads the idempotency of a class from `effect`, `group` and `window_seconds`.
 fn read_idempotency(table: &mut Table<'_, '_>) -> Option<Idempotency> {
     let window = table.number("window_seconds", 0.0, 0.0..=MAX_SECONDS);
-    let group = table.text("group").map_or_else(|| "all".to_string(), |group| group.value);
-    let effect = table.text("effect")?;
+    let group = table.string("group").map_or_else(|| "all".to_string(), |group| group.value);
+    let effect = table.string("effect")?;
     let idempotency = parse_idempotency(&effect.value, &group, window);
     if idempotency.is_none() {
-        let message = format!("no such effect: {} in the group {group}", effect.value);
-        let hint = "`effect` is safe, keyed or unsafe; `group` is all, zone or cell".to_string();
+        let message = format!("unknown `effect` \"{}\" or `group` \"{group}\"", effect.value);
+        let hint = "`effect` must be safe, keyed or unsafe; `group` must be all, zone or cell".to_string();
         table.problems.add(effect.offset, message, hint);
     }
     idempotency
 }
 
-/// The idempotency of an effect `safe`, `unsafe` or `keyed`. `window` is in seconds.
+/// Converts the values of `effect` and `group`; `None` if one is unknown. `window` is in seconds.
 fn parse_idempotency(effect: &str, group: &str, window: f64) -> Option<Idempotency> {
     let scope = match group {
         "all" => DedupScope::All,
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -1,4 +1,4 @@
-//! The whole configuration of `run`.
+//! The complete configuration of the `run` command.
 
 use crate::classes::Classes;
 use crate::fleet::{FleetConfig, FleetFile};
@@ -13,42 +13,42 @@
 use weirusher::Settings;
 use weirusher_core::Key;
 
-/// Seconds of a day: no time in a configuration is longer.
+/// Maximum of any duration in a configuration: one day, in seconds.
 pub(crate) const MAX_SECONDS: f64 = 86_400.0;
-/// No rate, amount or weight in a configuration is larger.
+/// Maximum of any rate, amount or weight in a configuration.
 pub(crate) const MAX_AMOUNT: f64 = 1e9;
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Debug, Clone)]
 #[non_exhaustive]
 pub struct Config {
-    /// The settings of the decisions, but for what is known only when the process starts.
+    /// The settings of the decision logic, except for values that are known only when the process starts.
     pub settings: Settings,
-    /// Where the gRPC services listen.
+    /// The listening address of the gRPC services.
     pub ext_authz_address: SocketAddr,
-    /// Where the admin page listens.
+    /// The listening address of the admin page.
     pub admin_address: SocketAddr,
-    /// What the gRPC services accept at once.
+    /// Concurrency limits of the gRPC services.
     pub connection_limits: ConnectionLimits,
-    /// Keys of tickets; the first one signs.
+    /// The keys that verify tickets; the first one also signs them.
     pub ticket_keys: Vec<Key>,
-    /// The counter, if there is one.
+    /// The shared counter, if one is configured.
     pub counter: Option<CounterConfig>,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub discovery: DiscoveryConfig,
-    /// How the attributes of an `ext_authz` check become a request.
+    /// How the attributes of an `ext_authz` check are converted to a request.
     pub request_rules: RequestRules,
-    /// Seconds that a graceful shutdown waits for pending requests.
+    /// Maximum time that a graceful shutdown waits for pending requests, in seconds.
     pub drain_seconds: f64,
-    /// The other gateways, if it is to know of them.
+    /// The membership of the fleet, if it is enabled.
     pub fleet: Option<FleetConfig>,
 }
 
 impl Config {
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
-    /// Everything that is wrong in it, by place.
+    /// All problems in the configuration, in the order of their positions.
     pub fn parse(source: &str) -> Result<Self, ConfigError> {
         table::parse(source, "the configuration", read)
     }
@@ -61,8 +61,8 @@
     settings::read_instance(root, &mut settings);
     settings::read_limits(root, &mut settings);
     settings::read_slow_start(root, &mut settings);
-    let whose = FleetFile::WithInstance { number: settings.instance, gateways: settings.instances };
-    let fleet = FleetConfig::read(root, whose);
+    let file = FleetFile::WithInstance { number: settings.instance, gateways: settings.instances };
+    let fleet = FleetConfig::read(root, file);
     let listen = Listen::read(root);
     let ticket_keys = ticket_keys::read(root);
     let counter = CounterConfig::read(root, &mut settings);
@@ -85,19 +85,19 @@
     })
 }
 
-/// Reads the `name` of a table in a list, and reports one that stands twice. `what` names the list in messages.
+/// Reads the `name` of a table in an array, and reports a duplicate. `what` names the array in messages.
 pub(crate) fn read_name(table: &mut Table<'_, '_>, names: &mut Vec<String>, what: &str) {
-    let name = match table.text("name") {
+    let name = match table.string("name") {
         Some(name) => {
             if names.contains(&name.value) {
-                let hint = "names tell them apart; the second one would never be used".to_string();
-                let message = format!("two {what} are called \"{}\"", name.value);
+                let hint = "names must be unique; the second one would never be used".to_string();
+                let message = format!("two {what} are named \"{}\"", name.value);
                 table.problems.add(name.offset, message, hint);
             }
             name.value
         }
         None => {
-            table.missing("name", "a name, by which other tables refer to it");
+            table.missing("name", "expected a name, by which other tables refer to this one");
             String::new()
         }
     };
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,5 @@
-//! `[fleet]`: the other gateways. It stands in the configuration of `run`, or in a file of its own for `node`.
+//! `[fleet]`: the members of the fleet. The table is part of the configuration of `run`; for `node`, it is in
+//! a separate file.
 
 use crate::address::{address, loopback_address};
 use crate::listen::ANY_ADMIN_ADDRESS;
@@ -8,41 +9,41 @@
 use std::net::SocketAddr;
 use weirusher_fleet::{MAX_MEMBERS, MIN_KEY_BYTES, Settings};
 
-/// Seconds of a year: no clock is assumed to be further off.
+/// Maximum of `clock_shift_seconds` in either direction: one year, as no clock is assumed to be further off.
 const MAX_CLOCK_SHIFT_SECONDS: f64 = 366.0 * 86_400.0;
 
 /// How a gateway takes part in its fleet.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
-    /// Where datagrams are received and sent from.
+    /// The UDP address that datagrams are received at and sent from.
     pub listen: SocketAddr,
-    /// Where the admin page of a `node` listens. That of `run` is the gateway's own.
+    /// The listening address of the admin page of a `node`. `None` for `run`, which has one in `[listen]`.
     pub admin: Option<SocketAddr>,
-    /// Its number, the members and the key.
+    /// The number of this gateway, the members and the key.
     pub settings: Settings,
-    /// Seconds by which its wall clock is taken to stand ahead. Fault-injection runs set it.
+    /// Seconds that are added to the wall clock. Set by fault-injection runs to simulate a wrong clock.
     pub clock_shift_seconds: f64,
 }
 
-/// The file that `[fleet]` stands in.
+/// The file that contains `[fleet]`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum FleetFile {
-    /// A configuration with `[instance]`, which says the gateway's number and how many there are.
+    /// A configuration with `[instance]`, which states the number of this gateway and the number of gateways.
     WithInstance { number: u32, gateways: u32 },
-    /// A file that holds nothing else.
-    Alone,
+    /// A file that contains no other table.
+    Standalone,
 }
 
 impl FleetConfig {
-    /// Reads and checks a file that holds `[fleet]` only.
+    /// Parses and validates a file that contains only `[fleet]`.
     ///
     /// # Errors
-    /// Everything that is wrong in it, by place.
+    /// All problems in the file, in the order of their positions.
     pub fn parse(source: &str) -> Result<Self, ConfigError> {
         table::parse(source, "the file", |root| {
-            let config = Self::read(root, FleetFile::Alone);
+            let config = Self::read(root, FleetFile::Standalone);
             if config.is_none() {
-                root.missing("[fleet]", "a table with `number`, `members` and `key`");
+                root.missing("[fleet]", "expected a table with `number`, `members` and `key`");
             }
             config
         })
@@ -53,7 +54,7 @@
         let members = read_members(&mut table, file);
         let (number, admin) = match file {
             FleetFile::WithInstance { number, .. } => (number, None),
-            FleetFile::Alone => {
+            FleetFile::Standalone => {
                 let admin = address(&mut table, "admin", Some(ANY_ADMIN_ADDRESS));
                 (read_number(&mut table, members.len()), admin)
             }
@@ -65,7 +66,7 @@
         let clock_shift_seconds = table.number("clock_shift_seconds", 0.0, shift);
         table.finish();
         let instance = u16::try_from(number).unwrap_or(u16::MAX);
-        // An address that is missing was reported as a problem: this one is not used.
+        // A missing address was reported as a problem, so this placeholder is never used.
         let unused = SocketAddr::from(([127, 0, 0, 1], 0));
         let settings = Settings { instance, members, key };
         Some(Self { listen: listen.unwrap_or(unused), admin, settings, clock_shift_seconds })
@@ -73,26 +74,26 @@
 }
 
 fn read_members(table: &mut Table<'_, '_>, file: FleetFile) -> Vec<SocketAddr> {
-    let Some(texts) = table.texts("members") else {
-        table.missing("members", "the address of each gateway, in the order of their numbers");
+    let Some(addresses) = table.strings("members") else {
+        table.missing("members", "expected the address of each gateway, in the order of their numbers");
         return Vec::new();
     };
-    let mut members: Vec<SocketAddr> = Vec::with_capacity(texts.len().min(MAX_MEMBERS));
-    let mut first_at = HashMap::new();
-    for (number, text) in texts.iter().enumerate() {
+    let mut members: Vec<SocketAddr> = Vec::with_capacity(addresses.len().min(MAX_MEMBERS));
+    let mut numbers_by_address = HashMap::new();
+    for (number, text) in addresses.iter().enumerate() {
         let Some(address) = loopback_address(table, "members", text) else { continue };
         if address.port() == 0 {
-            let hint = "the others must know it before it listens".to_string();
+            let hint = "the other members must know the port before this one listens".to_string();
             let message = format!("member {number} has no port: \"{}\"", text.value);
             table.problems.add(text.offset, message, hint);
-        } else if let Some(first) = first_at.insert(address, number) {
-            let hint = "each member has an address of its own".to_string();
+        } else if let Some(first) = numbers_by_address.insert(address, number) {
+            let hint = "member addresses must be unique".to_string();
             let message = format!("member {number} is at {address}, as member {first} is");
             table.problems.add(text.offset, message, hint);
         }
         members.push(address);
     }
-    check_member_count(table, texts.len(), file);
+    check_member_count(table, addresses.len(), file);
     members
 }
 
@@ -100,34 +101,39 @@
     if let FleetFile::WithInstance { gateways, .. } = file
         && count != gateways as usize
     {
-        let message = format!("{count} members, where `gateways` in [instance] is {gateways}");
-        let hint = "one for each gateway of the fleet, those that do not run yet included".to_string();
+        let message = format!("{count} members, but `gateways` in [instance] is {gateways}");
+        let hint = "expected one member for each gateway of the fleet, including those that do not run yet"
+            .to_string();
         table.add_problem(message, hint);
     }
     if !(2..=MAX_MEMBERS).contains(&count) {
-        let hint = format!("2 to {MAX_MEMBERS}; without [fleet] it is off");
+        let hint = format!("expected 2 to {MAX_MEMBERS}; omit [fleet] to disable membership");
         table.add_problem(format!("a fleet of {count} members"), hint);
     }
 }
 
 fn read_number(table: &mut Table<'_, '_>, members: usize) -> u32 {
     let Some(number) = table.optional_number("number", 0.0..=(MAX_MEMBERS - 1) as f64) else {
-        table.missing("number", "which of `members` this gateway is, from 0");
+        table.missing("number", "expected the index of this gateway in `members`, from 0");
         return 0;
     };
     if number.value.fract() != 0.0 || number.value as usize >= members {
         let message = format!("`number` in [fleet] is {}, of {members} members", number.value);
-        table.problems.add(number.offset, message, format!("a whole number below {members}"));
+        table.problems.add(number.offset, message, format!("expected a whole number below {members}"));
     }
     number.value as u32
 }
 
 fn read_key(table: &mut Table<'_, '_>) -> Vec<u8> {
-    match table.text("key") {
-        None => table.missing("key", "a text that only this fleet's gateways know"),
+    match table.string("key") {
+        None => table.missing("key", "expected a secret that only the gateways of this fleet know"),
         Some(key) if key.value.len() < MIN_KEY_BYTES => {
             let message = format!("a key of {} bytes can be guessed", key.value.len());
-            table.problems.add(key.offset, message, format!("{MIN_KEY_BYTES} bytes or more, at random"));
+            table.problems.add(
+                key.offset,
+                message,
+                format!("expected at least {MIN_KEY_BYTES} random bytes"),
+            );
         }
         Some(key) => return key.value.into_bytes(),
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway's configuration: TOML, read key by key with places, and checked as a whole.
+//! The gateway's configuration: TOML, read key by key with source positions, and validated as a whole.
 //!
-//! [`Config::parse`] reports everything that is wrong at once, each problem with its line, its column and a hint.
-//! docs/configuration.md lists every key with its unit and default. Each module maps the keys of one table to the fields
-//! that the code uses.
+//! [`Config::parse`] reports all problems at once, each with its line, its column and a hint.
+//! docs/configuration.md lists every key with its unit and default. Each module maps the keys of one or a few
+//! tables to the fields that the code uses.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/config/src/listen.rs
+++ b/crates/config/src/listen.rs
@@ -1,4 +1,4 @@
-//! `[listen]`: addresses, connection limits and the grace period of a shutdown.
+//! `[listen]`: listening addresses, connection limits and the drain time of a graceful shutdown.
 
 use crate::address::address;
 use crate::config::MAX_SECONDS;
@@ -8,15 +8,15 @@
 const DEFAULT_CONNECTIONS: u32 = 1024;
 const MAX_CONNECTIONS: u32 = 65_536;
 const DEFAULT_DRAIN_SECONDS: f64 = 10.0;
-/// An admin page without an address of its own listens on a free port.
+/// The default address of the admin page: a free port on loopback.
 pub(crate) const ANY_ADMIN_ADDRESS: &str = "127.0.0.1:0";
 
-/// What the gRPC services accept at once.
+/// Concurrency limits of the gRPC services.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Most connections.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Most streams of each connection.
+    /// Maximum number of concurrent streams per connection.
     pub streams_per_connection: u32,
 }
 
@@ -30,14 +30,14 @@
 impl Listen {
     pub fn read(root: &mut Table<'_, '_>) -> Option<Self> {
         let Some(mut table) = root.table("listen") else {
-            root.missing("[listen]", "a table with `ext_authz` and `admin`");
+            root.missing("[listen]", "expected a table with `ext_authz` and `admin`");
             return None;
         };
         let ext_authz = address(&mut table, "ext_authz", None);
         let admin = address(&mut table, "admin", Some(ANY_ADMIN_ADDRESS));
         let connection_limits = ConnectionLimits {
-            connections: table.whole("connections", DEFAULT_CONNECTIONS, 1..=MAX_CONNECTIONS),
-            streams_per_connection: table.whole("streams", DEFAULT_CONNECTIONS, 1..=MAX_CONNECTIONS),
+            connections: table.whole_number("connections", DEFAULT_CONNECTIONS, 1..=MAX_CONNECTIONS),
+            streams_per_connection: table.whole_number("streams", DEFAULT_CONNECTIONS, 1..=MAX_CONNECTIONS),
         };
         let drain_seconds = table.number("drain_seconds", DEFAULT_DRAIN_SECONDS, 0.0..=MAX_SECONDS);
         table.finish();
--- a/crates/config/src/plans.rs
+++ b/crates/config/src/plans.rs
@@ -1,10 +1,10 @@
-//! `[[plan]]`: the quotas, ceilings and weights of tenants.
+//! `[[plan]]`: the quotas, ceilings and weights of customers.
 
 use crate::config::{MAX_AMOUNT, read_name};
 use crate::table::Table;
 use weirusher::Plan;
 
-/// The plans and their names, in the order of the file.
+/// The plans and their names, in file order.
 pub(crate) struct Plans {
     pub plans: Vec<Plan>,
     pub names: Vec<String>,
@@ -19,7 +19,7 @@
             table.finish();
         }
         if plans.is_empty() {
-            root.missing("[[plan]]", "one plan or more, with `name`, `rate` and `burst`");
+            root.missing("[[plan]]", "expected at least one plan, with `name`, `rate` and `burst`");
         }
         Self { plans, names }
     }
@@ -30,19 +30,19 @@
     let mut plan = Plan::default();
     plan.rate = table.number("rate", 0.0, amount.clone());
     plan.burst = table.number("burst", plan.rate.max(1.0), amount.clone());
-    plan.max_concurrent = table.whole("open", 0, 0..=u32::MAX);
+    plan.max_concurrent = table.whole_number("open", 0, 0..=u32::MAX);
     plan.priority_weight = table.number("pays", 1.0, amount.clone());
     plan.over_quota_weight = table.number("excess_worth", 0.0, amount.clone());
     plan.over_quota_cost = table.number("overrun_cost", 0.0, amount.clone());
     plan.ceiling_rate = table.number("ceiling_rate", 0.0, amount.clone());
     plan.ceiling_burst = table.number("ceiling_burst", 0.0, amount);
     if plan.rate > 0.0 && plan.burst < 1.0 {
-        let message = format!("a burst of {} lets no request of one unit through", plan.burst);
-        table.add_problem(message, "`burst` holds the largest request or more".to_string());
+        let message = format!("a burst of {} admits no request of one unit", plan.burst);
+        table.add_problem(message, "`burst` must be at least the units of the largest request".to_string());
     }
     if plan.ceiling_rate > 0.0 && (plan.ceiling_rate < plan.rate || plan.ceiling_burst < plan.burst) {
-        let hint = "`ceiling_rate` and `ceiling_burst` are at least `rate` and `burst`".to_string();
-        table.add_problem("the hard ceiling lies below the quota", hint);
+        let hint = "`ceiling_rate` and `ceiling_burst` must be at least `rate` and `burst`".to_string();
+        table.add_problem("the hard ceiling is below the quota", hint);
     }
     plan
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,22 +1,22 @@
-//! What is wrong in a configuration, and where.
+//! Problems in a configuration, and their positions.
 
 use std::cell::RefCell;
 
-/// Something wrong in a configuration.
+/// A problem in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}, column {column}: {message}")]
 pub struct Problem {
-    /// Its line, from 1.
+    /// The line, from 1.
     pub line: usize,
-    /// Its column in characters, from 1.
+    /// The column in characters, from 1.
     pub column: usize,
     /// What is wrong.
     pub message: String,
-    /// What is meant instead.
+    /// What is expected instead.
     pub hint: Option<String>,
 }
 
-/// A configuration cannot be used: everything that is wrong in it, by place.
+/// All problems of a configuration that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the configuration has {} problems", .problems.len())]
 pub struct ConfigError {
@@ -24,12 +24,12 @@
 }
 
 impl ConfigError {
-    /// The problems, in the order of their places.
+    /// The problems, in the order of their positions.
     pub fn problems(&self) -> &[Problem] {
         &self.problems
     }
 
-    /// Shows the problems as a compiler would: the place, the line, a caret.
+    /// Formats each problem as a compiler does: position, message, source line with a caret, and hint.
     pub fn render(&self, file: &str, source: &str) -> String {
         let mut out = String::new();
         for problem in &self.problems {
@@ -66,7 +66,7 @@
         self.problems.borrow_mut().push(problem);
     }
 
-    /// All problems as one error, empty where there was none.
+    /// Converts the problems to one error, which is empty if there were none.
     pub fn into_error(self) -> ConfigError {
         let mut problems = self.problems.into_inner();
         problems.sort_by_key(|problem| (problem.line, problem.column));
--- a/crates/config/src/request_rules.rs
+++ b/crates/config/src/request_rules.rs
@@ -1,4 +1,5 @@
-//! `[request]`, `[[route]]`, `[customers]` and `default_plan`: how the attributes of an `ext_authz` check become a request.
+//! `[request]`, `[[route]]`, `[customers]` and `default_plan`: how the attributes of an `ext_authz` check are
+//! converted to a request.
 
 use crate::classes::Classes;
 use crate::config::MAX_AMOUNT;
@@ -7,41 +8,41 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Header in which Envoy states how long its client waits.
+/// Header in which Envoy states the timeout of the request in milliseconds.
 const ENVOY_TIMEOUT_HEADER: &str = "x-envoy-expected-rq-timeout-ms";
 const CUSTOMER_HEADER: &str = "x-customer";
 const TICKET_HEADER: &str = "x-weirusher-ticket";
 const BACKEND_HEADER: &str = "x-weirusher-server";
 const TIMEOUT_HEADER: &str = "x-weirusher-timeout";
-/// Least value of `max_units`.
+/// Minimum of `max_units`.
 const MIN_MAX_UNITS: f64 = 0.001;
 
-/// The units of a request.
+/// How the units of a request are determined.
 #[derive(Debug, Clone)]
 pub struct UnitsRule {
-    /// Header that states them.
+    /// Header that states the units, if one is configured.
     pub header: Option<String>,
-    /// Units of a request without that header.
+    /// Units of a request without the header.
     pub default: f64,
 }
 
-/// The class of the requests whose path begins with a prefix.
+/// The class of requests whose path starts with a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The prefix.
+    /// The path prefix.
     pub prefix: String,
-    /// The class's number.
+    /// The index of the class.
     pub class: usize,
 }
 
-/// How the attributes of an `ext_authz` check become a request.
+/// How the attributes of an `ext_authz` check are converted to a request.
 #[derive(Debug, Clone)]
 pub struct RequestRules {
     /// Header that names the customer.
     pub customer_header: String,
-    /// Units of a request.
+    /// How the units of a request are determined.
     pub units: UnitsRule,
-    /// Most units of a request.
+    /// Maximum units of a request.
     pub max_units: f64,
     /// Header that states the client's time budget in milliseconds.
     pub time_budget_header: Option<String>,
@@ -51,15 +52,15 @@
     pub backend_header: String,
     /// Header that states the attempt's timeout.
     pub timeout_header: String,
-    /// Header that names the range of gateways that carry the customer.
+    /// Header that states the range of gateways that serve the customer.
     pub instances_header: Option<String>,
     /// Classes by path prefix, the longest prefix first.
     pub routes: Vec<Route>,
-    /// Seconds of time budget by class, where the request states none.
+    /// Time budget in seconds by class, for requests that state none.
     pub class_time_budgets: Vec<f64>,
-    /// Plans by customer.
+    /// Indexes of plans by customer.
     pub plans: HashMap<String, usize>,
-    /// Plan of customers that are not named.
+    /// Index of the plan for customers that are not listed in `plans`.
     pub default_plan: Option<usize>,
 }
 
@@ -109,12 +110,12 @@
         self.instances_header = optional(read_header(table, "spread_header", ""));
     }
 
-    /// Every plan's burst must hold the largest request.
+    /// Reports plans whose burst is smaller than the largest request.
     fn check_bursts(&self, root: &Table<'_, '_>, plans: &Plans) {
         for (plan, name) in plans.plans.iter().zip(&plans.names) {
             if plan.rate > 0.0 && plan.burst < self.max_units {
                 let message = format!("plan \"{name}\" has a burst of {}, less than `max_units`", plan.burst);
-                let hint = "a request of that size could never be served".to_string();
+                let hint = "a request of `max_units` units could never be admitted".to_string();
                 root.add_problem(message, hint);
             }
         }
@@ -122,13 +123,13 @@
 
     fn read_routes(&mut self, root: &mut Table<'_, '_>, classes: &Classes) {
         for mut table in root.tables("route") {
-            let prefix = table.text("prefix").map_or_else(String::new, |prefix| prefix.value);
-            match table.text("class") {
+            let prefix = table.string("prefix").map_or_else(String::new, |prefix| prefix.value);
+            match table.string("class") {
                 Some(class) => {
                     let class = find_name(root, &classes.names, &class, "class");
                     self.routes.extend(class.map(|class| Route { prefix, class }));
                 }
-                None => table.missing("class", "the name of a [[class]]"),
+                None => table.missing("class", "expected the name of a [[class]]"),
             }
             table.finish();
         }
@@ -140,33 +141,33 @@
 
     fn read_customers(&mut self, root: &mut Table<'_, '_>, plans: &Plans) {
         if let Some(mut table) = root.table("customers") {
-            for (customer, plan) in table.remaining_texts() {
+            for (customer, plan) in table.remaining_strings() {
                 let plan = find_name(root, &plans.names, &plan, "plan");
                 self.plans.extend(plan.map(|plan| (customer, plan)));
             }
         }
-        let default_plan = root.text("default_plan");
+        let default_plan = root.string("default_plan");
         self.default_plan = default_plan.and_then(|name| find_name(root, &plans.names, &name, "plan"));
     }
 }
 
-/// The name of a header, in lower case as HTTP/2 has it.
+/// Reads a header name, which must be in lower case, as in HTTP/2.
 fn read_header(table: &mut Table<'_, '_>, key: &'static str, default: &str) -> String {
-    let Some(Located { value: name, offset }) = table.text(key) else { return default.to_string() };
+    let Some(Located { value: name, offset }) = table.string(key) else { return default.to_string() };
     let malformed = |c: char| c.is_whitespace() || c == ':';
     if name != name.to_ascii_lowercase() || name.contains(malformed) {
-        let hint = "lower case, without spaces".to_string();
-        table.problems.add(offset, format!("\"{name}\" is no header name as it arrives"), hint);
+        let hint = "expected lower case, without spaces or colons".to_string();
+        table.problems.add(offset, format!("\"{name}\" is not a lower-case header name"), hint);
     }
     name
 }
 
-/// The number of a plan or class by its name.
+/// Looks up the index of a plan or class by name, and reports an unknown name.
 fn find_name(root: &Table<'_, '_>, names: &[String], name: &Located<String>, what: &str) -> Option<usize> {
     let found = names.iter().position(|known| *known == name.value);
     if found.is_none() {
-        let message = format!("there is no {what} \"{}\"", name.value);
-        root.problems.add(name.offset, message, format!("there is {}", names.join(", ")));
+        let message = format!("unknown {what} \"{}\"", name.value);
+        root.problems.add(name.offset, message, format!("known names: {}", names.join(", ")));
     }
     found
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The tables that only fill the settings of the decisions: `[instance]`, `[limits]` and `[cold]`.
+//! `[instance]`, `[limits]` and `[cold]`: the tables that only set fields of [`Settings`].
 
 use crate::config::MAX_SECONDS;
 use crate::table::Table;
@@ -8,40 +8,42 @@
 const MAX_ZONE: u32 = 10_000;
 const MAX_OPEN_REQUESTS: u32 = 10_000_000;
 const MAX_ATTEMPTS: u32 = 100;
-/// Largest multiple of its capacity that may be said to overload a backend.
+/// Maximum of `fall_multiple`, the multiple of its capacity at which a backend is overloaded.
 const MAX_OVERLOAD_MULTIPLE: f64 = 1000.0;
-/// Least seconds of that which overload it.
+/// Minimum of `fall_seconds`, the time at that load after which a backend is overloaded.
 const MIN_OVERLOAD_SECONDS: f64 = 0.001;
 
-/// `[instance]`: which gateway of how many this is, and its zone.
+/// Reads `[instance]`: the number of this gateway, the number of gateways, and the zone.
 pub(crate) fn read_instance(root: &mut Table<'_, '_>, settings: &mut Settings) {
     let Some(mut table) = root.table("instance") else {
-        return root.missing("[instance]", "a table with `number` and `gateways`");
+        return root.missing("[instance]", "expected a table with `number` and `gateways`");
     };
-    settings.instances = table.whole("gateways", 1, 1..=MAX_INSTANCES);
-    settings.instance = table.whole("number", 0, 0..=MAX_INSTANCES - 1);
+    settings.instances = table.whole_number("gateways", 1, 1..=MAX_INSTANCES);
+    settings.instance = table.whole_number("number", 0, 0..=MAX_INSTANCES - 1);
     if settings.instance >= settings.instances {
         let message =
             format!("instance {} of {} gateways: numbers run from 0", settings.instance, settings.instances);
         table.add_problem(message, format!("`number` must be below {}", settings.instances));
     }
-    settings.zone = table.whole("zone", 0, 0..=MAX_ZONE);
+    settings.zone = table.whole_number("zone", 0, 0..=MAX_ZONE);
     table.finish();
 }
 
-/// `[limits]`: requests open at once, attempts of each, and the longest Retry-After.
+/// Reads `[limits]`: the maximum number of open requests, of attempts per request, and the maximum
+/// Retry-After.
 pub(crate) fn read_limits(root: &mut Table<'_, '_>, settings: &mut Settings) {
     (settings.max_open_requests, settings.max_attempts, settings.max_retry_after) = (10_000, 3, 5.0);
     let Some(mut table) = root.table("limits") else { return };
-    settings.max_open_requests = table.whole("open", settings.max_open_requests, 1..=MAX_OPEN_REQUESTS);
-    settings.max_attempts = table.whole("attempts", settings.max_attempts, 1..=MAX_ATTEMPTS);
+    settings.max_open_requests =
+        table.whole_number("open", settings.max_open_requests, 1..=MAX_OPEN_REQUESTS);
+    settings.max_attempts = table.whole_number("attempts", settings.max_attempts, 1..=MAX_ATTEMPTS);
     settings.max_retry_after =
         table.number("retry_after_seconds", settings.max_retry_after, 0.0..=MAX_SECONDS);
     settings.sends_retry_after = settings.max_retry_after > 0.0;
     table.finish();
 }
 
-/// `[cold]`: the slow start of backends, and when one is overloaded.
+/// Reads `[cold]`: the slow start of backends, and when a backend is overloaded.
 pub(crate) fn read_slow_start(root: &mut Table<'_, '_>, settings: &mut Settings) {
     let Some(mut table) = root.table("cold") else { return };
     settings.slow_start_min_capacity = table.number("from", 1.0, 0.0..=1.0);
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -1,4 +1,4 @@
-//! Reads TOML tables key by key, and collects every problem with its place.
+//! Reads TOML tables key by key, and collects all problems with their positions.
 
 use crate::problem::{ConfigError, ProblemCollector};
 use std::cell::RefCell;
@@ -6,30 +6,32 @@
 use toml::Spanned;
 use toml::de::{DeString, DeTable, DeValue};
 
-/// A value, and the byte offset in the source at which it stands.
+/// A value with its byte offset in the source.
 #[derive(Debug, Clone)]
 pub(crate) struct Located<T> {
     pub value: T,
     pub offset: usize,
 }
 
-/// A key with its value, that nobody has read yet.
+/// A key and its value, which have not been read yet.
 struct Entry<'a> {
     key: Located<String>,
     value: Located<DeValue<'a>>,
 }
 
-/// A table whose keys are read one by one. Those that are left at the end are unknown.
+/// A table whose keys are read one by one. [`Table::finish`] reports the remaining keys as unknown.
 pub(crate) struct Table<'p, 'a> {
     pub problems: &'p ProblemCollector<'a>,
     name: String,
-    /// The byte offset at which the table begins.
+    /// The byte offset of the table.
     offset: usize,
     entries: Vec<Entry<'a>>,
+    /// The keys that have been asked for.
     known_keys: RefCell<Vec<&'static str>>,
 }
 
-/// Reads a file's root table with `read`, which takes all keys that it knows. `name` stands for the table in messages.
+/// Parses a file, and reads its root table with `read`, which takes all keys that it knows. `name` denotes
+/// the root table in messages.
 pub(crate) fn parse<T>(
     source: &str,
     name: &str,
@@ -50,15 +52,15 @@
     value.filter(|_| error.problems().is_empty()).ok_or(error)
 }
 
-/// What a value is, as messages name it.
-fn kind(value: &DeValue<'_>) -> &'static str {
+/// The type of a value, as messages name it.
+fn type_name(value: &DeValue<'_>) -> &'static str {
     match value {
-        DeValue::String(_) => "a text",
+        DeValue::String(_) => "a string",
         DeValue::Integer(_) => "a whole number",
         DeValue::Float(_) => "a number",
-        DeValue::Boolean(_) => "true or false",
+        DeValue::Boolean(_) => "a boolean",
         DeValue::Datetime(_) => "a date",
-        DeValue::Array(_) => "a list",
+        DeValue::Array(_) => "an array",
         DeValue::Table(_) => "a table",
     }
 }
@@ -76,40 +78,41 @@
         Self { problems, name: name.to_string(), offset, entries, known_keys: RefCell::default() }
     }
 
-    /// Adds a problem at the table's beginning.
+    /// Adds a problem at the position of the table.
     pub fn add_problem(&self, message: impl Into<String>, hint: impl Into<Option<String>>) {
         self.problems.add(self.offset, message, hint);
     }
 
+    /// Removes a key and returns its value, and marks the key as known.
     fn take(&mut self, key: &'static str) -> Option<Located<DeValue<'a>>> {
         self.known_keys.borrow_mut().push(key);
-        let place = self.entries.iter().position(|entry| entry.key.value == key)?;
-        Some(self.entries.swap_remove(place).value)
+        let index = self.entries.iter().position(|entry| entry.key.value == key)?;
+        Some(self.entries.swap_remove(index).value)
     }
 
-    fn wrong_kind(&self, key: &str, offset: usize, value: &DeValue<'_>, expected: &str) {
-        let message = format!("`{key}` in {} is {}, where {expected} is meant", self.name, kind(value));
+    fn report_wrong_type(&self, key: &str, offset: usize, value: &DeValue<'_>, expected: &str) {
+        let message = format!("`{key}` in {} is {}, expected {expected}", self.name, type_name(value));
         self.problems.add(offset, message, None);
     }
 
-    /// A text.
-    pub fn text(&mut self, key: &'static str) -> Option<Located<String>> {
+    /// Reads a string.
+    pub fn string(&mut self, key: &'static str) -> Option<Located<String>> {
         let Located { value, offset } = self.take(key)?;
         match value {
             DeValue::String(text) => Some(Located { value: text.to_string(), offset }),
             other => {
-                self.wrong_kind(key, offset, &other, "a text");
+                self.report_wrong_type(key, offset, &other, "a string");
                 None
             }
         }
     }
 
-    /// A number within bounds, or the default.
+    /// Reads a number within bounds. Returns the default if it is missing or invalid.
     pub fn number(&mut self, key: &'static str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
         self.optional_number(key, bounds).map_or(default, |number| number.value)
     }
 
-    /// A number within bounds.
+    /// Reads a number within bounds.
     pub fn optional_number(
         &mut self,
         key: &'static str,
@@ -125,7 +128,7 @@
             _ => None,
         };
         let Some(number) = parsed else {
-            self.wrong_kind(key, offset, &value, "a number");
+            self.report_wrong_type(key, offset, &value, "a number");
             return None;
         };
         if !number.is_finite() || !bounds.contains(&number) {
@@ -136,8 +139,8 @@
         Some(Located { value: number, offset })
     }
 
-    /// A whole number within bounds, or the default.
-    pub fn whole(&mut self, key: &'static str, default: u32, bounds: RangeInclusive<u32>) -> u32 {
+    /// Reads a whole number within bounds. Returns the default if it is missing or invalid.
+    pub fn whole_number(&mut self, key: &'static str, default: u32, bounds: RangeInclusive<u32>) -> u32 {
         let bounds = f64::from(*bounds.start())..=f64::from(*bounds.end());
         let Some(Located { value: number, offset }) = self.optional_number(key, bounds) else {
             return default;
@@ -149,23 +152,23 @@
         number as u32
     }
 
-    /// The table `[key]`.
+    /// Reads the table `[key]`.
     pub fn table(&mut self, key: &'static str) -> Option<Table<'p, 'a>> {
         let Located { value, offset } = self.take(key)?;
         match value {
             DeValue::Table(table) => Some(Table::new(self.problems, &format!("[{key}]"), offset, table)),
             other => {
-                self.wrong_kind(key, offset, &other, "a table");
+                self.report_wrong_type(key, offset, &other, "a table");
                 None
             }
         }
     }
 
-    /// The tables of `[[key]]`.
+    /// Reads the array of tables `[[key]]`.
     pub fn tables(&mut self, key: &'static str) -> Vec<Table<'p, 'a>> {
         let Some(Located { value, offset }) = self.take(key) else { return Vec::new() };
         let DeValue::Array(items) = value else {
-            self.wrong_kind(key, offset, &value, "a list of tables");
+            self.report_wrong_type(key, offset, &value, "an array of tables");
             return Vec::new();
         };
         let table = |item: Spanned<DeValue<'a>>| {
@@ -175,7 +178,7 @@
                     Some(Table::new(self.problems, &format!("[[{key}]]"), offset, table))
                 }
                 other => {
-                    self.wrong_kind(key, offset, &other, "a table");
+                    self.report_wrong_type(key, offset, &other, "a table");
                     None
                 }
             }
@@ -183,11 +186,11 @@
         items.into_iter().filter_map(table).collect()
     }
 
-    /// The texts of a list.
-    pub fn texts(&mut self, key: &'static str) -> Option<Vec<Located<String>>> {
+    /// Reads an array of strings.
+    pub fn strings(&mut self, key: &'static str) -> Option<Vec<Located<String>>> {
         let Located { value, offset } = self.take(key)?;
         let DeValue::Array(items) = value else {
-            self.wrong_kind(key, offset, &value, "a list of texts");
+            self.report_wrong_type(key, offset, &value, "an array of strings");
             return None;
         };
         let text = |item: Spanned<DeValue<'a>>| {
@@ -195,7 +198,7 @@
             match item.into_inner() {
                 DeValue::String(text) => Some(Located { value: text.to_string(), offset }),
                 other => {
-                    self.wrong_kind(key, offset, &other, "a text");
+                    self.report_wrong_type(key, offset, &other, "a string");
                     None
                 }
             }
@@ -203,18 +206,18 @@
         Some(items.into_iter().filter_map(text).collect())
     }
 
-    /// All remaining keys with their texts, for tables whose keys are names.
-    pub fn remaining_texts(&mut self) -> Vec<(String, Located<String>)> {
-        let mut texts = Vec::new();
+    /// Reads all remaining keys, which must be strings, for tables whose keys are not fixed.
+    pub fn remaining_strings(&mut self) -> Vec<(String, Located<String>)> {
+        let mut strings = Vec::new();
         for Entry { key, value } in std::mem::take(&mut self.entries) {
             match value.value {
                 DeValue::String(text) => {
-                    texts.push((key.value, Located { value: text.to_string(), offset: value.offset }));
+                    strings.push((key.value, Located { value: text.to_string(), offset: value.offset }));
                 }
-                other => self.wrong_kind(&key.value, value.offset, &other, "a text"),
+                other => self.report_wrong_type(&key.value, value.offset, &other, "a string"),
             }
         }
-        texts
+        strings
     }
 
     /// Reports that a required key is missing.
@@ -222,7 +225,7 @@
         self.add_problem(format!("{} lacks `{key}`", self.name), hint.to_string());
     }
 
-    /// Reports the keys that are left as unknown.
+    /// Reports all keys that have not been read as unknown.
     pub fn finish(self) {
         for Entry { key, .. } in &self.entries {
             let known = self.known_keys.borrow();
@@ -230,9 +233,9 @@
             let closest = known.iter().map(|known| (strsim::damerau_levenshtein(known, name), known)).min();
             let hint = match closest {
                 Some((distance, known)) if distance <= 1 + name.len() / 4 => format!("`{known}` is meant?"),
-                _ => format!("it knows {}", known.join(", ")),
+                _ => format!("known keys: {}", known.join(", ")),
             };
-            self.problems.add(key.offset, format!("{} does not know `{name}`", self.name), hint);
+            self.problems.add(key.offset, format!("unknown key `{name}` in {}", self.name), hint);
         }
     }
 }
--- a/crates/config/src/upstream.rs
+++ b/crates/config/src/upstream.rs
@@ -11,10 +11,10 @@
 const MILLIS_PER_SECOND: f64 = 1000.0;
 const DEFAULT_CLUSTER: &str = "checkers";
 
-/// The counter that all gateways share.
+/// The shared counter of the fleet.
 #[derive(Debug, Clone)]
 pub struct CounterConfig {
-    /// Its address.
+    /// The address of the counter.
     pub address: SocketAddr,
 }
 
@@ -31,30 +31,30 @@
     }
 }
 
-/// Discovery of endpoints, by EDS.
+/// Endpoint discovery by EDS, Envoy's endpoint discovery service.
 #[derive(Debug, Clone)]
 pub struct DiscoveryConfig {
     /// The address of the EDS server.
     pub address: SocketAddr,
-    /// The cluster that is asked for.
+    /// The cluster whose endpoints are requested.
     pub cluster: String,
-    /// The file that keeps the last endpoint list over restarts.
+    /// The file that caches the last endpoint list across restarts.
     pub cache_file: Option<PathBuf>,
-    /// Zones by name; a zone's place in the list is its number.
+    /// Names of the zones; the index of a zone is its number.
     pub zones: Vec<String>,
 }
 
 impl DiscoveryConfig {
     pub(crate) fn read(root: &mut Table<'_, '_>, settings: &mut Settings) -> Option<Self> {
         let Some(mut table) = root.table("discovery") else {
-            root.missing("[discovery]", "a table with `address`, where EDS is served");
+            root.missing("[discovery]", "expected a table with `address`, the address of the EDS server");
             return None;
         };
         settings.polls_endpoints = true;
         let address = address(&mut table, "address", None);
-        let cluster = table.text("cluster").map_or_else(|| DEFAULT_CLUSTER.to_string(), |name| name.value);
-        let cache_file = table.text("keep").map(|path| PathBuf::from(path.value));
-        let zones = table.text("zones").map_or_else(Vec::new, |names| {
+        let cluster = table.string("cluster").map_or_else(|| DEFAULT_CLUSTER.to_string(), |name| name.value);
+        let cache_file = table.string("keep").map(|path| PathBuf::from(path.value));
+        let zones = table.string("zones").map_or_else(Vec::new, |names| {
             names.value.split(',').map(|name| name.trim().to_string()).collect()
         });
         table.finish();
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -1,32 +1,33 @@
-//! `[fleet]` in a file of its own: what is read, and how problems are reported.
+//! A separate file with `[fleet]`: the values that are read, and the problems that are reported.
 
 use weirusher_config::FleetConfig;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [fleet]
 number = 1
 members = ["127.0.0.1:7400", "127.0.0.1:7401", "127.0.0.1:7402"]
 key = "0123456789abcdef0123456789abcdef"
 "#;
 
-fn wrong(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from));
-    let text = GOOD.replace(from, to);
-    FleetConfig::parse(&text).expect_err("a broken file passes").render("fleet.toml", &text)
+/// Replaces a part of the valid file, and returns the rendered problems.
+fn render_problems(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from));
+    let text = VALID.replace(from, to);
+    FleetConfig::parse(&text).expect_err("an invalid file was accepted").render("fleet.toml", &text)
 }
 
 #[test]
-fn a_good_file_is_read_and_listens_at_its_own_address() {
-    let config = FleetConfig::parse(GOOD).unwrap();
+fn a_valid_file_is_read_and_listens_at_its_own_address_by_default() {
+    let config = FleetConfig::parse(VALID).unwrap();
     assert_eq!((config.settings.instance, config.settings.members.len()), (1, 3));
     assert_eq!(config.listen, config.settings.members[1]);
-    let elsewhere = GOOD.replace("number", "listen = \"127.0.0.2:1\"\nnumber");
-    assert_eq!(FleetConfig::parse(&elsewhere).unwrap().listen.to_string(), "127.0.0.2:1");
+    let with_listen = VALID.replace("number", "listen = \"127.0.0.2:1\"\nnumber");
+    assert_eq!(FleetConfig::parse(&with_listen).unwrap().listen.to_string(), "127.0.0.2:1");
 }
 
 #[test]
-fn each_problem_has_its_line_and_what_is_meant() {
-    for (from, to, said) in [
+fn each_problem_has_its_position_and_a_hint() {
+    for (from, to, expected) in [
         (
             "127.0.0.1:7401",
             "127.0.0.1:7400",
@@ -38,7 +39,7 @@
             "fleet.toml:4:30: `members` names 10.0.0.1, which is not loopback",
         ),
         ("127.0.0.1:7401", "127.0.0.1:0", "fleet.toml:4:30: member 1 has no port"),
-        ("127.0.0.1:7401", "here", "fleet.toml:4:30: `members` is no address"),
+        ("127.0.0.1:7401", "here", "fleet.toml:4:30: `members` is not an address"),
         ("number = 1", "number = 3", "fleet.toml:3:10: `number` in [fleet] is 3, of 3 members"),
         ("number = 1", "number = 0.5", "a whole number below 3"),
         ("number = 1", "", "fleet.toml:2:1: [fleet] lacks `number`"),
@@ -48,13 +49,13 @@
         ("members =", "member =", "`members` is meant?"),
         ("[fleet]", "[flete]", "the file lacks `[fleet]`"),
     ] {
-        let text = wrong(from, to);
-        assert!(text.contains(said), "{to}: {text}");
+        let text = render_problems(from, to);
+        assert!(text.contains(expected), "{to}: {text}");
     }
 }
 
 #[test]
-fn all_problems_come_in_one_go() {
+fn all_problems_are_reported_at_once() {
     let text =
         "[fleet]\nnumber = 9\nmembers = [\"127.0.0.1:1\", \"127.0.0.1:1\", 3]\nkey = \"x\"\ncolour = 1\n";
     let found = FleetConfig::parse(text).unwrap_err();
