--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: a connection, the request written to it, and the response read from it.
+//! One attempt of a request: acquires a connection to the backend, writes the request and reads the response.
 
 use crate::backend_connection::{BackendConnection, timeout_duration};
 use crate::byte_budget::BytePermit;
@@ -16,13 +16,14 @@
 use weirusher_platform::backend::{ForwardedRequest, MAX_RESPONSE_BYTES, attempt_status, parse_load_report};
 use weirusher_platform::response::{Response, ResponseReader};
 
-/// Initial capacity of the buffer, in bytes: a head and a short body.
+/// Initial capacity of the buffer, in bytes: enough for a head and a short body.
 const BUFFER_CAPACITY: usize = 2048;
-/// Longest wait for the next bytes of a response that has started. Responses are short and written at once; one that
-/// stalls is abandoned while another attempt may still be in time.
+/// Longest wait for the next bytes of a response that has started. Backends write their short responses in
+/// one go; a response that stalls is abandoned early, while there is still time for another attempt.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long an attempt waits if the endpoint list is not current: long enough to read what waits in the sockets. After a
-/// stall of the process a drain may wait there that was notified before the request was decided.
+/// How long an attempt waits if the endpoint list is stale: long enough to read the data that is buffered in
+/// the sockets. After a stall of the process, this may include a drain notification that arrived before the
+/// backend was chosen.
 const STALE_LIST_DELAY: Duration = Duration::from_millis(2);
 
 /// An attempt to be made.
@@ -30,22 +31,24 @@
     pub id: RequestId,
     /// Its number within the request.
     pub number: u32,
-    /// Where its backend accepts requests; `None` if it accepts none now.
+    /// The backend and its address; `None` if the backend accepts no requests now.
     pub endpoint: Option<BackendEndpoint>,
-    /// Seconds within which its last byte has to be written. Later its effect could happen twice.
+    /// Seconds within which the last byte has to be written. An attempt that is written later could execute
+    /// the request a second time.
     pub write_timeout: f64,
     pub forwarded: Rc<ForwardedRequest>,
-    /// Set when its first byte is written.
+    /// Set just before the first byte is written.
     pub write_started: Rc<Cell<bool>>,
 }
 
-/// Makes the attempt and reports its end.
+/// Makes the attempt and reports its result.
 pub async fn run(node: Rc<NodeContext>, attempt: Attempt) {
     let exchange = async {
         let endpoint = attempt.endpoint.clone().ok_or(Status::NotSent)?;
         attempt.exchange(&node, endpoint).await
     };
-    // After a panic as after a connection that breaks: once a byte was written it may have been executed.
+    // A panic counts like a broken connection: once the write has started, the request may have been
+    // executed.
     let result = weirusher_panics::catch(exchange).await.unwrap_or_else(|Panicked| {
         Err(if attempt.write_started.get() { Status::Reset } else { Status::NotSent })
     });
@@ -54,17 +57,17 @@
 }
 
 impl Attempt {
-    /// Sends the request to its backend and reads the response.
+    /// Sends the request to the backend and reads the response.
     ///
     /// # Errors
-    /// The status of an attempt that ends without a complete response.
+    /// The status of the attempt, if it ends without a complete response.
     async fn exchange(
         &self,
         node: &Rc<NodeContext>,
         endpoint: BackendEndpoint,
     ) -> Result<AttemptResult, Status> {
         if node.now() > node.list_current_until.get() {
-            // A list that arrives meanwhile aborts this attempt if its backend drains.
+            // If a list that arrives in the meantime drains the backend, this attempt is aborted.
             tokio::time::sleep(STALE_LIST_DELAY).await;
         }
         let connection = BackendConnection::acquire(node, &endpoint, self.write_timeout).await?;
@@ -84,7 +87,7 @@
         self.write_request(stream, &mut buffer, &limits).await?;
         let mut permit = node.response_bodies.permit();
         weirusher_panics::reach("attempt sent");
-        // Without a complete response the attempt may have been executed.
+        // Without a complete response the request may have been executed.
         let response = read_response(stream, &mut buffer, &mut permit).await.ok_or(Status::Reset)?;
         if !response.closes_connection && buffer.is_empty() {
             connection.return_to_pool(endpoint);
@@ -96,10 +99,11 @@
         })
     }
 
-    /// Writes the request. The buffer is empty before and after.
+    /// Writes the request, using `buffer` for its head. The buffer is empty before and after the call.
     ///
     /// # Errors
-    /// The connection failed, or the last byte was not written in time: the request is incomplete and not executed.
+    /// The connection failed, or the last byte was not written in time. The backend has an incomplete
+    /// request, which it does not execute.
     async fn write_request(
         &self,
         stream: &TcpStream,
@@ -119,8 +123,8 @@
     }
 }
 
-/// Reads a complete response. `None`: the connection failed, closed or stalled before its end, or the response is
-/// malformed or too long for the byte budget.
+/// Reads a complete response. Returns `None` if the connection failed, closed or stalled before the end of
+/// the response, or if the response is malformed or exceeds the byte budget.
 async fn read_response(
     stream: &TcpStream,
     buffer: &mut BytesMut,
@@ -134,7 +138,7 @@
         } else {
             bytes.await
         };
-        // Only a close in order ends a response without a length; a reset is an error of the read.
+        // Only an orderly close ends a response without a length; a reset is a read error.
         if read.ok()? == 0 {
             return reader.finish();
         }
--- a/crates/node/src/backend_connection.rs
+++ b/crates/node/src/backend_connection.rs
@@ -1,4 +1,4 @@
-//! Connections to backends, taken from the pool or opened.
+//! Connections to backends, taken from the pool or newly opened.
 
 use crate::context::{BackendEndpoint, NodeContext};
 use socket2::SockRef;
@@ -10,10 +10,11 @@
 use weirusher::Status;
 use weirusher_core::Reservation;
 
-/// Longest timeout that is passed to a timer, in seconds.
+/// Longest timeout for a timer, in seconds.
 const MAX_TIMEOUT: f64 = 86_400.0;
 
-/// A connection in use, or being opened. Dropping it closes it and releases its place in the pool.
+/// A connection that is in use or being opened. Dropping it closes the connection and releases its place in
+/// the pool.
 pub struct BackendConnection {
     node: Rc<NodeContext>,
     /// `None` while it is being opened.
@@ -33,8 +34,8 @@
     /// Takes a connection to `endpoint` from the pool, or opens one within `timeout` seconds.
     ///
     /// # Errors
-    /// The end of the attempt. [`Status::NotSent`] if the reason is the attempt's own time limit or an exhausted pool,
-    /// which says nothing about the backend.
+    /// The status of the attempt. It is [`Status::NotSent`] if the attempt's own time limit expired or the
+    /// pool is exhausted, neither of which indicates a fault of the backend.
     pub async fn acquire(
         node: &Rc<NodeContext>,
         endpoint: &BackendEndpoint,
@@ -44,12 +45,13 @@
             let pooled = node.state.borrow_mut().pool.take(node.now(), endpoint);
             let Some(stream) = pooled else { break };
             let connection = Self::new(node, Some(stream));
-            // Bytes or a close on an idle connection do not belong to a request of ours.
+            // Bytes or a close on an idle connection do not belong to any request, so the connection is
+            // discarded.
             if connection.stream.as_ref().is_some_and(has_nothing_to_read) {
                 return Ok(connection);
             }
         }
-        // An evicted connection is closed by being dropped here.
+        // If another connection is evicted, dropping it here closes it.
         if matches!(node.state.borrow_mut().pool.reserve(), Reservation::Exhausted) {
             return Err(Status::NotSent);
         }
@@ -68,28 +70,28 @@
         Self { node: node.clone(), stream, returned_to_pool: false }
     }
 
-    /// The socket; `None` while it is being opened.
+    /// The socket, or `None` while the connection is being opened.
     pub fn stream(&self) -> Option<&TcpStream> {
         self.stream.as_ref()
     }
 
-    /// Returns the connection to the pool, to be reused.
+    /// Returns the connection to the pool for reuse.
     pub fn return_to_pool(mut self, endpoint: BackendEndpoint) {
         let Some(stream) = self.stream.take() else { return };
         self.returned_to_pool = true;
         let state = &mut *self.node.state.borrow_mut();
-        state.pool.put(self.node.now(), endpoint, stream); // A connection that it evicts is closed by being dropped.
+        state.pool.put(self.node.now(), endpoint, stream); // Dropping an evicted connection closes it.
         self.node.eviction_wakeup.set(state.pool.next_eviction());
     }
 }
 
-/// Seconds as a duration that a timer accepts.
+/// Converts seconds to a duration in the range that timers accept.
 pub fn timeout_duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_TIMEOUT))
 }
 
-/// Whether neither bytes nor a close were received on a connection. The socket is checked directly, because the runtime
-/// knows only what the system last notified it of.
+/// Whether neither bytes nor a close were received on a connection. The socket is checked with a system call,
+/// because the runtime only knows the state of the last notification.
 fn has_nothing_to_read(stream: &TcpStream) -> bool {
     let read = SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1]);
     matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/node/src/byte_budget.rs
+++ b/crates/node/src/byte_budget.rs
@@ -1,9 +1,9 @@
-//! A bound on the memory that the bodies in transit take together.
+//! A bound on the total memory for message bodies in transit.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The bytes that the bodies of one kind may take together.
+/// A limit on the total number of bytes of all bodies of one kind.
 #[derive(Debug)]
 pub struct ByteBudget {
     capacity: usize,
@@ -11,18 +11,19 @@
 }
 
 impl ByteBudget {
-    /// A budget of `capacity` bytes.
+    /// Creates a budget of `capacity` bytes.
     pub fn new(capacity: usize) -> Rc<Self> {
         Rc::new(Self { capacity, used: Cell::new(0) })
     }
 
-    /// A permit for one body, of no bytes yet.
+    /// Returns a permit for one body, initially for zero bytes.
     pub fn permit(self: &Rc<Self>) -> BytePermit {
         BytePermit { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// The bytes of one body. It grows as the body is received, not by the length that is announced; dropping it frees them.
+/// The bytes reserved for one body, released on drop. The permit grows as the body is received; the announced
+/// length of the body reserves nothing.
 #[derive(Debug)]
 pub struct BytePermit {
     budget: Rc<ByteBudget>,
@@ -30,7 +31,7 @@
 }
 
 impl BytePermit {
-    /// Grows the permit to `bytes`; it never shrinks. Returns `false` if the budget does not have them.
+    /// Grows the permit to `bytes`; it never shrinks. Returns `false` if the budget is exhausted.
     #[must_use]
     pub fn try_grow_to(&mut self, bytes: usize) -> bool {
         let used = self.budget.used.get() + bytes.saturating_sub(self.bytes);
--- a/crates/node/src/client_socket.rs
+++ b/crates/node/src/client_socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a client, shared by the task of its connection and the attempts for its request.
+//! The socket of a client, shared by the task of its connection and the attempts of its request.
 
 use bytes::{Buf, BytesMut};
 use socket2::SockRef;
@@ -11,35 +11,38 @@
 use tokio::net::TcpStream;
 use weirusher_net::since_last_received;
 
-/// Bytes that are read ahead while a request is pending; the rest stays in the socket.
+/// Maximum number of bytes that are read ahead while a request is pending; the rest stays in the socket's
+/// buffer.
 const MAX_READ_AHEAD: usize = 16 * 1024;
-/// Bytes of one read ahead.
+/// Size of the buffer for one read-ahead call, in bytes.
 const READ_AHEAD_CHUNK: usize = 1024;
 
-/// A connected client.
+/// The socket of a connected client.
 #[derive(Debug, Clone)]
 pub struct ClientSocket(Rc<TcpStream>);
 
 impl ClientSocket {
-    /// The client at the other end of `stream`.
+    /// Wraps the accepted `stream`.
     pub fn new(stream: TcpStream) -> Self {
         Self(Rc::new(stream))
     }
 
-    /// Reads the bytes that were received; `Ok(0)`: the client has closed its side.
+    /// Reads received bytes into `buffer`. `Ok(0)` means that the client has closed its side.
     pub async fn read(&self, buffer: &mut BytesMut) -> io::Result<usize> {
         weirusher_net::read(&self.0, buffer).await
     }
 
-    /// How long ago the last bytes were received. The client's time budget includes that time.
+    /// How long ago the last bytes were received. This time counts towards the client's time budget.
     pub fn time_since_received(&self) -> Duration {
         since_last_received(&*self.0).unwrap_or_default()
     }
 
-    /// Reads until [`MAX_READ_AHEAD`]; `WouldBlock`: nothing more was received, and the client has not closed.
+    /// Reads until `buffer` holds [`MAX_READ_AHEAD`] bytes. `WouldBlock` means that no more bytes were
+    /// received and the client has not closed.
     ///
-    /// The socket is read directly. The runtime takes a short read for the end of the data until the system notifies it
-    /// again, and for a client that closed while it waited to be accepted the system may not do so.
+    /// The socket is read directly. After a short read, the runtime does not read again before the next
+    /// notification from the system, and there may be none for a client that closed before its connection was
+    /// accepted.
     fn try_read_ahead(&self, buffer: &mut BytesMut) -> io::Result<()> {
         let (socket, mut chunk) = (SockRef::from(&*self.0), [0; READ_AHEAD_CHUNK]);
         while buffer.len() < MAX_READ_AHEAD {
@@ -53,24 +56,28 @@
         Ok(())
     }
 
-    /// Reads ahead what was received, up to [`MAX_READ_AHEAD`]. An error: the client has closed or reset.
+    /// Reads ahead the received bytes, up to [`MAX_READ_AHEAD`].
+    ///
+    /// # Errors
+    /// The client has closed or reset the connection.
     pub fn read_ahead(&self, buffer: &mut BytesMut) -> io::Result<()> {
         ignore_would_block(self.try_read_ahead(buffer))
     }
 
-    /// Waits until the client closes or resets, and returns the reason. Reads ahead meanwhile, up to [`MAX_READ_AHEAD`];
-    /// beyond that the close is detected by the system's notification, whatever is still unread.
-    pub async fn wait_gone(&self, buffer: &mut BytesMut) -> io::Error {
+    /// Waits until the client closes or resets the connection, and returns the reason. Reads ahead in the
+    /// meantime, up to [`MAX_READ_AHEAD`]; beyond that a notification from the system reveals the close even
+    /// behind unread bytes.
+    pub async fn wait_disconnected(&self, buffer: &mut BytesMut) -> io::Error {
         loop {
             let reads = buffer.len() < MAX_READ_AHEAD;
-            // With urgent data as the interest, the only notification is the close.
+            // The interest in urgent data yields no notification but that of the close.
             let interest = if reads { Interest::READABLE } else { Interest::PRIORITY };
             match self.0.ready(interest).await {
                 Ok(ready) if ready.is_read_closed() => return io::ErrorKind::ConnectionAborted.into(),
                 Ok(_) => {}
                 Err(error) => return error,
             }
-            // Urgent data that is received after all stays unread.
+            // If urgent data does arrive, it stays unread.
             let read = self.0.try_io(interest, || match reads {
                 true => self.try_read_ahead(buffer),
                 false => Err(io::ErrorKind::WouldBlock.into()),
@@ -81,9 +88,9 @@
         }
     }
 
-    /// Whether the client has closed or reset, as far as the system knows at this moment. A close behind unread bytes is
-    /// not detected.
-    pub fn is_gone(&self) -> bool {
+    /// Whether the client has closed or reset the connection, according to the system at this moment. A close
+    /// behind unread bytes is not detected.
+    pub fn is_disconnected(&self) -> bool {
         match SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit(); 1]) {
             Ok(count) => count == 0,
             Err(error) => !matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
@@ -95,12 +102,12 @@
         weirusher_net::write_all(&self.0, bytes).await
     }
 
-    /// Closes the sending side.
+    /// Closes the write half of the connection.
     pub fn shutdown_write(&self) -> io::Result<()> {
         SockRef::from(&*self.0).shutdown(Shutdown::Write)
     }
 
-    /// Waits until the client has closed its side. Bytes that it sent before stay unread.
+    /// Waits until the client has closed its side. Bytes that it sent before the close stay unread.
     pub async fn wait_closed(&self) {
         let is_open = |ready: Ready| !ready.is_read_closed();
         while self.0.ready(Interest::PRIORITY).await.is_ok_and(is_open) {
@@ -110,7 +117,7 @@
     }
 }
 
-/// Nothing more to read does not end a connection.
+/// Treats `WouldBlock` as success: it only means that there is nothing to read now.
 fn ignore_would_block(read: io::Result<()>) -> io::Result<()> {
     match read {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(()),
--- a/crates/node/src/close_signal.rs
+++ b/crates/node/src/close_signal.rs
@@ -3,8 +3,8 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Asks one task to close its connection. The signal is withdrawn when a request arrives on the connection, which
-/// is served first.
+/// Asks the task of one connection to close it. The signal is withdrawn when a request arrives on the
+/// connection, because that request is served first.
 #[derive(Debug, Default)]
 pub struct CloseSignal {
     requested: Cell<bool>,
@@ -12,7 +12,7 @@
 }
 
 impl CloseSignal {
-    /// Asks for the close.
+    /// Requests the close.
     pub fn request(&self) {
         self.requested.set(true);
         self.changed.notify_one();
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -1,7 +1,7 @@
-//! The connection of a client: one request after another, each with one response.
+//! A client connection: serves requests one after another, each with exactly one response.
 //!
-//! The phases of a request are methods: it is read (`read.rs`), entered in the request table, waits for its response, and
-//! the response is written (`respond.rs`).
+//! A request is read (`read.rs`), registered in the request table, and waits for its response, which is then
+//! written to the client (`respond.rs`). Each phase is a method of [`Connection`].
 
 mod read;
 mod respond;
@@ -25,10 +25,11 @@
 use weirusher_platform::client::{ClientRequest, RequestError};
 use weirusher_wire::head::HeadSearch;
 
-/// Capacity of a connection's buffer in bytes, at its start and when it becomes idle.
+/// Capacity of the read buffer of a connection that is new or idle, in bytes.
 const BUFFER_CAPACITY: usize = 1024;
 
-/// Withdraws a pending request when it is dropped before its response: its client is gone.
+/// Withdraws a pending request if it is dropped before the request has its response, as when the client
+/// disconnects.
 struct WithdrawOnDrop {
     node: Rc<NodeContext>,
     id: RequestId,
@@ -43,45 +44,45 @@
     }
 }
 
-/// A failed read or write: the client has closed or reset its side.
+/// A failed read or write means that the client has closed or reset the connection.
 impl From<io::Error> for CloseReason {
     fn from(_: io::Error) -> Self {
         Self::ClientClosed
     }
 }
 
-/// How far a message has come.
+/// The progress of the current message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// None is being read, or its head is not complete.
+    /// No message is being read, or its head is incomplete.
     Waiting,
-    /// Its head was read.
+    /// The head was read.
     HeadRead,
-    /// It was read whole, and has no response.
+    /// The message was read completely and has no response yet.
     Pending,
-    /// Its response is being written.
+    /// The response is being written.
     Responding,
 }
 
-/// A client connection and its state.
+/// A client connection.
 pub struct Connection {
     slot: ClientSlot,
     socket: ClientSocket,
     close_signal: Rc<CloseSignal>,
     buffer: BytesMut,
     head_search: HeadSearch,
-    /// A part of a request was received.
+    /// Whether a request has been received in part.
     is_reading: bool,
     progress: Progress,
     accepted_at: Time,
-    /// When the first byte of the current or last request was received.
+    /// When the first byte of the most recent request was received.
     first_byte_at: Time,
-    /// Requests that were read so far.
+    /// Number of requests read so far.
     requests: u64,
 }
 
 impl Connection {
-    /// A connection that was accepted just now.
+    /// Wraps a connection that was accepted just now.
     pub fn new(slot: ClientSlot, socket: ClientSocket, close_signal: Rc<CloseSignal>) -> Self {
         let accepted_at = slot.node.now();
         Self {
@@ -121,7 +122,10 @@
         log_step!(node, %reason, connection, requests, open, "connection closed");
     }
 
-    /// Reads and answers one message. An error ends the connection.
+    /// Reads and answers one message.
+    ///
+    /// # Errors
+    /// The connection is to be closed, for the returned reason.
     async fn serve_next(&mut self) -> Result<(), CloseReason> {
         match self.read_message().await {
             Ok(Received::ReadinessCheck { close }) => self.answer_readiness_check(close).await,
@@ -133,7 +137,8 @@
         }
     }
 
-    /// Takes a request from its last byte to its response. The permit holds its memory until then.
+    /// Handles a request from its last byte to its response. `_permit` reserves the memory of its body until
+    /// then.
     async fn handle_request(
         &mut self,
         request: ClientRequest,
@@ -165,7 +170,7 @@
         self.finish_message(close).await
     }
 
-    /// Waits for the response, and for the client to close.
+    /// Waits for the response, or until the client closes the connection.
     async fn await_response(
         &mut self,
         mut response: oneshot::Receiver<ClientResponse>,
@@ -173,11 +178,12 @@
         tokio::select! {
             biased;
             response = &mut response => response.map_err(|_| CloseReason::ClientGone),
-            _ = self.socket.wait_gone(&mut self.buffer) => Err(CloseReason::ClientGone),
+            _ = self.socket.wait_disconnected(&mut self.buffer) => Err(CloseReason::ClientGone),
         }
     }
 
-    /// A message was answered: the connection closes, or goes on with what was read ahead or idle.
+    /// Ends a message that was answered. The connection is closed, continues with the bytes that were read
+    /// ahead, or becomes idle.
     async fn finish_message(&mut self, close: bool) -> Result<(), CloseReason> {
         self.progress = Progress::Waiting;
         if close {
@@ -198,7 +204,8 @@
         Ok(())
     }
 
-    /// Whether the response that is about to be written is the last one: during a shutdown, if no other request was read.
+    /// Whether the response that is about to be written is the last one on the connection: during a shutdown,
+    /// unless further bytes were read ahead.
     fn is_last_response(&self) -> bool {
         self.is_shutting_down() && self.buffer.is_empty()
     }
@@ -207,7 +214,7 @@
         self.slot.node.is_shutting_down()
     }
 
-    /// A part of a request was received.
+    /// Records that a request has been received in part.
     fn set_reading(&mut self) {
         if std::mem::replace(&mut self.is_reading, true) {
             return;
@@ -224,7 +231,8 @@
         self.slot.set_idle();
     }
 
-    /// Logs a request with the history of its connection. During a shutdown the times count from its signal.
+    /// Logs a request and the history of its connection. The times are relative to the shutdown signal, or to
+    /// the present if the node is not shutting down.
     fn log_request_read(&self, request: &ClientRequest, unread_for: f64) {
         let node = &self.slot.node;
         let origin = node.shutdown_started_at.get().unwrap_or(node.now());
@@ -243,7 +251,8 @@
     }
 }
 
-/// A request as the proxy core wants it. Its time budget ran while it was unread for `unread_for` seconds.
+/// Converts a request for the proxy core. Its time budget is reduced by the `unread_for` seconds for which it
+/// was buffered in the socket.
 fn incoming_request(request: ClientRequest, unread_for: f64) -> IncomingRequest {
     IncomingRequest {
         id: request.id,
--- a/crates/node/src/connection/read.rs
+++ b/crates/node/src/connection/read.rs
@@ -1,4 +1,4 @@
-//! Reads the messages of a client.
+//! Reads the messages of a client connection.
 
 use super::{Connection, Progress};
 use crate::byte_budget::BytePermit;
@@ -18,9 +18,9 @@
     Request { request: ClientRequest, forwarded: ForwardedRequest, permit: BytePermit },
 }
 
-/// Why no message was read.
+/// Why a message could not be read.
 pub(super) enum ReadError {
-    /// The connection is to be closed without a response.
+    /// The connection is to be closed without a response, for this reason.
     Closed(CloseReason),
     /// The message is invalid.
     Invalid(RequestError),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Parses the head, which ends at `end` in the buffer, and reads the body.
+    /// Parses the head, which ends at offset `end` of the buffer, and reads the body.
     async fn read_after_head(&mut self, end: usize) -> Result<Received, ReadError> {
         let head = self.buffer.split_to(end);
         self.progress = Progress::HeadRead;
@@ -77,7 +77,7 @@
             let body = reader.read(&mut self.buffer)?;
             let bytes = body.as_ref().map_or(self.buffer.len() + reader.buffered(), Bytes::len);
             if !permit.try_grow_to(bytes) {
-                return Err(RequestError::OutOfMemory.into());
+                return Err(RequestError::BodyBudgetExhausted.into());
             }
             if let Some(body) = body {
                 return Ok((body, permit));
@@ -90,7 +90,10 @@
         }
     }
 
-    /// Waits for more bytes. An error: the connection is to be closed.
+    /// Waits for more bytes.
+    ///
+    /// # Errors
+    /// The connection is to be closed.
     async fn read_more(&mut self) -> Result<(), ReadError> {
         if !self.slot.node.may_read() {
             return Err(self.close_requested());
@@ -99,10 +102,11 @@
             biased;
             read = self.socket.read(&mut self.buffer) => read,
             () = self.close_signal.requested() => {
-                // Bytes that were received just now are served: the client could not know of the close.
+                // Bytes that have just arrived are served, because the client sent them before it could see
+                // the close.
                 let before = self.buffer.len();
-                let is_gone = self.socket.read_ahead(&mut self.buffer).is_err();
-                return if self.buffer.len() > before && !is_gone { Ok(()) } else { Err(self.close_requested()) };
+                let closed = self.socket.read_ahead(&mut self.buffer).is_err();
+                return if self.buffer.len() > before && !closed { Ok(()) } else { Err(self.close_requested()) };
             }
         };
         match read {
@@ -111,7 +115,8 @@
         }
     }
 
-    /// Why the connection ends when its close was requested. An incomplete request is answered with a timeout.
+    /// The error for a connection whose close was requested. An incomplete request is answered with a
+    /// timeout.
     fn close_requested(&self) -> ReadError {
         ReadError::Closed(match self.requests {
             _ if self.is_reading => return RequestError::ReadTimeout.into(),
--- a/crates/node/src/connection/respond.rs
+++ b/crates/node/src/connection/respond.rs
@@ -1,4 +1,4 @@
-//! Writes the responses to a client, and closes its connection after the last one.
+//! Writes responses to a client, and closes the connection after the last one.
 
 use super::{Connection, Progress};
 use crate::context::{ClientResponse, CompleteResponse};
@@ -12,17 +12,22 @@
     RequestError, write_error, write_failed, write_readiness, write_rejected, write_served, write_unavailable,
 };
 
-/// Longest time that a client may take to read a response. One that does not read holds its slot no longer.
+/// Longest time that a client may take to read a response. It bounds how long a client that does not read
+/// occupies a slot.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Longest lingering close (RFC 9112, 9.6): a close with unread bytes is a reset, which may overtake the last response.
+/// Longest lingering close (RFC 9112, section 9.6). Closing a socket with unread bytes sends a reset, which
+/// may discard the last response before the client reads it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Most bytes of an invalid request that a lingering close reads and discards.
+/// Maximum number of bytes of an invalid request that a lingering close reads and discards.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Initial capacity of the buffer for the head of a response, in bytes.
 const HEAD_CAPACITY: usize = 128;
 
 impl Connection {
-    /// Writes all bytes, or gives up a client that does not read them in time.
+    /// Writes all bytes.
+    ///
+    /// # Errors
+    /// The client has disconnected, or did not read the bytes in time.
     pub(super) async fn write(&mut self, bytes: impl Buf) -> Result<(), CloseReason> {
         match tokio::time::timeout(WRITE_TIMEOUT, self.socket.write_all(bytes)).await {
             Ok(written) => Ok(written?),
@@ -57,15 +62,16 @@
         self.respond(head.chain(body)).await
     }
 
-    /// Writes a response, after which no other may be written for the same message.
+    /// Writes a response. No other response may be written for the same message afterwards.
     async fn respond(&mut self, response: impl Buf) -> Result<(), CloseReason> {
         self.progress = Progress::Responding;
         weirusher_panics::reach("response started");
         self.write(response).await
     }
 
-    /// The message that was being served ended by a panic. It is answered as after an attempt that may have been executed,
-    /// if it was read and no byte of a response was written. Otherwise the connection closes.
+    /// Answers the current message after a panic. If its head was read and no byte of a response was written,
+    /// the response is the one for a request that may have been executed; the connection stays open only if
+    /// the message was read completely. Otherwise the connection is closed without a response.
     pub(super) async fn respond_after_panic(&mut self) -> Result<(), CloseReason> {
         let is_complete = match self.progress {
             Progress::Waiting | Progress::Responding => return Err(CloseReason::Panicked),
@@ -102,16 +108,17 @@
         Err(CloseReason::InvalidRequest)
     }
 
-    /// Closes the connection after its last response, once the client has closed too. Requests that it sent behind stay
-    /// unread; the client sends them again on another connection.
+    /// Closes the connection after its last response, once the client has closed its side as well. Requests
+    /// that the client has pipelined behind stay unread; it sends them again on another connection.
     pub(super) async fn lingering_close(&mut self) {
         if self.socket.shutdown_write().is_ok() {
-            // After the timeout the connection is closed all the same.
+            // After the timeout the connection is closed anyway.
             let _ = tokio::time::timeout(LINGER_TIMEOUT, self.socket.wait_closed()).await;
         }
     }
 
-    /// Closes the connection after an error. The rest of the invalid request is read and discarded, within a bound.
+    /// Closes the connection after an error. The rest of the invalid request is read and discarded, up to
+    /// [`MAX_DISCARDED_BYTES`].
     async fn lingering_close_discarding(&mut self) {
         if self.socket.shutdown_write().is_err() {
             return;
@@ -126,7 +133,7 @@
                 }
             }
         };
-        // After the timeout the connection is closed all the same.
+        // After the timeout the connection is closed anyway.
         let _ = tokio::time::timeout(LINGER_TIMEOUT, discard).await;
     }
 }
--- a/crates/node/src/connection/tests.rs
+++ b/crates/node/src/connection/tests.rs
@@ -151,7 +151,8 @@
             let mut serve = std::pin::pin!(connection.serve());
             assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "its attempt is decided");
             let client = (!goes).then_some(client);
-            // The attempt's task runs and the connection's is not notified of the close, as after a stall of the process.
+            // The attempt's task runs and the connection's is not notified of the close, as after a stall of
+            // the process.
             tokio::time::sleep(Duration::from_millis(20)).await;
             let read = std::io::Read::read(&mut backend, &mut [0; 1]);
             assert_eq!(read.is_ok(), !goes, "{read:?}");
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -1,6 +1,6 @@
 //! The state that the tasks of a node share.
 //!
-//! All tasks run on one thread. They borrow [`NodeState`] between two awaits only.
+//! All tasks run on one thread. A borrow of [`NodeState`] is never held across an await.
 
 use crate::budget::ResourceBudget;
 use crate::byte_budget::{ByteBudget, BytePermit};
@@ -27,8 +27,8 @@
 use weirusher_platform::client::RequestCatalog;
 use weirusher_platform::config::Config;
 
-/// Fraction of the backends' idle timeout after which a connection is not reused, so that no request meets the backend's
-/// close.
+/// Fraction of the backends' idle timeout after which a connection is not reused, so that a request does not
+/// race with the backend closing the connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// A backend and its address.
@@ -38,27 +38,28 @@
     pub address: SocketAddr,
 }
 
-/// The body of a backend's complete response, with its memory until it is written to the client.
+/// The body of a backend's complete response.
 #[derive(Debug)]
 pub struct CompleteResponse {
     pub body: Bytes,
+    /// Reserves the memory of the body until it is written to the client.
     pub _permit: BytePermit,
 }
 
 /// The response to a client.
 #[derive(Debug)]
 pub enum ClientResponse {
-    /// From a backend.
+    /// A backend's response.
     Served(CompleteResponse),
-    /// From the gateway itself.
+    /// The gateway's own response, without a backend.
     Outcome(Outcome),
 }
 
-/// A request without a response.
+/// A request that has no response yet.
 pub struct PendingRequest {
     pub client: ClientSocket,
     pub forwarded: Rc<ForwardedRequest>,
-    /// Takes the response to the task of the client's connection.
+    /// Sends the response to the task of the client's connection.
     pub response: oneshot::Sender<ClientResponse>,
 }
 
@@ -66,24 +67,25 @@
 pub struct RunningAttempt {
     pub backend: BackendId,
     pub task: AbortHandle,
-    /// Its first byte was written. From then on it ends by its response or timeout, even if its backend drains.
+    /// Whether the first byte was written. After that the attempt ends with its response or timeout, even if
+    /// the backend starts to drain.
     pub write_started: Rc<Cell<bool>>,
 }
 
-/// A call that adds units to one count of the counter service.
+/// A call that adds units to one counter of the counter service.
 #[derive(Debug, Clone, Copy)]
 pub struct CounterCall {
     /// Identifies the call within the process.
     pub call: u64,
-    /// Name of the count.
+    /// Key of the counter.
     pub counter: u64,
     /// Quota units to add.
     pub amount: f64,
-    /// Seconds until a new count expires.
+    /// Seconds until the counter expires, if the call creates it.
     pub ttl: f64,
 }
 
-/// The mutable state, borrowed as one.
+/// The mutable state, borrowed as a whole.
 pub struct NodeState {
     pub proxy: ProxyCore,
     pub pending: HashMap<RequestId, PendingRequest>,
@@ -95,54 +97,56 @@
     pub slots: ConnectionSlots,
     pub last_slot: SlotId,
     pub close_signals: HashMap<SlotId, Rc<CloseSignal>>,
-    /// Counter calls that were not written yet.
+    /// Counter calls that are not assigned to a connection yet.
     pub counter_calls: VecDeque<CounterCall>,
-    /// Spare memory for the outputs of the proxy core.
+    /// Buffer for the outputs of the proxy core, reused to avoid allocations.
     pub outputs: Vec<ProxyOutput>,
 }
 
-/// What the tasks of a node share.
+/// The context that the tasks of a node share.
 pub struct NodeContext {
     pub clock: Clock,
     pub catalog: RequestCatalog,
     pub budget: ResourceBudget,
-    /// For the bodies of requests, from their first byte to the response.
+    /// Memory for request bodies. Each is held from its first byte until the request is answered.
     pub request_bodies: Rc<ByteBudget>,
-    /// For the bodies of responses, from their first byte until they are written.
+    /// Memory for response bodies. Each is held from its first byte until it is written to the client.
     pub response_bodies: Rc<ByteBudget>,
-    /// Seconds that a connection to a backend may take.
+    /// Timeout for opening a connection to a backend, in seconds.
     pub connect_timeout: f64,
-    /// Seconds that a counter call may take.
+    /// Timeout of a counter call, in seconds.
     pub counter_timeout: f64,
     pub state: SharedState,
-    /// Raised by a panic that all requests may suffer from: the node shuts down.
+    /// Raised by a panic that may affect all requests: the node shuts down.
     pub failure: Rc<Failure>,
-    /// For the timers of the proxy core.
+    /// Wakes the task that runs the timers of the proxy core.
     pub proxy_wakeup: Wakeup,
-    /// For the eviction of connections from the slots and the pool.
+    /// Wakes the task that evicts connections from the client slots and the pool.
     pub eviction_wakeup: Wakeup,
-    /// A counter is configured; without one its calls fail at once.
+    /// Whether a counter is configured. Without one, counter calls fail immediately.
     pub has_counter: Cell<bool>,
-    /// Counter calls were queued.
+    /// Notified when counter calls are queued.
     pub counter_calls_queued: Notify,
-    /// A slot for a client connection became free.
+    /// Notified when a slot for a client connection is freed.
     pub slot_freed: Notify,
-    /// No connection is to be accepted any more, once none waits.
+    /// Notified when the node is to stop accepting connections as soon as the backlog is empty.
     pub stop_accepting: Notify,
-    /// An endpoint list is in use: the node is ready.
+    /// Whether an endpoint list is in use. The node is ready once it has one.
     pub has_endpoint_list: Cell<bool>,
-    /// Until when the endpoint list is within its bound on staleness. Past it, discovery was not heard of in time.
+    /// The time until which the endpoint list is within its staleness bound. After it, discovery has not
+    /// responded in time.
     pub list_current_until: Cell<f64>,
-    /// When the signal to stop was noticed. From then on responses close their connections.
+    /// When the shutdown signal was noticed. From then on a response closes its connection, unless another
+    /// request was already read ahead.
     pub shutdown_started_at: Cell<Option<f64>>,
     pub connections: ConnectionMetrics,
 }
 
 impl NodeContext {
-    /// The state of a node that starts now.
+    /// Creates the context of a node.
     ///
     /// # Errors
-    /// The decisions cannot use the settings.
+    /// The decision module rejects the settings.
     pub fn new(config: &Config) -> Result<Rc<Self>, EngineError> {
         let (clock, budget) = (Clock::start(), ResourceBudget::new(&config.limits));
         let (platform, settings) = (&config.platform, &config.platform.settings);
@@ -186,25 +190,26 @@
         }))
     }
 
-    /// The time on the node's clock.
+    /// The present time on the node's clock.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// Whether the signal to stop was received.
+    /// Whether the shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_started_at.get().is_some()
     }
 
-    /// Whether further requests may be read from a connection.
+    /// Whether more bytes may be read from client connections.
     pub fn may_read(&self) -> bool {
         self.state.borrow().proxy.may_read(self.now())
     }
 
-    /// Whether the first byte of an attempt to `endpoint` may be written now, and its time limits.
+    /// Checks that the first byte of an attempt to `endpoint` may be written now, and returns its time
+    /// limits.
     ///
-    /// The socket of the client is checked last and directly: after a stall the process may not have been notified of its
-    /// close yet.
+    /// The client's socket is checked last and with a system call: after a stall of the process, the runtime
+    /// may not have delivered the notification of its close yet.
     pub fn check_send(
         &self,
         id: &RequestId,
@@ -215,12 +220,12 @@
         let backend_available = state.addresses.get(&endpoint.name) == Some(&endpoint.address);
         let limits = state.proxy.check_send(self.now(), id, attempt, backend_available)?;
         let pending = state.pending.get(id).ok_or(SendError::NotPending)?;
-        if pending.client.is_gone() { Err(SendError::ClientGone) } else { Ok(limits) }
+        if pending.client.is_disconnected() { Err(SendError::ClientGone) } else { Ok(limits) }
     }
 }
 
 impl NodeState {
-    /// Asks the tasks of client connections to close them.
+    /// Asks the tasks of these client connections to close them.
     pub fn request_close(&self, ids: &[SlotId]) {
         ids.iter().filter_map(|id| self.close_signals.get(id)).for_each(|close| close.request());
     }
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -1,4 +1,4 @@
-//! The client of the counter: calls are pipelined over a few connections to its address.
+//! The client of the counter service: pipelines calls over a few connections to its address.
 
 use crate::context::{CounterCall, NodeContext};
 use crate::panics::spawn_shared;
@@ -15,49 +15,49 @@
 use weirusher_platform::counter::{MAX_RESPONSE_BYTES, parse_add_result, write_add};
 use weirusher_platform::response::{Response, ResponseReader};
 
-/// Most bytes that wait to be written on a connection. Beyond that the counter reads too slowly, and the connection is
-/// closed.
+/// Maximum number of unwritten bytes on a connection. If there are more, the counter reads too slowly, and
+/// the connection is closed.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
-/// Longest time for opening a connection, as a multiple of a call's timeout.
+/// Timeout for opening a connection, as a multiple of the timeout of a call.
 const CONNECT_TIMEOUTS: f64 = 5.0;
 
-/// Why a connection to the counter is closed.
+/// Why a connection to the counter was closed.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
-    /// It could not be opened, or failed.
+    /// The connection could not be opened, or failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It could not be opened in time.
-    #[error("no connection in time")]
+    /// The connection could not be opened in time.
+    #[error("timed out while connecting")]
     ConnectTimeout,
-    /// More than [`MAX_UNWRITTEN_BYTES`] wait to be written.
-    #[error("the counter reads too slowly")]
+    /// More than [`MAX_UNWRITTEN_BYTES`] are waiting to be written.
+    #[error("the counter reads too slowly: more than {MAX_UNWRITTEN_BYTES} bytes are unwritten")]
     ReadsTooSlowly,
-    /// Responses are missing, or one does not end.
+    /// Responses are missing, or one is incomplete for too long.
     #[error("the counter does not respond")]
     Unresponsive,
-    /// A response without a call.
+    /// A response arrived while no call was pending.
     #[error(transparent)]
     UnexpectedResponse(#[from] UnexpectedResponse),
-    /// A response without a total, or one that closes the connection.
-    #[error("the response has no total or is the last one")]
+    /// The response has no readable total, or it closes the connection.
+    #[error("the response has no readable total, or closes the connection")]
     LastResponse,
 }
 
-/// The client of the counter at one address.
+/// The client of the counter service at one address.
 pub struct CounterClient {
     node: Rc<NodeContext>,
     address: SocketAddr,
-    /// Decides which connection carries a call, and when calls time out.
+    /// Selects the connection for each call, and tracks the timeouts of calls.
     connections: RefCell<CounterConnections>,
-    /// What is to be written, by connection.
+    /// The bytes to be written, by connection.
     outboxes: RefCell<Vec<Rc<Outbox>>>,
-    /// The counter has another address: no further calls are taken.
+    /// Set when the address of the counter has changed: this client takes no further calls.
     is_retired: Cell<bool>,
     retired: Notify,
 }
 
-/// What is to be written on a connection.
+/// The bytes to be written on one connection.
 #[derive(Default)]
 struct Outbox {
     bytes: RefCell<BytesMut>,
@@ -65,7 +65,7 @@
 }
 
 impl CounterClient {
-    /// A client for the counter at `address`; [`CounterClient::run`] makes its calls.
+    /// Creates a client for the counter service at `address`. [`CounterClient::run`] makes the calls.
     pub fn new(node: Rc<NodeContext>, address: SocketAddr, seed: u64) -> Rc<Self> {
         let connections = RefCell::new(CounterConnections::new(node.counter_timeout, seed));
         Rc::new(Self {
@@ -78,14 +78,14 @@
         })
     }
 
-    /// Takes no further calls. Calls in flight are waited for, and then the connections close.
+    /// Stops taking calls. The connections close once no calls are in flight.
     pub fn retire(&self) {
         self.is_retired.set(true);
         self.retired.notify_one();
         self.outboxes.borrow().iter().for_each(|outbox| outbox.changed.notify_one());
     }
 
-    /// Takes queued calls until the client is retired.
+    /// Sends queued calls until the client is retired.
     pub async fn run(self: Rc<Self>) {
         while !self.is_retired.get() {
             let calls = std::mem::take(&mut self.node.state.borrow_mut().counter_calls);
@@ -97,7 +97,7 @@
                 () = self.retired.notified() => {}
             }
         }
-        // The notification may have been meant for the client of the next address.
+        // The client of the new address may be waiting for the notification that this client has consumed.
         self.node.counter_calls_queued.notify_one();
     }
 
@@ -105,7 +105,7 @@
         let route = self.connections.borrow_mut().send(self.node.now(), call, counter);
         let connection = match route {
             Route::Existing(connection) | Route::New(connection) => connection,
-            // The call fails at once, so that the decisions use their local fallback limit.
+            // The call fails immediately, so that the decision module uses its local fallback limit.
             Route::Unavailable => {
                 return self.node.handle_counter_response(call, Status::ConnectFailed, 0.0, 0.0);
             }
@@ -128,18 +128,18 @@
         spawn_shared(&self.node, "counter connection", serving);
     }
 
-    /// Opens a connection and serves its calls until it closes; those that are left then fail.
+    /// Opens a connection and serves its calls until it closes. The calls that are still pending then fail.
     async fn run_connection(self: Rc<Self>, connection: usize, outbox: Rc<Outbox>) {
         let limit = Duration::from_secs_f64(CONNECT_TIMEOUTS * self.node.counter_timeout);
         let connected = tokio::time::timeout(limit, weirusher_net::connect(self.address)).await;
-        // Without a connection no amount was added; after a reset it may have been.
+        // If the connection was never opened, no amount was added; after a reset, some may have been.
         let (status, error) = match connected {
             Ok(Ok(stream)) => (Status::Reset, self.serve(connection, &outbox, stream).await.err()),
             Ok(Err(error)) => (Status::ConnectFailed, Some(error.into())),
             Err(_) => (Status::ConnectFailed, Some(ConnectionError::ConnectTimeout)),
         };
         if let Some(error) = error {
-            tracing::debug!(%error, connection, "the connection to the counter is closed");
+            tracing::debug!(%error, connection, "counter connection closed");
         }
         let failed = self.connections.borrow_mut().closed(self.node.now(), connection);
         for EndedCall { call, elapsed } in failed {
@@ -150,7 +150,7 @@
     /// Serves the calls of a connection until it closes.
     ///
     /// # Errors
-    /// Why it closes out of order.
+    /// The connection failed, or the counter violated the protocol or did not respond in time.
     async fn serve(
         &self,
         connection: usize,
@@ -170,7 +170,8 @@
                 return Err(ConnectionError::ReadsTooSlowly);
             }
             tokio::select! {
-                // Responses first: after a stall of the process they wait in the socket, and must not count as timed out.
+                // Responses first: after a stall of the process they are already buffered in the socket, and
+                // their calls must not time out.
                 biased;
                 read = weirusher_net::read(&stream, &mut unread) => match read? {
                     0 => {
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Ends the calls that have timed out. Returns whether the connection must not be used further. If a response has
-    /// started and does not end, the first of these calls was executed with an unknown total.
+    /// Ends the calls that have timed out. Returns whether the connection must be closed. If a response has
+    /// started but is incomplete, the first of these calls was executed and its total is unknown.
     fn handle_timeout(&self, connection: usize, response_started: bool) -> bool {
         let now = self.node.now();
         let timed_out = self.connections.borrow_mut().take_timed_out(now, connection);
@@ -207,7 +208,10 @@
         is_truncated || self.connections.borrow().is_unresponsive(now, connection)
     }
 
-    /// Handles the responses that are complete. An error: the connection must not be used further.
+    /// Handles the responses that are complete.
+    ///
+    /// # Errors
+    /// The connection must be closed.
     fn handle_bytes(
         &self,
         connection: usize,
@@ -228,13 +232,16 @@
         }
     }
 
-    /// Handles one response; `None`: it is malformed. An error: the connection must not be used further.
+    /// Handles one response, which is `None` if it is malformed.
+    ///
+    /// # Errors
+    /// The connection must be closed.
     fn handle_response(&self, connection: usize, response: Option<Response>) -> Result<(), ConnectionError> {
         let closes = response.as_ref().is_none_or(|response| response.closes_connection);
         let result = response.as_ref().and_then(parse_add_result);
         let ended = self.connections.borrow_mut().response_completed(self.node.now(), connection);
         if let Some(EndedCall { call, elapsed }) = ended? {
-            // Without a total the amount was added, but the new value is unknown.
+            // If the total cannot be read, the amount was added, but the new value is unknown.
             let (status, total) = result.map_or((Status::Error, 0.0), |result| (result.status, result.total));
             self.node.handle_counter_response(call, status, total, elapsed);
         }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The client of discovery: polls for the endpoint list, over as many connections as [`EndpointWatch`] asks for.
+//! The client of discovery: polls for the endpoint list over the connections that [`EndpointWatch`] opens and
+//! closes.
 
 mod poll;
 
@@ -15,10 +16,11 @@
 use weirusher_core::{EndpointWatch, PollTiming, WatchConnection, WatchOutput};
 use weirusher_platform::list::{ListState, ListUpdate};
 
-/// The pause after a response without a change that did not wait for one. It bounds the work that a discovery causes which
-/// never waits, and is short enough that the next poll is in time.
+/// Pause before the next poll if discovery returned an unchanged list without waiting for a change. It bounds
+/// the load from a discovery service that never waits, and is short enough that the next poll is still in
+/// time.
 const NO_CHANGE_PAUSE: Duration = Duration::from_millis(10);
-/// Most errors that are logged between two responses.
+/// Maximum number of different errors that are logged between two responses.
 const MAX_LOGGED_ERRORS: usize = 8;
 
 /// The client of discovery at one address.
@@ -28,17 +30,19 @@
     watch: EndpointWatch,
     list: ListState,
     polls: JoinSet<(WatchConnection, Result<PollResponse, PollError>)>,
-    /// The tasks of the polls in flight. A poll without an entry was abandoned.
+    /// The tasks of the polls in flight. A poll that is not in this map was abandoned.
     tasks: HashMap<WatchConnection, AbortHandle>,
+    /// Reports connections on which a part of a response was received.
     started: UnboundedSender<WatchConnection>,
     /// When the last poll was sent.
     last_poll_at: f64,
-    /// Errors since the last response, so that each is logged once and not for every poll.
+    /// Errors that were logged since the last response, so that the same error is not logged for every poll.
     logged_errors: Vec<String>,
 }
 
 impl DiscoveryClient {
-    /// Watches the list of discovery at `address` until the task is aborted. `zones` are the names of the zones.
+    /// Watches the endpoint list of the discovery service at `address` until the task is aborted. `zones` are
+    /// the names of the zones in the settings.
     pub async fn run(
         node: Rc<NodeContext>,
         address: SocketAddr,
@@ -67,13 +71,14 @@
             self.carry_out(outputs);
             let next = self.node.clock.instant(self.watch.next_timeout());
             tokio::select! {
-                // Responses first: after a stall of the process they wait in the sockets, and need no further poll.
+                // Responses first: after a stall of the process they are already buffered in the sockets, and
+                // no further poll is needed.
                 biased;
                 Some(ended) = self.polls.join_next() => {
                     match ended {
                         Ok((connection, response)) => self.handle_poll_ended(connection, response),
                         Err(error) if error.is_panic() => self.node.failure.raise(),
-                        Err(_) => {} // It was aborted.
+                        Err(_) => {} // The poll was aborted.
                     }
                 }
                 Some(connection) = started.recv() => {
@@ -91,7 +96,7 @@
                     if !self.tasks.is_empty() {
                         self.log_error(&PollError::Timeout);
                     }
-                    let target = ListState::COMPLETE_LIST.to_string();
+                    let target = ListState::COMPLETE_LIST_TARGET.to_string();
                     self.start_poll(connection, None, target, Duration::ZERO);
                 }
                 WatchOutput::Close(connection) => {
@@ -122,7 +127,8 @@
     }
 
     fn handle_poll_ended(&mut self, connection: WatchConnection, response: Result<PollResponse, PollError>) {
-        // The response to an abandoned poll is older than the list in use and must not change its version either.
+        // The response to an abandoned poll may be older than the list in use, and must not change the
+        // version of it.
         if self.tasks.remove(&connection).is_none() {
             return;
         }
@@ -150,9 +156,9 @@
         self.node.list_current_until.set(now + self.watch.max_staleness());
         self.carry_out(outputs);
         if !std::mem::take(&mut self.logged_errors).is_empty() {
-            tracing::info!("discovery answers again");
+            tracing::info!("discovery responds again");
         }
-        // Most responses have no change: the decisions do no work for them.
+        // Most responses contain no change; they are not passed to the decision module.
         if update.kind != EndpointListKind::Delta || !update.addresses.is_empty() {
             self.node.handle_endpoint_list(update);
         } else {
@@ -172,7 +178,7 @@
     fn log_error(&mut self, error: &PollError) {
         let error = error.to_string();
         if self.logged_errors.len() < MAX_LOGGED_ERRORS && !self.logged_errors.contains(&error) {
-            tracing::info!(error, "discovery is polled again; the last list stays in use");
+            tracing::info!(error, "discovery poll failed, will retry; the last endpoint list stays in use");
             self.logged_errors.push(error);
         }
     }
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -15,12 +15,12 @@
 
 /// The response to a poll.
 pub(super) struct PollResponse {
-    /// The connection, if it may be used further.
+    /// The connection, if it can be reused.
     pub stream: Option<TcpStream>,
     pub body: BytesMut,
 }
 
-/// Why a poll brought no list.
+/// Why a poll returned no usable list.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
     /// The connection failed or closed before the end of the response.
@@ -29,16 +29,16 @@
     /// The response is malformed.
     #[error(transparent)]
     Malformed(#[from] HttpError),
-    /// The response has another status than 200.
-    #[error("status {0}")]
+    /// The status code of the response is not 200.
+    #[error("unexpected status code {0}")]
     Status(u16),
-    /// The list cannot be used.
+    /// The list is invalid.
     #[error(transparent)]
     List(#[from] ListError),
-    /// The response has changes to an older list than the one in use.
-    #[error("changes to an older list than the one in use")]
+    /// The response contains changes to an older list than the one in use.
+    #[error("the changes are for an older list than the one in use")]
     OutdatedChanges,
-    /// No response arrived in time; a further poll is sent.
+    /// No response arrived in time; another poll is sent on a new connection.
     #[error("no response in time")]
     Timeout,
 }
@@ -47,11 +47,11 @@
 pub(super) struct Poll {
     pub connection: WatchConnection,
     pub address: SocketAddr,
-    /// An open connection; `None`: one is opened.
+    /// The connection to reuse; `None` opens a new one.
     pub stream: Option<TcpStream>,
     /// The request target.
     pub target: String,
-    /// Takes the connection when a part of the response was received.
+    /// Receives the connection's id when a part of the response has been read.
     pub started: UnboundedSender<WatchConnection>,
 }
 
@@ -81,7 +81,7 @@
                 let stream = (!response.closes_connection).then_some(stream);
                 return Ok(PollResponse { stream, body: response.body.into() });
             }
-            let _ = self.started.send(self.connection); // Without a receiver this poll was abandoned too.
+            let _ = self.started.send(self.connection); // Without a receiver, this poll is abandoned as well.
         }
     }
 }
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the proxy core asks for.
+//! Carries out the outputs of the proxy core.
 
 use crate::attempt::{self, Attempt};
 use crate::context::{BackendEndpoint, ClientResponse, CounterCall, NodeContext, NodeState, RunningAttempt};
@@ -8,11 +8,11 @@
 use weirusher::{RequestId, Status};
 use weirusher_core::{Command, NewAttempt, Outcome, ProxyOutput};
 
-/// Most counter calls that wait to be written; further ones are rejected at once.
+/// Maximum number of queued counter calls; further calls are rejected immediately.
 const MAX_QUEUED_COUNTER_CALLS: usize = 4096;
 
 impl NodeContext {
-    /// Carries out the outputs of the proxy core, in order.
+    /// Carries out all outputs of the proxy core, in order.
     pub fn carry_out_outputs(self: &Rc<Self>) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
@@ -24,7 +24,7 @@
                 ProxyOutput::Forward(attempt) => self.start_attempt(state, attempt),
                 ProxyOutput::Abort { request, attempt } => self.abort_attempt(state, request, attempt),
                 ProxyOutput::Prevented { request, attempt, violation } => {
-                    tracing::error!(id = %request, attempt, %violation, "an attempt would have broken a rule");
+                    tracing::error!(id = %request, attempt, %violation, "the guard prevented an attempt");
                 }
                 ProxyOutput::Respond { request, outcome } => {
                     self.respond(state, &request, ClientResponse::Outcome(outcome));
@@ -51,13 +51,13 @@
         for call in rejected_calls {
             state.proxy.handle_counter_response(self.now(), call, Status::Rejected, 0.0, 0.0);
         }
-        // Requests that waited for these calls are decided now. This ends, because the decisions do not call a counter
-        // again at once that has rejected a call.
+        // Requests that waited for these calls are decided now. The recursion ends because the decision
+        // module does not immediately call a counter again that has rejected a call.
         drop(guard);
         self.carry_out_outputs();
     }
 
-    /// Gives a pending request its response.
+    /// Passes the response to the connection task of a pending request.
     pub fn respond(&self, state: &mut NodeState, id: &RequestId, response: ClientResponse) {
         match &response {
             ClientResponse::Served(response) => {
@@ -71,7 +71,7 @@
             }
         }
         if let Some(pending) = state.pending.remove(id) {
-            let _ = pending.response.send(response); // The task may have ended just now: the client is gone.
+            let _ = pending.response.send(response); // Fails only if the client has just disconnected.
         }
     }
 
@@ -94,7 +94,7 @@
         state.attempts.insert((id, number), RunningAttempt { backend, task, write_started });
     }
 
-    /// Ends the task of an attempt, which closes its connection.
+    /// Aborts the task of an attempt, which closes its connection.
     fn abort_attempt(&self, state: &mut NodeState, id: RequestId, attempt: u32) {
         log_step!(self, %id, attempt, "attempt aborted");
         if let Some(running) = state.attempts.remove(&(id, attempt)) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Queues a counter call; `false` if there is no counter or the queue is full.
+    /// Queues a counter call. Returns `false` if there is no counter or the queue is full.
     fn queue_counter_call(&self, state: &mut NodeState, call: CounterCall) -> bool {
         let has_capacity = self.has_counter.get() && state.counter_calls.len() < MAX_QUEUED_COUNTER_CALLS;
         if has_capacity {
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -1,4 +1,4 @@
-//! What happens at the sockets, as events of the proxy core.
+//! Reports events at the sockets to the proxy core, and carries out the outputs that follow.
 
 use crate::client_socket::ClientSocket;
 use crate::context::{
@@ -12,23 +12,24 @@
 use weirusher_platform::backend::ForwardedRequest;
 use weirusher_platform::list::ListUpdate;
 
-/// The end of an attempt.
+/// The result of an attempt.
 pub struct AttemptResult {
     pub status: Status,
     pub load: LoadReport,
-    /// The response, if it is complete.
+    /// The response, if it was received completely.
     pub response: Option<CompleteResponse>,
 }
 
 impl AttemptResult {
-    /// An end without a response.
+    /// The result of an attempt without a complete response.
     pub fn without_response(status: Status) -> Self {
         Self { status, load: LoadReport::default(), response: None }
     }
 }
 
 impl NodeContext {
-    /// A request was read; its response arrives on the receiver. `None`: a request with the same id is open.
+    /// Handles a request that was read completely. Returns the receiver of its response, or `None` if a
+    /// request with the same id is open.
     pub fn handle_request(
         self: &Rc<Self>,
         request: IncomingRequest,
@@ -50,26 +51,28 @@
         Some(receiver)
     }
 
-    /// The client of a pending request closed its connection.
+    /// Withdraws a pending request whose client has disconnected.
     pub fn handle_client_gone(self: &Rc<Self>, id: &RequestId) {
         {
             let state = &mut *self.state.borrow_mut();
             state.pending.remove(id);
-            log_step!(self, %id, "client gone, request withdrawn");
+            log_step!(self, %id, "client disconnected, request withdrawn");
             state.proxy.handle_client_gone(self.now(), id);
         }
         self.carry_out_outputs();
     }
 
-    /// A client connection was closed while `unanswered` requests that were read from it had no response.
+    /// Reports that a client connection was closed while `unanswered` requests that were read from it had no
+    /// response.
     pub fn handle_connection_closed(&self, unanswered: usize) {
         if unanswered > 0 {
-            tracing::error!(unanswered, "a connection was closed with requests that have no response");
+            tracing::error!(unanswered, "a client connection was closed with requests that have no response");
             self.state.borrow_mut().proxy.handle_connection_closed(unanswered);
         }
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt. Answers the client if the proxy core selects the response of this
+    /// attempt.
     pub fn handle_attempt_ended(self: &Rc<Self>, id: &RequestId, attempt: u32, result: AttemptResult) {
         {
             let state = &mut *self.state.borrow_mut();
@@ -87,7 +90,7 @@
         self.carry_out_outputs();
     }
 
-    /// Whether a counter is configured from now on. Without one the queued calls fail.
+    /// Sets whether a counter is configured. If not, the queued calls fail.
     pub fn set_has_counter(self: &Rc<Self>, configured: bool) {
         self.has_counter.set(configured);
         if configured {
@@ -99,20 +102,21 @@
         }
     }
 
-    /// A counter call ended: `total` is the counter's new value, `elapsed` the seconds that the call took.
+    /// Handles the end of a counter call. `total` is the new value of the counter, `elapsed` the duration of
+    /// the call in seconds.
     pub fn handle_counter_response(self: &Rc<Self>, call: u64, status: Status, total: f64, elapsed: f64) {
         self.state.borrow_mut().proxy.handle_counter_response(self.now(), call, status, total, elapsed);
         self.carry_out_outputs();
     }
 
-    /// An endpoint list arrived. Idle connections to backends that drain or have another address are closed, and attempts
-    /// to them that have not written anything end.
+    /// Applies an endpoint list. Idle connections to backends that drain or have a new address are closed.
+    /// Attempts to backends that accept no new requests end, unless they have started to write.
     pub fn handle_endpoint_list(self: &Rc<Self>, update: ListUpdate) {
         if !update.problems.is_empty() {
             let entries: Vec<String> = update.problems.iter().map(ToString::to_string).collect();
             tracing::warn!(
                 ?entries,
-                "the list has entries that cannot be used: their backends get nothing new"
+                "the endpoint list has invalid entries; their backends get no new requests"
             );
         }
         {
@@ -136,7 +140,7 @@
         self.carry_out_outputs();
     }
 
-    /// Discovery confirmed that the endpoint list is unchanged.
+    /// Records that discovery has confirmed the endpoint list as unchanged.
     pub fn handle_endpoint_list_confirmed(&self) {
         self.state.borrow_mut().proxy.handle_endpoint_list_confirmed(self.now());
     }
@@ -147,7 +151,7 @@
         self.carry_out_outputs();
     }
 
-    /// The signal to stop was received.
+    /// Begins the shutdown and returns its schedule.
     pub fn begin_shutdown(self: &Rc<Self>) -> Shutdown {
         let shutdown = {
             let state = &mut *self.state.borrow_mut();
@@ -163,7 +167,7 @@
 }
 
 impl NodeState {
-    /// Ends the attempts that have not written anything to backends that accept no new requests.
+    /// Ends the attempts to backends that accept no new requests, unless they have started to write.
     fn cancel_unsent_attempts(&mut self, now: f64) {
         let addresses = &self.addresses;
         let is_unsent = |(_, running): &(&(RequestId, u32), &mut RunningAttempt)| {
--- a/crates/node/src/fleet_membership.rs
+++ b/crates/node/src/fleet_membership.rs
@@ -1,4 +1,4 @@
-//! The membership of a node in its fleet. The platform starts nodes without it.
+//! The optional membership of a node in its fleet. The platform starts nodes without it.
 
 use crate::context::NodeContext;
 use crate::panics::spawn_shared;
@@ -9,11 +9,11 @@
 use weirusher_peers::{Peers, page};
 use weirusher_platform::config::Config;
 
-/// How a node takes part in its fleet.
+/// The membership of a node in its fleet, before it is started.
 pub struct FleetMembership {
-    /// The members, and which of them this instance is.
+    /// The fleet file: the members, and which of them this instance is.
     pub config: FleetConfig,
-    /// Called with the addresses of the datagram socket and of the fleet page.
+    /// Called with the addresses of the datagram socket and of the fleet page once both are bound.
     pub on_listening: fn(SocketAddr, SocketAddr),
 }
 
@@ -21,7 +21,7 @@
     /// Starts the membership and the fleet page.
     ///
     /// # Errors
-    /// The fleet file does not belong to the configuration, or an address cannot be used.
+    /// The fleet file does not match the configuration, or an address cannot be bound.
     pub(crate) async fn start(self, node: &Rc<NodeContext>, config: &Config) -> Result<(), RunError> {
         let (fleet, settings) = (&self.config.settings, &config.platform.settings);
         let (fleet_instance, fleet_size) = (fleet.instance, fleet.members.len());
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
 //! The gateway on the operators' platform: sockets, tasks and signals around [`weirusher_core::ProxyCore`].
 //!
-//! This crate decides nothing: the proxy core decides what a request becomes, and the pool and the slots of
-//! `weirusher-core` which connections are kept. Everything runs on one thread, in tasks that share a
-//! `NodeContext`: one for each client connection and each attempt, and one each for the counter, discovery, timers and
-//! evictions.
+//! This crate contains I/O only and makes no decisions: the proxy core decides how each request is handled,
+//! and the connection pool and the connection slots of `weirusher-core` decide which connections are kept.
+//! Everything runs on one thread, in tasks that share a `NodeContext`: one task per client connection and per
+//! attempt, and one each for the counter, discovery, timers and evictions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of clients.
+//! Accepts client connections.
 
 use crate::client_slot::ClientSlot;
 use crate::client_socket::ClientSocket;
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use weirusher_net::Listener;
 
-/// Accepts connections while slots are free, until it is asked to stop and none waits.
+/// Accepts connections while slots are free, until it is asked to stop and the backlog is empty.
 pub async fn accept(node: Rc<NodeContext>, mut listener: Listener) {
     loop {
         while !node.state.borrow().slots.has_free() {
@@ -16,7 +16,8 @@
             node.slot_freed.notified().await;
         }
         tokio::select! {
-            // Waiting connections first: closing the listener would reset them with their requests.
+            // The backlog first: closing the listener would reset these connections, and their requests would
+            // be lost.
             biased;
             stream = listener.accept() => serve(&node, stream),
             () = node.stop_accepting.notified() => return,
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,6 +1,7 @@
-//! Log lines for the steps of a request or a connection.
+//! Logging of the steps of requests and connections.
 
-/// Logs a step at level `debug`. During a shutdown the level is `info`, because the process cannot be inspected afterwards.
+/// Logs a step at level `debug`. During a shutdown the level is `info`, because the process cannot be
+/// inspected afterwards.
 macro_rules! log_step {
     ($node:expr, $($line:tt)+) => {
         if $node.is_shutting_down() {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,28 +1,28 @@
-//! Counts of client connections, and the reasons why they were closed.
+//! Counters of client connections and of the reasons why they were closed.
 
 use std::cell::Cell;
 use std::fmt;
 
-/// Why a client's connection was closed.
+/// Why a client connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed or reset it while no request was pending.
+    /// The client closed or reset the connection while no request was pending.
     ClientClosed,
-    /// The client closed or reset it while its request was pending.
+    /// The client closed or reset the connection while its request was pending.
     ClientGone,
     /// The client requested the close (`Connection: close`).
     ClientRequestedClose,
     /// The client did not read its response in time.
     ResponseUnread,
-    /// It was idle for too long, or was evicted for another.
+    /// The connection was idle for too long, or was evicted to free its slot.
     Idle,
-    /// No complete request arrived in time.
+    /// No request arrived in time.
     NoRequest,
-    /// Its request was invalid and was answered with an error.
+    /// The request was invalid and was answered with an error.
     InvalidRequest,
-    /// This gateway is shutting down.
+    /// The gateway is shutting down.
     Shutdown,
-    /// Its task panicked.
+    /// The task of the connection panicked.
     Panicked,
 }
 
@@ -39,7 +39,7 @@
         Self::Panicked,
     ];
 
-    /// The name in log lines.
+    /// The name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Self::ClientClosed => "client_closed",
@@ -61,7 +61,7 @@
     }
 }
 
-/// How many client connections were accepted, and closed by reason. Each count grows only.
+/// The number of client connections accepted, and closed by reason. The counts never decrease.
 #[derive(Default)]
 pub struct ConnectionMetrics {
     accepted: Cell<u64>,
@@ -69,12 +69,12 @@
 }
 
 impl ConnectionMetrics {
-    /// A connection was accepted.
+    /// Counts an accepted connection.
     pub fn accepted(&self) {
         self.accepted.set(self.accepted.get() + 1);
     }
 
-    /// A connection was closed.
+    /// Counts a closed connection.
     pub fn closed(&self, reason: CloseReason) {
         let count = &self.closed[reason as usize];
         count.set(count.get() + 1);
--- a/crates/node/src/panics.rs
+++ b/crates/node/src/panics.rs
@@ -1,5 +1,6 @@
-//! Panics of tasks. One in the task of a connection or an attempt ends that message or attempt; one in a task that all
-//! requests depend on, or amid a change of the shared state, shuts the node down in order.
+//! Isolation of panics. A panic in the task of a connection or an attempt ends only the current message or
+//! attempt. A panic in a task that all requests depend on, or during a change of the shared state, shuts the
+//! node down gracefully.
 
 use crate::context::{NodeContext, NodeState};
 use std::cell::{Cell, Ref, RefCell, RefMut};
@@ -9,7 +10,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use weirusher_panics::Panicked;
 
-/// Spawns a task that all requests depend on: its panic shuts the node down.
+/// Spawns a task that all requests depend on. If it panics, the node shuts down.
 pub fn spawn_shared(
     node: &Rc<NodeContext>,
     name: &'static str,
@@ -18,13 +19,13 @@
     let node = node.clone();
     spawn_local(async move {
         if weirusher_panics::catch(task).await == Err(Panicked) {
-            tracing::error!(task = name, "a task that all requests depend on has panicked");
+            tracing::error!(task = name, "a task that all requests depend on has panicked; shutting down");
             node.failure.raise();
         }
     })
 }
 
-/// Whether the node has to shut down because a panic may have left its shared parts broken.
+/// A flag that shuts the node down after a panic that may have corrupted state shared by all requests.
 #[derive(Debug, Default)]
 pub struct Failure {
     raised: Cell<bool>,
@@ -32,18 +33,18 @@
 }
 
 impl Failure {
-    /// The node has to shut down.
+    /// Requests the shutdown.
     pub fn raise(&self) {
         self.raised.set(true);
         self.changed.notify_one();
     }
 
-    /// Whether it was raised.
+    /// Whether the flag was raised.
     pub fn is_raised(&self) -> bool {
         self.raised.get()
     }
 
-    /// Waits until it is raised.
+    /// Waits until the flag is raised.
     pub async fn wait(&self) {
         while !self.raised.get() {
             self.changed.notified().await;
@@ -51,25 +52,25 @@
     }
 }
 
-/// The state that all tasks share. A panic while it is borrowed mutably may leave it inconsistent, which raises the node's
-/// [`Failure`].
+/// The state that all tasks share. A panic while it is mutably borrowed may leave it inconsistent, and
+/// therefore raises the node's [`Failure`].
 pub struct SharedState {
     state: RefCell<NodeState>,
     failure: Rc<Failure>,
 }
 
 impl SharedState {
-    /// A state whose panics raise `failure`.
+    /// Wraps `state`. A panic during a mutable borrow raises `failure`.
     pub fn new(state: NodeState, failure: Rc<Failure>) -> Self {
         Self { state: RefCell::new(state), failure }
     }
 
-    /// The state, for reading.
+    /// Borrows the state immutably.
     pub fn borrow(&self) -> Ref<'_, NodeState> {
         self.state.borrow()
     }
 
-    /// The state, for a change.
+    /// Borrows the state mutably.
     pub fn borrow_mut(&self) -> StateGuard<'_> {
         let was_panicking = std::thread::panicking();
         StateGuard { state: self.state.borrow_mut(), failure: &self.failure, was_panicking }
@@ -80,7 +81,8 @@
 pub struct StateGuard<'a> {
     state: RefMut<'a, NodeState>,
     failure: &'a Failure,
-    /// It was borrowed by a destructor during another panic, which did not begin under it.
+    /// Whether a destructor took the borrow while a panic was already unwinding. That panic did not start
+    /// under this borrow, and must not raise the failure.
     was_panicking: bool,
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -16,15 +16,16 @@
 use weirusher_net::Listener;
 use weirusher_platform::config::Config;
 
-/// Longest wait for clients that read their last responses slowly, after the time for the last response. The connections'
-/// own timeouts end it sooner.
+/// Longest wait, after the deadline for the last response, for clients that read their responses slowly. The
+/// timeouts of the connections normally end the wait sooner.
 const LAST_WRITES_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often the shutdown looks whether requests are pending or connections open.
+/// How often the shutdown checks for pending requests and open connections.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Most requests that the log names as left without a response.
+/// Maximum number of unanswered requests that are logged at the end of a shutdown.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// The signals, received from the start on: an early one must neither end the process nor be lost.
+/// The signal handlers. They are installed before anything else, so that an early signal neither kills the
+/// process nor is lost.
 struct Signals {
     reload: Signal,
     terminate: Signal,
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Waits for a signal to stop.
+    /// Waits for SIGTERM or SIGINT.
     async fn stop(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -49,8 +50,8 @@
     }
 }
 
-/// Runs the node that `file` configures until SIGTERM or SIGINT, and returns how many requests were left without a
-/// response. Has to run inside a [`tokio::task::LocalSet`].
+/// Runs the node configured by `file` until SIGTERM or SIGINT, and returns the number of requests that were
+/// left without a response. Must be called inside a [`tokio::task::LocalSet`].
 ///
 /// # Errors
 /// The node cannot start, or it shut down because of a panic.
@@ -75,14 +76,15 @@
     match std::mem::replace(&mut config.cached_list, Ok(None)) {
         Ok(Some(cached_list)) => node.handle_endpoint_list(cached_list),
         Ok(None) => {}
-        Err(error) => tracing::warn!(%error, "the cached list is not used; discovery is polled first"),
+        Err(error) => tracing::warn!(%error, "cached endpoint list is invalid; waiting for discovery"),
     }
     let accepting = serve(&node, config, listener, &mut signals, reader).await;
     let pending = shut_down(&node, accepting).await;
     if node.failure.is_raised() { Err(RunError::Panicked) } else { Ok(pending) }
 }
 
-/// Serves clients and reloads the configuration until the signal to stop, or a failure. Returns the task that accepts connections.
+/// Serves clients and reloads the configuration until SIGTERM, SIGINT or a fatal panic. Returns the task that
+/// accepts connections.
 async fn serve(
     node: &Rc<NodeContext>,
     config: Config,
@@ -97,7 +99,7 @@
             _ = signals.reload.recv() => reader.start(),
             config = reader.finished() => match config {
                 Ok(config) => clients.reload(&config),
-                Err(error) => tracing::warn!(%error, "the configuration stays as it was"),
+                Err(error) => tracing::warn!(%error, "configuration not reloaded; the current one is kept"),
             },
             _ = signals.terminate.recv() => return accepting,
             _ = signals.interrupt.recv() => return accepting,
@@ -106,7 +108,8 @@
     }
 }
 
-/// Spawns what serves clients. Returns the task that accepts connections.
+/// Spawns the tasks for accepting connections, timers and evictions. Returns the task that accepts
+/// connections.
 pub(crate) fn spawn_tasks(node: &Rc<NodeContext>, listener: Listener) -> JoinHandle<()> {
     spawn_shared(node, "timers", run_proxy_timers(node.clone()));
     spawn_shared(node, "evictions", run_evictions(node.clone()));
@@ -123,7 +126,7 @@
     }
 }
 
-/// Closes the connections that are evicted from the pool and the slots.
+/// Closes the connections that the connection pool and the client connection slots evict.
 async fn run_evictions(node: Rc<NodeContext>) {
     loop {
         let due = {
@@ -133,14 +136,14 @@
         node.eviction_wakeup.wait(&node.clock, due).await;
         let state = &mut *node.state.borrow_mut();
         let now = node.now();
-        state.pool.evict(now, |_| true); // What it returns is closed by being dropped.
+        state.pool.evict(now, |_| true); // Dropping the returned connections closes them.
         let evicted = state.slots.evict(now);
         state.request_close(&evicted);
     }
 }
 
-/// Shuts down gracefully: answers pending requests, accepts connections for a while longer, and closes idle ones. Returns
-/// how many requests were left without a response.
+/// Shuts down gracefully: answers pending requests, keeps accepting connections for a grace period, and
+/// closes idle ones. Returns the number of requests that were left without a response.
 async fn shut_down(node: &Rc<NodeContext>, accepting: JoinHandle<()>) -> usize {
     let shutdown = node.begin_shutdown();
     {
@@ -157,16 +160,16 @@
     node.stop_accepting.notify_one();
     tracing::info!(
         pending = node.state.borrow().proxy.pending(),
-        "accepting the connections that wait, then none"
+        "accept period over; accepting the connections in the backlog only"
     );
     let finished = async {
-        let _ = accepting.await; // It ends once no connection waits to be accepted.
+        let _ = accepting.await; // Ends once the backlog of the listener is empty.
         while node.state.borrow().proxy.pending() > 0 || !node.state.borrow().slots.is_empty() {
             tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
     };
     let end = node.clock.instant(shutdown.respond_by()) + LAST_WRITES_TIMEOUT;
-    let _ = tokio::time::timeout_at(end, finished).await; // Requests that are still pending are logged below.
+    let _ = tokio::time::timeout_at(end, finished).await; // Requests still pending are logged below.
     let state = node.state.borrow();
     for id in state.proxy.pending_ids().take(MAX_LOGGED_REQUESTS) {
         tracing::warn!(%id, "a request is left without a response");
--- a/crates/node/src/services.rs
+++ b/crates/node/src/services.rs
@@ -1,4 +1,5 @@
-//! The clients of discovery and the counter, and their moves to other addresses when the configuration is reloaded.
+//! The clients of discovery and the counter, which are replaced when a configuration reload changes an
+//! address.
 
 use crate::context::NodeContext;
 use crate::counter::CounterClient;
@@ -10,17 +11,18 @@
 use weirusher_core::PollTiming;
 use weirusher_platform::config::Config;
 
-/// The running clients, and the configuration that they follow.
+/// The running clients of discovery and the counter, and their configuration.
 pub struct ServiceClients {
     node: Rc<NodeContext>,
-    /// As at the start but for the addresses: pending requests, leases and the zones of the list are bound to it.
+    /// The configuration at the start, with the current addresses. The other fields stay as they were,
+    /// because pending requests, leases and the zones of the endpoint list depend on them.
     config: Config,
     discovery: AbortHandle,
     counter: Option<Rc<CounterClient>>,
 }
 
 impl ServiceClients {
-    /// Starts the clients.
+    /// Starts both clients.
     pub fn start(node: Rc<NodeContext>, config: Config) -> Self {
         let discovery = Self::start_discovery(&node, &config);
         let counter = config.counter;
@@ -37,7 +39,7 @@
         spawn_shared(node, "discovery", client).abort_handle()
     }
 
-    /// Starts the client of the counter at `address`, in place of the one before.
+    /// Starts a client for the counter at `address`, and retires the previous one.
     fn start_counter(&mut self, address: Option<SocketAddr>) {
         if let Some(counter) = self.counter.take() {
             counter.retire();
@@ -50,21 +52,24 @@
         }
     }
 
-    /// Follows the addresses of a new configuration, and nothing else of it. The configuration of another gateway is
-    /// ignored.
+    /// Applies the addresses of a new configuration; changes to other fields are logged and otherwise
+    /// ignored. A configuration with the name of another gateway is ignored as a whole.
     pub fn reload(&mut self, newer: &Config) {
         let not_followed = self.config.changes_requiring_restart(newer);
         if not_followed.contains(&"name") {
-            tracing::warn!(name = newer.name, "a configuration of another gateway: all stays as it was");
+            tracing::warn!(
+                name = newer.name,
+                "configuration reload ignored: the file is for another gateway"
+            );
             return;
         }
         if !not_followed.is_empty() {
             tracing::warn!(
                 fields = ?not_followed,
-                "only addresses are followed; these stay as they were until a restart"
+                "a reload changes addresses only; the changes to these fields need a restart"
             );
         }
-        tracing::info!(discovery = %newer.discovery, counter = ?newer.counter, "the configuration was read anew");
+        tracing::info!(discovery = %newer.discovery, counter = ?newer.counter, "configuration reloaded");
         if newer.counter != self.config.counter {
             self.config.counter = newer.counter;
             self.start_counter(newer.counter);
--- a/crates/node/src/wakeup.rs
+++ b/crates/node/src/wakeup.rs
@@ -1,11 +1,11 @@
-//! A task's wait for a time that others may bring forward.
+//! A timer that other tasks can set to an earlier time.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 use weirusher::Time;
 use weirusher_clock::Clock;
 
-/// Ends the wait of one task at the earliest time that was set.
+/// Wakes one task at the earliest time that was set.
 #[derive(Debug)]
 pub struct Wakeup {
     due: Cell<Time>,
@@ -19,7 +19,7 @@
 }
 
 impl Wakeup {
-    /// Ends the wait at `due` at the latest. Wakes the task only if that is earlier than before.
+    /// Wakes the task at `due` at the latest. Has no effect if an earlier time is already set.
     pub fn set(&self, due: Option<Time>) {
         if let Some(due) = due.filter(|due| *due < self.due.get()) {
             self.due.set(due);
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Waits until `due`, or an earlier time that is set meanwhile. `None`: only until a time that is set.
+    /// Waits until `due`, or until an earlier time that is set in the meantime. With `None`, only a time that
+    /// is set ends the wait.
     pub async fn wait(&self, clock: &Clock, due: Option<Time>) {
         self.due.set(due.unwrap_or(f64::INFINITY));
         loop {
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -1,4 +1,4 @@
-//! Requests to backends, and what their responses mean.
+//! Requests to backends, and the interpretation of their responses.
 
 use crate::client::MAX_BODY_BYTES;
 use crate::response::Response;
@@ -6,23 +6,24 @@
 use weirusher::{LoadReport, Status};
 use weirusher_wire::head::RequestHead;
 
-/// Most bytes of a load report that are parsed.
+/// Longest load report that is parsed, in bytes.
 const MAX_LOAD_REPORT_BYTES: usize = 1024;
-/// Most bytes of the body of a backend's response.
+/// Maximum length of the body of a backend's response, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = MAX_BODY_BYTES;
-/// Microseconds in a second, the unit of the time budget that a backend is sent.
+/// Microseconds per second. The time budget in a request to a backend is in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The part of a client's request that is forwarded, the same bytes at every attempt.
+/// The part of a client request that is forwarded unchanged in every attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ForwardedRequest {
-    /// The head without the time budget, which differs between attempts.
+    /// The head without the time budget, which differs from attempt to attempt.
     head: Bytes,
     body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// The request with this head, id and body: its method, target, id and body are forwarded as they were received.
+    /// Builds the forwarded request. Method, target, id and body are forwarded as received; other headers are
+    /// not.
     pub fn new(head: &RequestHead<'_, '_>, id: &str, body: Bytes) -> Self {
         let mut dst = BytesMut::with_capacity(head.target.len() + id.len() + 96);
         for part in [head.method, " ", head.target, " HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: ", id] {
@@ -40,7 +41,7 @@
         self.body.clone()
     }
 
-    /// Writes the head of an attempt with a time budget of `timeout` seconds; the body follows it.
+    /// Writes the head of an attempt with a time budget of `timeout` seconds. The body must follow.
     pub fn write_head(&self, dst: &mut BytesMut, timeout: f64) {
         dst.put_slice(&self.head);
         dst.put_slice(
@@ -49,7 +50,7 @@
     }
 }
 
-/// How an attempt ended by its complete response. Only a 200 serves the request.
+/// The status of an attempt, from its complete response. Only a 200 serves the request.
 pub fn attempt_status(response: &Response) -> Status {
     match response.status {
         200 => Status::Ok,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Parses a load report. One that is malformed counts as empty.
+/// Parses a load report. A malformed report counts as empty.
 pub fn parse_load_report(report: &str) -> LoadReport {
     let mut load = LoadReport::default();
     if report.len() > MAX_LOAD_REPORT_BYTES {
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and the responses to them.
+//! Client requests and the responses to them.
 
 mod catalog;
 mod error;
@@ -16,55 +16,55 @@
 use weirusher_wire::body::Framing;
 use weirusher_wire::head::{HeaderFields, RequestHead};
 
-/// Most bytes of a request's body.
+/// Maximum length of a request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Most bytes of a request's id.
+/// Maximum length of a request id, in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// Where the platform's front end asks whether this gateway is ready.
+/// The target of the readiness checks that the platform's front end sends.
 const READINESS_TARGET: &str = "/-/ready";
 
-/// A request whose head is valid. Its body follows the head, by `framing`.
+/// A request with a valid head. Its body follows the head as described by `framing`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientRequest {
-    /// Its id (`X-Trace-Id`).
+    /// The request id (`X-Trace-Id`).
     pub id: RequestId,
-    /// The customer whose quota it uses, from the target.
+    /// The customer whose quota the request uses, from the target.
     pub customer: CustomerId,
-    /// Index of its class (`X-Qos`).
+    /// Index of the class (`X-Qos`).
     pub class: usize,
-    /// Index of its plan (`Plan`).
+    /// Index of the plan (`Plan`).
     pub plan: usize,
-    /// Units that it takes from the quota (`units` of `Quota-Info`).
+    /// Units that the request takes from the quota (`units` of `Quota-Info`).
     pub units: f64,
-    /// How many gateway instances carry the customer's requests (`spread` of `Quota-Info`).
+    /// Number of gateway instances that carry the customer's requests (`spread` of `Quota-Info`).
     pub customer_instances: u32,
     /// Number of the first of these instances (`first` of `Quota-Info`).
     pub first_instance: u32,
     /// Seconds until the client gives up (`X-Expires-In`).
     pub time_budget: f64,
-    /// The client marked it as a retry (`X-Second-Try`).
+    /// Whether the client marked the request as a retry (`X-Second-Try`).
     pub is_retry: bool,
-    /// How the end of its body is determined.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The client sends the body once it receives [`CONTINUE`].
+    /// Whether the client waits for [`CONTINUE`] before it sends the body (`Expect: 100-continue`).
     pub expects_continue: bool,
-    /// The connection closes after the response.
+    /// Whether the connection closes after the response.
     pub closes_connection: bool,
 }
 
-/// What a head asks for.
+/// A client's message, by its head.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClientMessage {
-    /// Whether this gateway is ready.
+    /// A question whether this gateway is ready.
     ReadinessCheck,
-    /// A request to be forwarded.
+    /// A request that is to be forwarded.
     Request(ClientRequest),
 }
 
-/// Reads the head of a client's message.
+/// Interprets the head of a client's message.
 ///
 /// # Errors
-/// The head is not valid. The connection must be closed, because the end of the message is not known.
+/// The head is invalid. The connection must be closed, because the end of the message is unknown.
 pub fn read_head(
     catalog: &RequestCatalog,
     head: &RequestHead<'_, '_>,
@@ -75,20 +75,20 @@
     if (head.method, head.target) == ("GET", READINESS_TARGET) && no_body {
         return Ok(ClientMessage::ReadinessCheck);
     }
-    // The customer is a number: its digits mean the same in either case.
-    let customer = customer_in_target(head.target).ok_or(RequestError::Target)?.to_ascii_lowercase();
+    // The customer is a hexadecimal number, whose digits mean the same in upper and lower case.
+    let customer = customer_in_target(head.target).ok_or(RequestError::UnknownTarget)?.to_ascii_lowercase();
     let id = read_id(fields)?;
-    let class = catalog.class(required(fields, "X-Qos")?).ok_or(RequestError::Field("X-Qos"))?;
-    let plan = catalog.plan(required(fields, "Plan")?).ok_or(RequestError::Field("Plan"))?;
+    let class = catalog.class(required(fields, "X-Qos")?).ok_or(RequestError::Header("X-Qos"))?;
+    let plan = catalog.plan(required(fields, "Plan")?).ok_or(RequestError::Header("Plan"))?;
     let method_allowed =
         if class.is_idempotent { head.method == "GET" && no_body } else { head.method == "POST" };
     if !method_allowed {
-        return Err(RequestError::Method);
+        return Err(RequestError::MethodNotAllowed);
     }
     let time_budget =
-        parse_time_budget(required(fields, "X-Expires-In")?).ok_or(RequestError::Field("X-Expires-In"))?;
+        parse_time_budget(required(fields, "X-Expires-In")?).ok_or(RequestError::Header("X-Expires-In"))?;
     let quota = parse_quota_info(catalog, required(fields, "Quota-Info")?)
-        .ok_or(RequestError::Field("Quota-Info"))?;
+        .ok_or(RequestError::Header("Quota-Info"))?;
     let is_retry = read_retry_mark(fields)?;
     Ok(ClientMessage::Request(ClientRequest {
         id: id.into(),
@@ -110,14 +110,14 @@
     let id = required(fields, "X-Trace-Id")?;
     let is_valid =
         !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(|byte| byte.is_ascii_graphic());
-    if is_valid { Ok(id) } else { Err(RequestError::Field("X-Trace-Id")) }
+    if is_valid { Ok(id) } else { Err(RequestError::Header("X-Trace-Id")) }
 }
 
 fn read_retry_mark(fields: &HeaderFields<'_, '_>) -> Result<bool, RequestError> {
     match fields.single("X-Second-Try") {
         Ok(None | Some("0")) => Ok(false),
         Ok(Some("1")) => Ok(true),
-        _ => Err(RequestError::Field("X-Second-Try")),
+        _ => Err(RequestError::Header("X-Second-Try")),
     }
 }
 
@@ -127,5 +127,5 @@
 }
 
 fn required<'b>(fields: &HeaderFields<'_, 'b>, name: &'static str) -> Result<&'b str, RequestError> {
-    fields.single(name).ok().flatten().ok_or(RequestError::Field(name))
+    fields.single(name).ok().flatten().ok_or(RequestError::Header(name))
 }
--- a/crates/platform/src/client/catalog.rs
+++ b/crates/platform/src/client/catalog.rs
@@ -1,31 +1,31 @@
-//! The classes and plans that requests may name, and the bounds on their quota fields.
+//! The classes and plans that requests may name, and the bounds of the values in their headers.
 
 use std::collections::HashMap;
 use weirusher::{Idempotency, PlatformSettings};
 
-/// A class that requests may name.
+/// A request class.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClassEntry {
-    /// Its index in the settings.
+    /// Index of the class in the settings.
     pub index: usize,
-    /// Its requests may be executed any number of times.
+    /// Whether its requests may be executed any number of times.
     pub is_idempotent: bool,
 }
 
-/// What requests may name, from the settings.
+/// The names and numbers that a request may state, according to the settings.
 #[derive(Debug, Clone)]
 pub struct RequestCatalog {
     classes: HashMap<String, ClassEntry>,
     /// Indexes of the plans by name.
     plans: HashMap<String, usize>,
-    /// How many gateway instances there are.
+    /// Number of gateway instances.
     pub(super) instances: u32,
-    /// Most units of one request.
+    /// Maximum units of one request.
     pub(super) max_units: f64,
 }
 
 impl RequestCatalog {
-    /// The catalog of these settings.
+    /// Creates the catalog for these settings.
     pub fn new(platform: &PlatformSettings) -> Self {
         let is_idempotent =
             |index: usize| platform.settings.classes[index].idempotency == Idempotency::Idempotent;
--- a/crates/platform/src/client/error.rs
+++ b/crates/platform/src/client/error.rs
@@ -1,55 +1,56 @@
-//! Why a request is answered with an error.
+//! Errors in requests, and the status codes with which they are answered.
 
 use super::MAX_BODY_BYTES;
 use weirusher_wire::http1::HttpError;
 
-/// Why a request is answered with an error and not forwarded. None was executed, so a retry is safe.
+/// Why a request is rejected with an error response instead of being forwarded. Such a request was not
+/// executed, so a retry is safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The head is not HTTP/1.1.
-    #[error("the head is malformed")]
-    Head,
+    /// The head is not valid HTTP/1.1.
+    #[error("malformed head")]
+    MalformedHead,
     /// The head is too long.
     #[error("the head is too long")]
     HeadTooLarge,
-    /// The length of the body is ambiguous or not supported.
-    #[error("the length of the body is ambiguous or not supported")]
+    /// The length of the body is ambiguous or its encoding is not supported.
+    #[error("the length of the body is ambiguous or its encoding is not supported")]
     InvalidLength,
-    /// The body is too long.
-    #[error("the body has more than {MAX_BODY_BYTES} bytes")]
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
     /// The rest of the request did not arrive in time.
-    #[error("the request was not complete in time")]
+    #[error("timed out while reading the request")]
     ReadTimeout,
     /// The target does not name a customer.
     #[error("the target does not name a customer")]
-    Target,
-    /// The method or a body does not fit the class.
-    #[error("the method or body does not fit the class")]
-    Method,
-    /// The named header is missing, occurs twice or has an invalid value.
-    #[error("the header {0} is missing, occurs twice or is invalid")]
-    Field(&'static str),
+    UnknownTarget,
+    /// The class does not allow the method, or does not allow a body.
+    #[error("the class does not allow this method or a request body")]
+    MethodNotAllowed,
+    /// The named header is missing, duplicated or invalid.
+    #[error("header {0} is missing, duplicated or invalid")]
+    Header(&'static str),
     /// A request with the same id is open.
     #[error("a request with the same id is open")]
     DuplicateId,
-    /// The byte budget for request bodies is used up.
-    #[error("no memory is left for the body")]
-    OutOfMemory,
+    /// The byte budget for request bodies is exhausted.
+    #[error("the memory budget for request bodies is exhausted")]
+    BodyBudgetExhausted,
 }
 
 impl RequestError {
-    /// The status code of the response.
+    /// The status code of the error response.
     pub fn status(self) -> u16 {
         match self {
-            Self::Head | Self::InvalidLength | Self::Field(_) => 400,
+            Self::MalformedHead | Self::InvalidLength | Self::Header(_) => 400,
             Self::HeadTooLarge => 431,
             Self::BodyTooLarge => 413,
             Self::ReadTimeout => 408,
-            Self::Target => 404,
-            Self::Method => 405,
+            Self::UnknownTarget => 404,
+            Self::MethodNotAllowed => 405,
             Self::DuplicateId => 409,
-            Self::OutOfMemory => 503,
+            Self::BodyBudgetExhausted => 503,
         }
     }
 }
@@ -60,7 +61,7 @@
             HttpError::HeadTooLarge => Self::HeadTooLarge,
             HttpError::BodyTooLarge => Self::BodyTooLarge,
             HttpError::InvalidLength => Self::InvalidLength,
-            _ => Self::Head,
+            _ => Self::MalformedHead,
         }
     }
 }
--- a/crates/platform/src/client/header_values.rs
+++ b/crates/platform/src/client/header_values.rs
@@ -1,17 +1,18 @@
-//! Parsers for the target and the header values of a client's request. Each returns `None` for an invalid value.
+//! Parsers for the target and the header values of a client request. Each returns `None` for an invalid
+//! value.
 
 use super::catalog::RequestCatalog;
 
-/// Hex digits of a customer in a target.
+/// Number of hex digits of the customer in a target.
 const CUSTOMER_DIGITS: usize = 16;
-/// Customers are numbers below this.
+/// Customer numbers are below this bound.
 const CUSTOMER_BOUND: u64 = 1 << 33;
-/// Most characters of a decimal number.
+/// Maximum length of a decimal number, in characters.
 const MAX_DECIMAL_LENGTH: usize = 24;
 /// Longest time budget that a client may state, in seconds.
 const MAX_TIME_BUDGET: f64 = 3600.0;
 
-/// The fields of `Quota-Info`.
+/// The fields of the `Quota-Info` header.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct QuotaInfo {
     pub units: f64,
@@ -19,7 +20,7 @@
     pub first_instance: u32,
 }
 
-/// The customer in a target: the last segment of its path.
+/// Returns the customer in a target, which is the last segment of the path.
 pub(super) fn customer_in_target(target: &str) -> Option<&str> {
     let (path, _) = target.split_once('?').unwrap_or((target, ""));
     if !target.bytes().all(|byte| byte.is_ascii_graphic()) {
@@ -31,19 +32,19 @@
     (in_range && prefix.starts_with('/')).then_some(customer)
 }
 
-/// A plain decimal number: digits with at most one point, without sign or exponent.
+/// Parses a plain decimal number: digits with at most one point, without sign or exponent.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let has_digits = text.len() <= MAX_DECIMAL_LENGTH && text.bytes().any(|byte| byte.is_ascii_digit());
     if is_plain && has_digits { text.parse().ok() } else { None }
 }
 
-/// An integer without sign: digits only.
+/// Parses an unsigned integer, which consists of digits only.
 fn parse_integer(text: &str) -> Option<u32> {
     if text.bytes().all(|byte| byte.is_ascii_digit()) { text.parse().ok() } else { None }
 }
 
-/// A time budget in seconds, from a number of milliseconds (`480m`) or microseconds (`250000u`).
+/// Parses a time budget in milliseconds (`480m`) or microseconds (`250000u`), and returns it in seconds.
 pub(super) fn parse_time_budget(text: &str) -> Option<f64> {
     let (number, scale) = match text.strip_suffix('m') {
         Some(number) => (number, 1e-3),
@@ -53,7 +54,7 @@
     (seconds > 0.0 && seconds <= MAX_TIME_BUDGET).then_some(seconds)
 }
 
-/// The value of `Quota-Info`, such as `units=2,spread=3,first=1`. Other keys are ignored.
+/// Parses the value of the `Quota-Info` header, such as `units=2,spread=3,first=1`. Unknown keys are ignored.
 pub(super) fn parse_quota_info(catalog: &RequestCatalog, text: &str) -> Option<QuotaInfo> {
     let (mut units, mut customer_instances, mut first_instance) = (None, None, None);
     for part in text.split(',') {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file that a gateway instance gets from the platform.
+//! The configuration file that the platform provides to a gateway instance.
 
 use crate::list::{ListError, ListMessage, ListUpdate};
 use serde::Deserialize;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use weirusher::{EndpointListKind, PlatformSettings, PlatformSettingsError};
 
-/// The file as it is written.
+/// The JSON form of the file.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -20,50 +20,50 @@
     settings: Value,
 }
 
-/// The resources that the process may use.
+/// The resource limits of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Cores; may be a fraction of one.
+    /// Number of CPU cores, which may be fractional.
     pub cores: f64,
     /// Memory in megabytes.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
 /// The configuration of a gateway instance.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name of the instance.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which it listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where the counter is, if there is one.
+    /// The address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The seed of all randomness; another one at each start.
+    /// The seed of all randomness. It differs at each start.
     pub seed: u64,
-    /// The resources that it may use.
+    /// The resource limits of the process.
     pub limits: Limits,
-    /// The endpoint list that this instance had last. An invalid one does not prevent a start or a reload, because
-    /// discovery has a newer one.
+    /// The endpoint list that this instance last used. An invalid list does not prevent a start or a reload,
+    /// because discovery provides a newer one.
     pub cached_list: Result<Option<ListUpdate>, ListError>,
-    /// The platform's settings, which the decisions follow.
+    /// The platform's settings, including those of the decision module.
     pub platform: PlatformSettings,
 }
 
-/// Why a configuration cannot be used.
+/// Why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file does not have the expected form.
-    #[error("it cannot be read: {0}")]
+    /// The file is not JSON of the expected form.
+    #[error("not in the expected form: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The settings in it cannot be used.
+    /// The settings in the file are invalid.
     #[error(transparent)]
     Settings(#[from] PlatformSettingsError),
-    /// The seed is not a number.
-    #[error("seed: neither a number nor hex digits")]
+    /// The seed is neither a number nor a string of hex digits.
+    #[error("seed is neither a number nor a string of hex digits")]
     Seed,
 }
 
@@ -72,9 +72,9 @@
 }
 
 impl Config {
-    /// The fields in which `newer` differs from this configuration and that a running instance does not follow. It
-    /// follows the addresses of discovery and the counter, and keeps the other settings until its end. The seed differs
-    /// in every file and is not reported.
+    /// Returns the fields that differ in `newer` and that take effect only after a restart. A running
+    /// instance applies changes to the addresses of discovery and the counter, and keeps all other settings.
+    /// The seed differs in every file and is not reported.
     pub fn changes_requiring_restart(&self, newer: &Self) -> Vec<&'static str> {
         let (old, new) = (&self.platform, &newer.platform);
         let unchanged = [
@@ -89,10 +89,10 @@
         unchanged.into_iter().filter(|(_, unchanged)| !unchanged).map(|(field, _)| field).collect()
     }
 
-    /// Parses the text of the file.
+    /// Parses the content of the file.
     ///
     /// # Errors
-    /// What in it cannot be used.
+    /// The content is malformed, or the seed or a setting is invalid.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let platform = PlatformSettings::read(&file.settings)?;
--- a/crates/platform/src/counter.rs
+++ b/crates/platform/src/counter.rs
@@ -1,28 +1,29 @@
-//! Calls to the shared counter, and what its responses mean.
+//! Calls to the counter service, and the interpretation of its responses.
 
 use crate::response::Response;
 use bytes::{BufMut, BytesMut};
 use weirusher::Status;
 
-/// Most bytes of the body of a response, which holds a number.
+/// Maximum length of the body of a response, which is one number, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 1024;
-/// Largest amount of a call, either way.
+/// Largest absolute amount of one call.
 const MAX_AMOUNT: f64 = 1e9;
-/// Longest time to live of a new count, in milliseconds.
+/// Longest time to live of a new counter, in milliseconds.
 const MAX_TTL_MS: f64 = 60_000.0;
 
-/// What a response of the counter says.
+/// The result of a call to the counter service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AddResult {
-    /// How the call ended.
+    /// The status of the call.
     pub status: Status,
-    /// The count's total after the call; 0 unless the call succeeded.
+    /// The total of the counter after the call; 0 unless the call succeeded.
     pub total: f64,
 }
 
-/// Writes a call that adds `amount` units to the count `name`, which expires `ttl` seconds after its creation.
+/// Writes a call that adds `amount` units to the counter `name`, which expires `ttl` seconds after its
+/// creation.
 pub fn write_add(dst: &mut BytesMut, name: u64, amount: f64, ttl: f64) {
-    // The counter takes decimals without an exponent, and keeps seven digits.
+    // The counter service accepts decimals without an exponent, and keeps seven digits.
     let delta = amount.clamp(-MAX_AMOUNT, MAX_AMOUNT);
     let ttl_ms = (ttl * 1e3).clamp(1.0, MAX_TTL_MS) as u64;
     let call = format!("POST /v2/numbers/{name:x}?delta={delta:.6}&life_ms={ttl_ms} HTTP/1.1\r\n");
@@ -30,8 +31,8 @@
     dst.put_slice(b"Host: counter.local\r\nContent-Length: 0\r\n\r\n");
 }
 
-/// The result of a call by its response. `None`: the amount was added, but the total cannot be read, and the connection
-/// must not be used further.
+/// Parses the response to a call. `None` means that the amount was added but the total cannot be read; the
+/// connection must be closed.
 pub fn parse_add_result(response: &Response) -> Option<AddResult> {
     match response.status {
         200 => {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The messages of the operators' platform, without I/O: what clients send and receive, what backends and the counter
-//! receive and answer, the endpoint list of discovery, and the configuration file.
+//! Parsing and writing of the platform's messages, without I/O: client requests and responses, the messages
+//! to and from backends and the counter, the endpoint list of discovery, and the configuration file.
 //!
-//! This crate maps the platform's own header and field names to the terms that the rest of the code uses. Everything that
-//! is received is checked against the bounds that are constants here; nothing that was not understood is passed on.
+//! This crate maps the header and field names of the platform to the terms that the rest of the code uses.
+//! All input is checked against the bounds that are defined as constants here, and input that cannot be
+//! parsed is never passed on.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, as discovery and the configuration file give it.
+//! The endpoint list in the format of discovery and of the configuration file.
 
 mod entry;
 
@@ -10,16 +10,16 @@
 use std::net::SocketAddr;
 use weirusher::{BackendId, Endpoint, EndpointListKind, Lifecycle};
 
-/// Most entries of a list.
+/// Maximum number of entries in a list.
 const MAX_ENTRIES: usize = 4096;
-/// Bytes of an entry beside its name, indented and with space for unknown fields.
+/// Maximum size of an entry without its name, in bytes: indented JSON, with space for unknown fields.
 const MAX_ENTRY_BYTES: usize = 768;
-/// Most bytes of a list.
+/// Maximum size of a list, in bytes.
 pub const MAX_LIST_BYTES: usize = MAX_ENTRIES * (MAX_NAME_BYTES + MAX_ENTRY_BYTES);
-/// Most problems with entries that one update reports.
+/// Maximum number of invalid entries that one update reports.
 const MAX_PROBLEMS: usize = 4;
 
-/// A list, or changes to one, as received.
+/// A complete list or a set of changes, as received.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct ListMessage {
     #[serde(rename = "index")]
@@ -30,43 +30,44 @@
     entries: Vec<Value>,
 }
 
-/// Why a list cannot be used; the last one stays in use.
+/// Why a list is rejected. The previous list stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is not a list of the expected form.
-    #[error("the list cannot be read: {0}")]
+    /// The list is not JSON of the expected form.
+    #[error("malformed endpoint list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It has too many entries.
-    #[error("the list has more than {MAX_ENTRIES} backends")]
+    /// The list has too many entries.
+    #[error("the endpoint list has more than {MAX_ENTRIES} entries")]
     TooManyEntries,
-    /// None of its entries can be read.
-    #[error("the list has no backend that can be read")]
+    /// The list has entries, none of which is valid.
+    #[error("the endpoint list has no valid entry")]
     NoValidEntry,
 }
 
 /// Where a backend accepts new requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointAddress {
-    /// The backend.
+    /// The name of the backend.
     pub name: BackendId,
-    /// Its address, which may be another backend's later. `None`: it drains, was removed, or its entry is invalid.
+    /// The address, which may later belong to another backend. `None` if the backend is draining or was
+    /// removed, or if its entry is invalid.
     pub address: Option<SocketAddr>,
 }
 
-/// The content of a list.
+/// The content of a list, ready to be applied.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListUpdate {
-    /// Whether it is complete or has changes only.
+    /// Whether the list is complete or contains changes only.
     pub kind: EndpointListKind,
-    /// Its entries, for the decisions.
+    /// The entries, for the decision module.
     pub endpoints: Vec<Endpoint>,
-    /// The addresses of its entries.
+    /// The addresses of the entries.
     pub addresses: Vec<EndpointAddress>,
-    /// The first few entries that cannot be used, or not as they stand.
+    /// The first few entries that are invalid, or were accepted only in part.
     pub problems: Vec<EntryProblem>,
 }
 
-/// The version of the list that is in use, from which the next poll follows.
+/// The version of the list in use, which determines the next poll.
 #[derive(Debug, Clone, Default)]
 pub struct ListState {
     version: Option<u64>,
@@ -75,33 +76,35 @@
 
 impl ListState {
     /// The request target of the complete list.
-    pub const COMPLETE_LIST: &str = "/api/targets";
+    pub const COMPLETE_LIST_TARGET: &str = "/api/targets";
 
-    /// No list is in use yet. `zones` are the names of the zones in the settings.
+    /// Creates the state without a list. `zones` are the names of the zones in the settings.
     pub fn new(zones: Vec<String>) -> Self {
         Self { version: None, zones }
     }
 
-    /// The version of the list that is in use.
+    /// The version of the list in use, if any.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The request target of the next poll: the complete list first, then changes, for which discovery waits `wait` seconds.
+    /// The request target of the next poll: the complete list if none is in use, otherwise the changes to it,
+    /// for which discovery waits up to `wait` seconds.
     pub fn poll_target(&self, wait: f64) -> String {
         match self.version {
-            None => Self::COMPLETE_LIST.to_string(),
+            None => Self::COMPLETE_LIST_TARGET.to_string(),
             Some(version) => {
-                format!("{}?since={version}&timeout_ms={}", Self::COMPLETE_LIST, (wait * 1e3) as u64)
+                format!("{}?since={version}&timeout_ms={}", Self::COMPLETE_LIST_TARGET, (wait * 1e3) as u64)
             }
         }
     }
 
-    /// Applies the body of a response. `None`: it has changes to an older version than the one in use, and the next poll
-    /// is for the complete list.
+    /// Parses the body of a response and adopts its version. Returns `None` for changes that do not apply to
+    /// the list in use: there is none, or it has a higher version. The next poll is then for the complete
+    /// list.
     ///
     /// # Errors
-    /// It cannot be used; the version in use stays.
+    /// The list is rejected; the version in use stays.
     pub fn apply(&mut self, body: &[u8]) -> Result<Option<ListUpdate>, ListError> {
         let message: ListMessage = serde_json::from_slice(body)?;
         if !message.is_complete && self.version.is_none_or(|version| message.version < version) {
@@ -116,11 +119,11 @@
 }
 
 impl ListMessage {
-    /// The content of the list; a complete one is of kind `complete_kind`. An invalid entry costs that entry only: its
-    /// backend gets no new requests.
+    /// Converts the message to an update; `complete_kind` is the kind of a complete list. An invalid entry
+    /// does not invalidate the list, but its backend gets no new requests.
     ///
     /// # Errors
-    /// It has too many entries, or none that can be read.
+    /// The list has too many entries, or has entries of which none is valid.
     pub(crate) fn into_update(
         self,
         zones: &[String],
@@ -156,8 +159,8 @@
         self.addresses.push(address);
     }
 
-    /// Adds an entry that cannot be read. A complete list leaves its backend out, which removes it; changes have to name it
-    /// as draining.
+    /// Handles an invalid entry. In a complete list, leaving the backend out removes it; in a list of
+    /// changes, the backend has to be marked as draining.
     fn add_invalid(&mut self, name: Option<BackendId>, error: EntryError) {
         self.report(name.clone(), error);
         let Some(id) = name.filter(|_| self.kind == EndpointListKind::Delta) else { return };
--- a/crates/platform/src/list/entry.rs
+++ b/crates/platform/src/list/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of an endpoint list.
+//! The entries of an endpoint list.
 
 use super::EndpointAddress;
 use serde::Deserialize;
@@ -8,34 +8,34 @@
 use std::net::SocketAddr;
 use weirusher::{BackendId, Endpoint, Lifecycle};
 
-/// Most bytes of a backend's name.
+/// Maximum length of a backend's name, in bytes.
 pub(super) const MAX_NAME_BYTES: usize = 256;
-/// Set in the numbers of zones that the settings do not name.
+/// Bit that is set in the numbers of zones that are not in the settings.
 const UNNAMED_ZONE: u32 = 1 << 31;
 
-/// Why an entry of the list cannot be used, or not as it stands.
+/// Why an entry is invalid, or was accepted only in part.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// It is not an entry of the expected form.
+    /// The entry does not have the expected form.
     #[error("{0}")]
     Malformed(String),
-    /// Its name is missing, empty or too long.
+    /// The name is missing, empty or too long.
     #[error("the name is missing, empty or too long")]
     InvalidName,
-    /// The time since which its backend runs is not a time.
-    #[error("since_ms is not a time")]
+    /// The start time of the backend is not a valid time.
+    #[error("since_ms is not a valid time")]
     InvalidStart,
-    /// Its status is unknown; its backend counts as draining.
-    #[error("the status is unknown")]
+    /// The status is unknown. The backend counts as draining.
+    #[error("unknown status")]
     UnknownStatus,
 }
 
-/// An entry that cannot be used, or not as it stands.
+/// An entry that is invalid, or was accepted only in part.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryProblem {
-    /// The name of its backend, if it is valid.
+    /// The name of the backend, if that is valid.
     pub backend: Option<BackendId>,
-    /// What is wrong.
+    /// The error in the entry.
     pub error: EntryError,
 }
 
@@ -45,7 +45,8 @@
     }
 }
 
-/// An entry as it is received. Its name is read apart from it, so that an entry with other faults can be named.
+/// An entry as received, without its name. The name is parsed separately, so that an otherwise invalid entry
+/// can still be identified.
 #[derive(Debug, Clone, Deserialize)]
 pub(super) struct Entry {
     address: SocketAddr,
@@ -82,7 +83,7 @@
         self.status == EntryStatus::Unknown
     }
 
-    /// The entry as the decisions want it, and where its backend accepts requests.
+    /// Converts the entry for the decision module, and returns it with the address of the backend.
     pub(super) fn into_endpoint(self, name: BackendId, zones: &[String]) -> (Endpoint, EndpointAddress) {
         let lifecycle = match self.status {
             EntryStatus::Serving => Lifecycle::Running,
@@ -101,19 +102,20 @@
     }
 }
 
-/// The name in an entry, if it is valid.
+/// Returns the name in an entry, if it is valid.
 pub(super) fn backend_name(entry: &Value) -> Option<BackendId> {
     let name = entry.get("name")?.as_str()?;
     (!name.is_empty() && name.len() <= MAX_NAME_BYTES).then(|| name.into())
 }
 
-/// The number of a zone: its index in the settings, or for a zone that they do not name a number of its own. Such a zone
-/// must not pass for another, because the scope of idempotency keys may be a zone.
+/// Returns the number of a zone: its index in the settings, or a hash of its name for a zone that is not in
+/// the settings. Unknown zones must not be mapped to another zone, because the scope of idempotency keys may
+/// be a zone.
 fn zone_number(zones: &[String], name: &str) -> u32 {
-    let unnamed = || {
+    let hashed = || {
         let mut hasher = DefaultHasher::new();
         name.hash(&mut hasher);
         hasher.finish() as u32 | UNNAMED_ZONE
     };
-    zones.iter().position(|zone| zone == name).map_or_else(unnamed, |index| index as u32)
+    zones.iter().position(|zone| zone == name).map_or_else(hashed, |index| index as u32)
 }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,11 +1,11 @@
-//! Responses of backends, the counter and discovery, read from the bytes of a connection as they arrive.
+//! An incremental reader for the responses of backends, the counter and discovery.
 
 use bytes::{Bytes, BytesMut};
 use weirusher_wire::body::{BodyReader, Framing};
 use weirusher_wire::head::{EMPTY_HEADERS, HeadSearch, parse_response};
 use weirusher_wire::http1::HttpError;
 
-/// Most interim responses (1xx) ahead of a final one.
+/// Maximum number of interim responses (1xx) before a final one.
 const MAX_INTERIM: u32 = 8;
 
 /// A complete response.
@@ -15,20 +15,20 @@
     pub status: u16,
     /// The body.
     pub body: Bytes,
-    /// The backend states that it did not execute the request (`X-Never-Ran: 1`).
+    /// Whether the backend states that it did not execute the request (`X-Never-Ran: 1`).
     pub not_executed: bool,
-    /// The load report of the backend, not parsed.
+    /// The unparsed load report of the backend.
     pub load_report: Option<String>,
-    /// The connection must not be used further.
+    /// Whether the connection cannot be reused after this response.
     pub closes_connection: bool,
 }
 
-/// Reads one response after another from a connection.
+/// Reads consecutive responses from the bytes of a connection as they arrive.
 #[derive(Debug)]
 pub struct ResponseReader {
     max_body: usize,
     search: HeadSearch,
-    /// The head of the response whose body is being read.
+    /// The response whose body is being read, and the reader of its body.
     head: Option<(Response, BodyReader)>,
     /// Interim responses since the last final one.
     interim: u32,
@@ -36,25 +36,25 @@
 }
 
 impl ResponseReader {
-    /// A reader of responses with bodies of at most `max_body` bytes.
+    /// Creates a reader for responses with bodies of at most `max_body` bytes.
     pub fn new(max_body: usize) -> Self {
         Self { max_body, search: HeadSearch::default(), head: None, interim: 0, started: false }
     }
 
-    /// Whether a part of the next response was received.
+    /// Whether the next response was received in part.
     pub fn has_started(&self) -> bool {
         self.started
     }
 
-    /// How many bytes of the body the reader holds, beside those that are still in `src`.
+    /// Number of bytes of the body that the reader holds, not counting those that are still in `src`.
     pub fn buffered(&self) -> usize {
         self.head.as_ref().map_or(0, |(_, body)| body.buffered())
     }
 
-    /// Reads from `src`; returns the next response once it is complete.
+    /// Consumes bytes from `src`, and returns the next response once it is complete.
     ///
     /// # Errors
-    /// The response is malformed or too long; the connection must not be used further.
+    /// The response is malformed or too long; the connection must be closed.
     pub fn read(&mut self, src: &mut BytesMut) -> Result<Option<Response>, HttpError> {
         while self.head.is_none() {
             self.started = !src.is_empty();
@@ -67,27 +67,28 @@
         Ok(self.complete(body))
     }
 
-    /// The connection was closed in order, without a reset: returns the response if that is how it ends.
+    /// Handles an orderly close of the connection (not a reset): returns the current response if the close is
+    /// its end.
     pub fn finish(&mut self) -> Option<Response> {
         let body = self.head.as_mut()?.1.finish()?;
         self.complete(body)
     }
 
-    /// Parses a head. An interim response is counted and skipped.
+    /// Parses a head. Interim responses are counted and skipped.
     fn read_head(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
         let mut slots = EMPTY_HEADERS;
         let head = parse_response(bytes, &mut slots)?;
         if head.status < 200 {
             self.interim += 1;
-            // 101 would switch to another protocol, which was not requested.
+            // A 101 would switch to another protocol, which the gateway never requests.
             if self.interim > MAX_INTERIM || head.status < 100 || head.status == 101 {
-                return Err(HttpError::Malformed("an invalid interim response"));
+                return Err(HttpError::Malformed("invalid interim response"));
             }
             return Ok(());
         }
         let fields = head.fields;
         let framing = match head.status {
-            // These have no body, whatever their head says (RFC 9112, 6.3).
+            // These have no body, whatever their head says (RFC 9112, section 6.3).
             204 | 304 => Framing::Length(0),
             _ => fields.framing(self.max_body)?.unwrap_or(Framing::UntilClose),
         };
