--- a/crates/node/src/backend_connection/tests.rs
+++ b/crates/node/src/backend_connection/tests.rs
@@ -1,9 +1,9 @@
-//! A backend's connection on which something is received at the moment when it is taken from the pool.
+//! A pooled connection on which something was received before it is taken from the pool.
 
 use super::*;
 use std::io::Write;
 
-/// An idle connection, as the pool has it, and the backend's side of it.
+/// An idle connection and the backend's side of it.
 async fn idle_connection() -> (TcpStream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
@@ -11,11 +11,11 @@
 }
 
 #[tokio::test]
-async fn a_connection_on_which_anything_was_received_is_not_reused() {
+async fn connection_with_received_data_is_not_reused() {
     let (stream, backend) = idle_connection().await;
     assert!(has_nothing_to_read(&stream));
     drop(backend);
-    assert!(!has_nothing_to_read(&stream), "its close, of which the runtime was not notified yet");
+    assert!(!has_nothing_to_read(&stream), "a close of which the runtime was not notified yet");
 
     let (stream, mut backend) = idle_connection().await;
     backend.write_all(b"HTTP/1.1 2").unwrap();
--- a/crates/node/src/connection/tests.rs
+++ b/crates/node/src/connection/tests.rs
@@ -1,4 +1,5 @@
-//! Races between a client's close and its request, with the runtime stopped at the moment of the race.
+//! Races between a client's request and a close. The runtime gets no new notifications from the system during
+//! the race.
 
 use super::Connection;
 use crate::client_slot::ClientSlot;
@@ -33,7 +34,7 @@
     )
 }
 
-/// A connection whose request the runtime has been notified of, and its client.
+/// A connection and its client. The client has sent `bytes`, and the runtime was notified of them.
 async fn connected(node: &Rc<NodeContext>, bytes: &str) -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -46,7 +47,8 @@
     (Connection::new(slot, ClientSocket::new(stream), Rc::default()), client)
 }
 
-/// A backend in the node's list, and its side of an idle connection in the pool.
+/// Adds a backend with an idle pooled connection to the node, and returns the backend's side of the
+/// connection.
 async fn pooled_backend(node: &Rc<NodeContext>) -> std::net::TcpStream {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let address = listener.local_addr().unwrap();
@@ -60,28 +62,29 @@
     backend.set_nonblocking(true).unwrap();
     let pool = &mut node.state.borrow_mut().pool;
     let _ = pool.reserve();
-    // Idle for longer than the delay before its reuse.
+    // Idle for longer than the pool's delay before a connection is reused.
     let endpoint = BackendEndpoint { name: "s-0".into(), address };
     assert!(pool.put(node.now() - 1.0, endpoint, stream).is_none());
     backend
 }
 
-/// Polls a connection once, without new notifications from the system.
+/// Polls the task of a connection once, without new notifications from the system.
 fn poll_once(serve: std::pin::Pin<&mut impl Future<Output = ()>>) -> Poll<()> {
     serve.poll(&mut Context::from_waker(Waker::noop()))
 }
 
-async fn on_one_thread(test: impl AsyncFnOnce(Rc<NodeContext>)) {
+async fn with_node(test: impl AsyncFnOnce(Rc<NodeContext>)) {
     let config = Config::parse(CONFIGURATION).unwrap();
     let node = NodeContext::new(&config).unwrap();
     node.handle_endpoint_list(config.cached_list.unwrap().unwrap());
     LocalSet::new().run_until(test(node)).await;
 }
 
+/// The client closes before its request is read.
 #[tokio::test]
-async fn the_request_of_a_client_that_closed_before_it_was_read_is_not_entered() {
-    on_one_thread(async |node| {
-        // Shut down, closed and reset: each was received by the time that the request is read.
+async fn request_of_a_closed_client_is_not_registered() {
+    with_node(async |node| {
+        // 0: write side shut down, 1: closed, 2: reset. Each was received before the request is read.
         for how in 0..3 {
             let (connection, client) = connected(&node, &request(how)).await;
             match how {
@@ -94,7 +97,7 @@
             }
             let mut serve = std::pin::pin!(connection.serve());
             assert_eq!(poll_once(serve.as_mut()), Poll::Ready(()), "{how}");
-            assert_eq!(node.state.borrow().proxy.metrics().requests, 0, "{how}: it was entered");
+            assert_eq!(node.state.borrow().proxy.metrics().requests, 0, "{how}: the request was registered");
         }
     })
     .await;
@@ -102,22 +105,22 @@
 
 #[tokio::test]
 async fn a_close_together_with_bytes_read_ahead_is_detected() {
-    on_one_thread(async |node| {
+    with_node(async |node| {
         let (connection, mut client) = connected(&node, &request(0)).await;
         let mut serve = std::pin::pin!(connection.serve());
-        assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "it waits for its response");
-        // One notification for both; a read of the bytes alone would be a short read.
+        assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "the request waits for its response");
+        // One notification covers the bytes and the close; reading only the bytes would be a short read.
         client.write_all(request(1).as_bytes()).unwrap();
         client.shutdown(std::net::Shutdown::Write).unwrap();
-        tokio::time::timeout(Duration::from_secs(30), serve).await.expect("it ends");
+        tokio::time::timeout(Duration::from_secs(30), serve).await.expect("the connection ends");
         assert_eq!(node.state.borrow().proxy.pending(), 0);
     })
     .await;
 }
 
 #[tokio::test]
-async fn the_request_of_a_client_that_stays_is_entered() {
-    on_one_thread(async |node| {
+async fn request_of_a_connected_client_is_registered() {
+    with_node(async |node| {
         let (connection, _client) = connected(&node, &request(0)).await;
         let mut serve = std::pin::pin!(connection.serve());
         assert_eq!(poll_once(serve.as_mut()), Poll::Pending);
@@ -128,12 +131,12 @@
 
 #[tokio::test]
 async fn a_request_that_arrives_with_a_close_request_is_read() {
-    on_one_thread(async |node| {
+    with_node(async |node| {
         let (connection, mut client) = connected(&node, "").await;
         let close_signal = connection.close_signal.clone();
         let mut serve = std::pin::pin!(connection.serve());
-        assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "it is idle");
-        // Both before the runtime is notified of either.
+        assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "the connection is idle");
+        // Both happen before the runtime is notified of either.
         client.write_all(request(0).as_bytes()).unwrap();
         close_signal.request();
         assert_eq!(poll_once(serve.as_mut()), Poll::Pending);
@@ -144,18 +147,18 @@
 
 #[tokio::test]
 async fn an_attempt_is_not_sent_if_its_client_has_just_closed() {
-    on_one_thread(async |node| {
-        for goes in [false, true] {
+    with_node(async |node| {
+        for client_closes in [false, true] {
             let mut backend = pooled_backend(&node).await;
-            let (connection, client) = connected(&node, &request(u32::from(goes))).await;
+            let (connection, client) = connected(&node, &request(u32::from(client_closes))).await;
             let mut serve = std::pin::pin!(connection.serve());
-            assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "its attempt is decided");
-            let client = (!goes).then_some(client);
-            // The attempt's task runs and the connection's is not notified of the close, as after a stall of
-            // the process.
+            assert_eq!(poll_once(serve.as_mut()), Poll::Pending, "the attempt is decided but not sent");
+            let client = (!client_closes).then_some(client);
+            // As after a stall of the process, the task of the attempt runs before the task of the connection is
+            // notified of the close.
             tokio::time::sleep(Duration::from_millis(20)).await;
             let read = std::io::Read::read(&mut backend, &mut [0; 1]);
-            assert_eq!(read.is_ok(), !goes, "{read:?}");
+            assert_eq!(read.is_ok(), !client_closes, "{read:?}");
             drop(client);
         }
     })
--- a/crates/node/src/panics/tests.rs
+++ b/crates/node/src/panics/tests.rs
@@ -1,4 +1,4 @@
-//! Panics at each place where a request may be: who is answered, and what is left of them.
+//! Panics at each stage of a request: clients get a response where that is safe, and no resource is leaked.
 
 use crate::context::NodeContext;
 use crate::run::{run, spawn_tasks};
@@ -16,17 +16,18 @@
 use weirusher_platform::config::Config;
 
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Limit for what must happen.
+/// Timeout of a test.
 const LIMIT: Duration = Duration::from_secs(20);
-/// Milliseconds that each client waits.
+/// Time budget of each request, in milliseconds.
 const DEADLINE_MS: u64 = 2000;
-/// Attempts that a customer may have in flight: a panic that kept one would soon use them up.
+/// Maximum number of attempts that a customer may have in flight. If panics leaked them, the limit would soon
+/// be reached.
 const MAX_IN_FLIGHT: u32 = 4;
-/// The classes of requests.
+/// Names of the request classes.
 const IDEMPOTENT: &str = "check";
 const NON_IDEMPOTENT: &str = "store";
 
-/// A configuration with these backends.
+/// A configuration whose endpoint list has these backends.
 fn configuration(listen: SocketAddr, backends: &[ScriptedServer]) -> String {
     let entry = |(number, backend): (usize, &ScriptedServer)| {
         json!({"name": format!("s-{number}"), "address": backend.address, "zone": "a", "type": "m", "group": 0,
@@ -55,14 +56,14 @@
     backends
 }
 
-/// A node that serves, without discovery and a counter.
-struct Serving {
+/// A running node with backends, without discovery and without a counter.
+struct Harness {
     node: Rc<NodeContext>,
     address: SocketAddr,
     backends: Vec<ScriptedServer>,
 }
 
-async fn serving(test: impl AsyncFnOnce(Serving)) {
+async fn with_node(test: impl AsyncFnOnce(Harness)) {
     quiet();
     let backends = backends().await;
     let mut config = Config::parse(configuration(ANY_PORT, &backends).as_bytes()).unwrap();
@@ -75,7 +76,7 @@
         let listener = weirusher_net::bind(ANY_PORT).await.unwrap();
         let address = listener.local_addr().unwrap();
         spawn_tasks(&node, listener);
-        test(Serving { node, address, backends }).await;
+        test(Harness { node, address, backends }).await;
     };
     tokio::time::timeout(LIMIT, local.run_until(test)).await.expect("in time");
 }
@@ -90,7 +91,7 @@
     )
 }
 
-/// The status of the next response; `None`: the connection ended without one.
+/// The status code of the next response; `None` if the connection ended without one.
 async fn response(client: &mut TcpStream) -> Option<u16> {
     let mut text = String::new();
     loop {
@@ -115,13 +116,14 @@
     response(client).await
 }
 
-impl Serving {
+impl Harness {
     async fn client(&self) -> TcpStream {
         TcpStream::connect(self.address).await.unwrap()
     }
 
-    /// The end of a request that meets a panic at `place`, and of the next one on its connection.
-    async fn ends(&self, place: &'static str, class: &str) -> [Option<u16>; 2] {
+    /// The responses to a request that runs into a panic at `place`, and to the next request on its
+    /// connection.
+    async fn responses_after_panic(&self, place: &'static str, class: &str) -> [Option<u16>; 2] {
         let mut client = self.client().await;
         arm(place);
         let first = exchange(&mut client, class).await;
@@ -129,82 +131,84 @@
         [first, exchange(&mut client, class).await]
     }
 
+    /// Number of requests that reached the backends.
     fn executions(&self) -> usize {
         self.backends.iter().map(|backend| backend.received().len()).sum()
     }
 }
 
-/// Guards against a connection that ends unanswered as its task panics.
+/// Guards against a panic in the task of a connection that closes the connection without a response.
 #[tokio::test]
 async fn a_request_whose_task_panics_gets_one_response() {
-    serving(async |site| {
-        let mut other = site.client().await;
+    with_node(async |harness| {
+        let mut other = harness.client().await;
         let (failed, served, closed) = (Some(502), Some(200), None);
-        // The rest of a message of which only the head was read is unknown: the connection closes.
-        assert_eq!(site.ends("head read", IDEMPOTENT).await, [failed, closed]);
-        assert_eq!(site.ends("request pending", IDEMPOTENT).await, [failed, served]);
-        // A part of the response may have been written.
-        assert_eq!(site.ends("response started", IDEMPOTENT).await, [closed, closed]);
-        // Served by a retry, or rejected: nothing was executed, or a repeat does no harm.
+        // After a panic behind the head, the end of the message is unknown: the connection closes.
+        assert_eq!(harness.responses_after_panic("head read", IDEMPOTENT).await, [failed, closed]);
+        assert_eq!(harness.responses_after_panic("request pending", IDEMPOTENT).await, [failed, served]);
+        // The response may have been written in part: the connection closes without another one.
+        assert_eq!(harness.responses_after_panic("response started", IDEMPOTENT).await, [closed, closed]);
+        // Served by a retry or rejected: nothing was executed, or the request is idempotent.
         for (place, class) in
             [("attempt unsent", IDEMPOTENT), ("attempt unsent", NON_IDEMPOTENT), ("attempt sent", IDEMPOTENT)]
         {
-            let [first, second] = site.ends(place, class).await;
+            let [first, second] = harness.responses_after_panic(place, class).await;
             assert!(matches!(first, Some(200 | 429)), "{place}, {class}: {first:?}");
             assert_eq!(second, served);
         }
         assert_eq!(exchange(&mut other, IDEMPOTENT).await, served);
-        assert!(!site.node.failure.is_raised());
+        assert!(!harness.node.failure.is_raised());
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_request_that_is_not_idempotent_is_not_sent_again_after_its_attempt_panics() {
-    serving(async |site| {
-        let mut client = site.client().await;
+async fn non_idempotent_request_is_not_retried_after_a_panic() {
+    with_node(async |harness| {
+        let mut client = harness.client().await;
         arm("attempt sent");
         assert_eq!(exchange(&mut client, NON_IDEMPOTENT).await, Some(502));
         assert!(was_reached());
-        assert!(site.executions() <= 1);
+        assert!(harness.executions() <= 1);
     })
     .await;
 }
 
-/// Guards against a slot, a connection, memory or a unit of a quota that stays taken.
+/// Guards against leaks of slots, connections, memory, quota and attempts in flight.
 #[tokio::test]
-async fn nothing_stays_taken_after_a_thousand_panics() {
-    serving(async |site| {
+async fn resources_are_released_after_a_thousand_panics() {
+    with_node(async |harness| {
         let places = ["head read", "request pending", "response started", "attempt unsent", "attempt sent"];
         for round in 0..1000 {
-            let mut client = site.client().await;
+            let mut client = harness.client().await;
             arm(places[round % places.len()]);
             exchange(&mut client, IDEMPOTENT).await;
             assert!(was_reached(), "round {round}");
         }
-        let mut client = site.client().await;
+        let mut client = harness.client().await;
         for _ in 0..20 {
             assert_eq!(exchange(&mut client, IDEMPOTENT).await, Some(200));
         }
         drop(client);
-        while !site.node.state.borrow().slots.is_empty() {
+        while !harness.node.state.borrow().slots.is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let mut state = site.node.state.borrow_mut();
+        let mut state = harness.node.state.borrow_mut();
         assert_eq!((state.pending.len(), state.attempts.len(), state.close_signals.len()), (0, 0, 0));
         assert_eq!((state.proxy.pending(), state.proxy.open_requests()), (0, 0));
-        state.pool.evict(site.node.now(), |_| false); // All idle connections are closed.
+        state.pool.evict(harness.node.now(), |_| false); // Closes all idle connections.
         assert_eq!(state.pool.open(), 0);
-        for budget in [&site.node.request_bodies, &site.node.response_bodies] {
-            assert!(budget.permit().try_grow_to(site.node.budget.body_bytes), "all of it is free");
+        for budget in [&harness.node.request_bodies, &harness.node.response_bodies] {
+            assert!(budget.permit().try_grow_to(harness.node.budget.body_bytes), "the whole budget is free");
         }
         assert_eq!(state.proxy.violations().total(), 0);
     })
     .await;
 }
 
-/// Runs a whole node until it ends by itself.
-async fn ends_by_itself(place: &'static str) {
+/// Runs a complete node and checks that a panic at `place` shuts it down, with responses to the open
+/// requests.
+async fn assert_panic_shuts_node_down(place: &'static str) {
     quiet();
     let backends = backends().await;
     let slow = |_: &_| match Reply::ok("done") {
@@ -234,21 +238,21 @@
     };
     let local = LocalSet::new();
     let ended = local.run_until(async { tokio::join!(run(&file, None), clients) });
-    let (ended, (first, second)) = tokio::time::timeout(LIMIT, ended).await.expect("it ends");
+    let (ended, (first, second)) = tokio::time::timeout(LIMIT, ended).await.expect("the node shuts down");
     assert!(was_reached());
     assert!(matches!(ended, Err(RunError::Panicked)), "{ended:?}");
-    assert_eq!(first, Some(200), "a request that was pending");
-    assert!(second.is_some(), "a request that was read");
+    assert_eq!(first, Some(200), "the request that was pending at the panic");
+    assert!(second.is_some(), "the request that was sent once the panic was armed");
 }
 
-/// Guards against a node that goes on without the task that runs its timers.
+/// Guards against a node that keeps running without the task that runs its timers.
 #[tokio::test]
-async fn a_panic_of_a_task_that_all_depend_on_shuts_the_node_down() {
-    ends_by_itself("timers").await;
+async fn panic_of_a_shared_task_shuts_the_node_down() {
+    assert_panic_shuts_node_down("timers").await;
 }
 
-/// Guards against decisions on a state that a panic left half changed.
+/// Guards against decisions that are based on state which a panic left half changed.
 #[tokio::test]
-async fn a_panic_amid_a_change_of_the_shared_state_shuts_the_node_down() {
-    ends_by_itself("state change").await;
+async fn panic_during_a_state_change_shuts_the_node_down() {
+    assert_panic_shuts_node_down("state change").await;
 }
--- a/crates/node/src/services.rs
+++ b/crates/node/src/services.rs
@@ -55,17 +55,17 @@
     /// Applies the addresses of a new configuration; changes to other fields are logged and otherwise
     /// ignored. A configuration with the name of another gateway is ignored as a whole.
     pub fn reload(&mut self, newer: &Config) {
-        let not_followed = self.config.changes_requiring_restart(newer);
-        if not_followed.contains(&"name") {
+        let needs_restart = self.config.changes_requiring_restart(newer);
+        if needs_restart.contains(&"name") {
             tracing::warn!(
                 name = newer.name,
                 "configuration reload ignored: the file is for another gateway"
             );
             return;
         }
-        if !not_followed.is_empty() {
+        if !needs_restart.is_empty() {
             tracing::warn!(
-                fields = ?not_followed,
+                fields = ?needs_restart,
                 "a reload changes addresses only; the changes to these fields need a restart"
             );
         }
--- a/crates/node/src/wakeup.rs
+++ b/crates/node/src/wakeup.rs
@@ -9,12 +9,12 @@
 #[derive(Debug)]
 pub struct Wakeup {
     due: Cell<Time>,
-    brought_forward: Notify,
+    due_changed: Notify,
 }
 
 impl Default for Wakeup {
     fn default() -> Self {
-        Self { due: Cell::new(f64::INFINITY), brought_forward: Notify::new() }
+        Self { due: Cell::new(f64::INFINITY), due_changed: Notify::new() }
     }
 }
 
@@ -23,7 +23,7 @@
     pub fn set(&self, due: Option<Time>) {
         if let Some(due) = due.filter(|due| *due < self.due.get()) {
             self.due.set(due);
-            self.brought_forward.notify_one();
+            self.due_changed.notify_one();
         }
     }
 
@@ -36,7 +36,7 @@
             let sleep = tokio::time::sleep_until(clock.instant(due));
             tokio::select! {
                 () = sleep, if due.is_finite() => return,
-                () = self.brought_forward.notified() => {}
+                () = self.due_changed.notified() => {}
             }
         }
     }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct ResponseReader {
     max_body: usize,
-    search: HeadSearch,
+    head_search: HeadSearch,
     /// The response whose body is being read, and the reader of its body.
     head: Option<(Response, BodyReader)>,
     /// Interim responses since the last final one.
@@ -38,7 +38,7 @@
 impl ResponseReader {
     /// Creates a reader for responses with bodies of at most `max_body` bytes.
     pub fn new(max_body: usize) -> Self {
-        Self { max_body, search: HeadSearch::default(), head: None, interim: 0, started: false }
+        Self { max_body, head_search: HeadSearch::default(), head: None, interim: 0, started: false }
     }
 
     /// Whether the next response was received in part.
@@ -58,7 +58,7 @@
     pub fn read(&mut self, src: &mut BytesMut) -> Result<Option<Response>, HttpError> {
         while self.head.is_none() {
             self.started = !src.is_empty();
-            let Some(end) = self.search.find_end(src)? else { return Ok(None) };
+            let Some(end) = self.head_search.find_end(src)? else { return Ok(None) };
             let head = src.split_to(end);
             self.read_head(&head)?;
         }
--- a/crates/platform/tests/parsers.rs
+++ b/crates/platform/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Messages are parsed strictly, in the same way however their bytes are split, and never beyond a bound.
+//! Messages are parsed strictly, independently of how their bytes are split, and within bounds.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -50,15 +50,18 @@
     let read = client_request(&micros);
     assert!((read.time_budget - 0.25).abs() < 1e-9 && read.is_retry && read.closes_connection);
     let other_case = client_request(&GOOD.replace("00000000b4d65521", "00000000B4d65521"));
-    assert_eq!(&*other_case.customer, "00000000b4d65521", "the same number in either case");
+    assert_eq!(&*other_case.customer, "00000000b4d65521", "hex digits are the same in upper and lower case");
     let ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
     assert_eq!(self::read(ready), Ok(ClientMessage::ReadinessCheck));
 }
 
 #[test]
-fn a_zone_that_the_settings_do_not_name_has_a_number_of_its_own() {
+fn unknown_zone_has_its_own_number() {
     let zones = ["a", "b", "c", "c", "a", ""];
-    let entry = |(n, zone): (usize, &&str)| json!({"name": format!("s-{n}"), "address": "127.0.0.1:1", "zone": zone, "status": "SERVING"});
+    let entry = |(n, zone): (usize, &&str)| {
+        json!({"name": format!("s-{n}"),
+        "address": "127.0.0.1:1", "zone": zone, "status": "SERVING"})
+    };
     let endpoints: Vec<_> = zones.iter().enumerate().map(entry).collect();
     let list = json!({"index": 1, "snapshot": true, "endpoints": endpoints}).to_string();
     let update = ListState::new(vec!["a".into(), "b".into()]).apply(list.as_bytes()).unwrap().unwrap();
@@ -131,7 +134,11 @@
 fn only_a_complete_200_serves() {
     let one = |text: &str| responses(text.as_bytes(), 7).map(|all| all.first().map(backend::attempt_status));
     assert_eq!(one("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), Ok(Some(Status::Ok)));
-    assert_eq!(one("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok"), Ok(None), "the rest is awaited");
+    assert_eq!(
+        one("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok"),
+        Ok(None),
+        "the rest of the body is missing"
+    );
     assert_eq!(one("HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"), Ok(Some(Status::Error)));
     assert_eq!(one("HTTP/1.1 204 -\r\nContent-Length: 0\r\n\r\n"), Ok(Some(Status::Error)));
     for status in [503, 504] {
@@ -152,22 +159,26 @@
     ] {
         assert!(one(&format!("HTTP/1.1 200 OK\r\n{malformed}\r\n\r\n")).is_err(), "{malformed}");
     }
-    assert!(one(&format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(20_000))).is_err(), "an unbounded head");
+    assert!(
+        one(&format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(20_000))).is_err(),
+        "a head that exceeds its limit"
+    );
 }
 
+/// Only an orderly close of the connection completes it.
 #[test]
-fn a_response_without_a_length_is_complete_once_its_connection_closes_in_order() {
+fn response_without_a_length_ends_with_the_connection() {
     let mut reader = ResponseReader::new(1024);
     let mut src = BytesMut::from(&b"HTTP/1.1 200 OK\r\nX: y\r\n\r\nok"[..]);
-    assert!(reader.read(&mut src).unwrap().is_none(), "more may follow");
+    assert!(reader.read(&mut src).unwrap().is_none(), "the response may continue");
     src.extend_from_slice(b" then");
     assert!(reader.read(&mut src).unwrap().is_none() && reader.has_started());
-    let complete = reader.finish().expect("its end");
+    let complete = reader.finish().expect("the close ends the response");
     assert_eq!(
         (backend::attempt_status(&complete), &complete.body[..], complete.closes_connection),
         (Status::Ok, &b"ok then"[..], true)
     );
-    // The end of the connection does not complete any other response.
+    // The close of the connection does not complete any other response.
     for half in ["HTTP/1.1 200 OK\r\nX: y", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", ""] {
         let mut reader = ResponseReader::new(1024);
         assert!(reader.read(&mut BytesMut::from(half)).unwrap().is_none());
@@ -176,7 +187,7 @@
     let past = format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(1025));
     assert!(ResponseReader::new(1024).read(&mut BytesMut::from(&*past)).is_err());
     let none = responses(b"HTTP/1.1 204 -\r\n\r\nHTTP/1.1 304 -\r\n\r\n", 5).unwrap();
-    assert_eq!(none.len(), 2, "these have no body");
+    assert_eq!(none.len(), 2, "responses without a body");
 }
 
 #[test]
@@ -192,7 +203,7 @@
 }
 
 #[test]
-fn a_malformed_total_is_none() {
+fn malformed_total_is_none() {
     let update = |text: &str| counter::parse_add_result(&responses(text.as_bytes(), 9).unwrap()[0]);
     let ok = |body: &str| update(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     assert_eq!(ok("38.25"), Some(AddResult { status: Status::Ok, total: 38.25 }));
@@ -235,7 +246,7 @@
     };
     assert!(
         state.apply(list(40, false, "SERVING").as_bytes()).unwrap().is_none(),
-        "changes without a list to apply them to"
+        "changes without a list to which they apply"
     );
     let update = state.apply(list(41, true, "SERVING").as_bytes()).unwrap().unwrap();
     assert_eq!(
@@ -250,14 +261,20 @@
     for bad in ["", "{", "[]", r#"{"index":1}"#, &list(44, true, "SERVING").replace("10.1", "x")] {
         assert!(state.apply(bad.as_bytes()).is_err(), "{bad}");
     }
-    assert_eq!(state.poll_target(5.0), "/api/targets?since=43&timeout_ms=5000", "the version in use stays");
-    assert!(state.apply(list(42, false, "SERVING").as_bytes()).unwrap().is_none(), "a lower version");
+    assert_eq!(state.poll_target(5.0), "/api/targets?since=43&timeout_ms=5000", "the version in use is kept");
+    assert!(
+        state.apply(list(42, false, "SERVING").as_bytes()).unwrap().is_none(),
+        "changes to a lower version"
+    );
     assert_eq!(state.poll_target(5.0), "/api/targets", "the complete list is polled next");
 }
 
 #[test]
-fn an_invalid_entry_costs_its_backend_only() {
-    let entry = |name: &str, status: &str, address: &str| json!({"name": name, "address": address, "zone": "a", "group": 0, "status": status, "since_ms": 0});
+fn invalid_entry_affects_only_its_backend() {
+    let entry = |name: &str, status: &str, address: &str| {
+        json!({"name": name,
+        "address": address, "zone": "a", "group": 0, "status": status, "since_ms": 0})
+    };
     let good = entry("s-1", "SERVING", "10.1.0.18:8443");
     let invalid = [
         entry("s-2", "ODD", "10.1.0.19:8443"),
@@ -275,14 +292,18 @@
         entries.insert(2, good.clone());
         let list = json!({"index": 2, "snapshot": complete, "endpoints": entries}).to_string();
         let update = state.apply(list.as_bytes()).unwrap().expect("a newer version");
-        let serving: Vec<_> =
-            update.addresses.iter().filter(|w| w.address.is_some()).map(|w| &*w.name).collect();
+        let serving: Vec<_> = update
+            .addresses
+            .iter()
+            .filter(|entry| entry.address.is_some())
+            .map(|entry| &*entry.name)
+            .collect();
         assert_eq!(serving, ["s-1"], "backends with invalid entries get no new requests");
         let running: Vec<_> =
             update.endpoints.iter().filter(|s| s.lifecycle == Lifecycle::Running).map(|s| &*s.id).collect();
         assert_eq!(running, ["s-1"]);
         let is_listed = |name: &str| update.endpoints.iter().any(|s| &*s.id == name);
-        // A complete list removes a backend by leaving it out; changes have to name it.
+        // A complete list removes a backend by leaving it out; a list of changes has to name it.
         assert_eq!([is_listed("s-2"), is_listed("s-3"), is_listed("s-4")], [true, !complete, !complete]);
         assert!(
             update.problems.len() == 4 && update.problems[0].to_string().starts_with("s-2:"),
@@ -292,28 +313,30 @@
     }
 }
 
+/// The list is indented, its names have the maximum length, and each entry has unknown fields.
 #[test]
-fn a_list_of_thousands_is_parsed_indented_and_with_the_longest_names() {
-    for many in [1024, 4096] {
+fn largest_list_is_parsed() {
+    for entry_count in [1024, 4096] {
         let entry = |n: usize| {
             json!({"name": format!("{n:0256}"), "address": "255.255.255.255:65535", "zone": "z".repeat(64),
                 "type": "t".repeat(64), "group": u32::MAX, "status": "SERVING", "weight": 0.1234567890123,
                 "since_ms": 1_700_000_000_000_u64})
         };
-        let entries: Vec<_> = (0..many).map(entry).collect();
+        let entries: Vec<_> = (0..entry_count).map(entry).collect();
         let list = json!({"index": 1, "snapshot": true, "endpoints": entries});
         let text = serde_json::to_string_pretty(&list).unwrap();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
         let mut src = BytesMut::from(format!("{head}{text}").as_bytes());
-        let response = ResponseReader::new(MAX_LIST_BYTES).read(&mut src).unwrap().expect("it is complete");
+        let response =
+            ResponseReader::new(MAX_LIST_BYTES).read(&mut src).unwrap().expect("the response is complete");
         let update = ListState::default().apply(&response.body).unwrap().expect("the first list");
-        assert_eq!((update.endpoints.len(), update.problems.len()), (many, 0));
+        assert_eq!((update.endpoints.len(), update.problems.len()), (entry_count, 0));
     }
 }
 
 proptest! {
     #[test]
-    fn any_split_of_the_bytes_reads_the_same(body in "[a-z]{0,40}", interim in any::<bool>(), piece in 1..40usize) {
+    fn splits_do_not_change_the_result(body in "[a-z]{0,40}", interim in any::<bool>(), piece in 1..40usize) {
         let ahead = if interim { "HTTP/1.1 100 Continue\r\n\r\n" } else { "" };
         let one = format!("{ahead}HTTP/1.1 200 OK\r\nX-Never-Ran: 1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let bytes = one.repeat(3);
