--- a/crates/node/src/client_socket.rs
+++ b/crates/node/src/client_socket.rs
@@ -70,7 +70,7 @@
     pub async fn wait_disconnected(&self, buffer: &mut BytesMut) -> io::Error {
         loop {
             let reads = buffer.len() < MAX_READ_AHEAD;
-            // The interest in urgent data yields no notification but that of the close.
+            // With interest in urgent data only, the close is the only event that is notified.
             let interest = if reads { Interest::READABLE } else { Interest::PRIORITY };
             match self.0.ready(interest).await {
                 Ok(ready) if ready.is_read_closed() => return io::ErrorKind::ConnectionAborted.into(),
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -127,8 +127,8 @@
     }
 
     fn handle_poll_ended(&mut self, connection: WatchConnection, response: Result<PollResponse, PollError>) {
-        // The response to an abandoned poll may be older than the list in use, and must not change the
-        // version of it.
+        // The response to an abandoned poll may be older than the list in use, and must not change its
+        // version.
         if self.tasks.remove(&connection).is_none() {
             return;
         }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -42,7 +42,7 @@
     }
 
     /// Waits for SIGTERM or SIGINT.
-    async fn stop(&mut self) {
+    async fn stop_requested(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -61,12 +61,12 @@
     reader.start();
     let mut config = tokio::select! {
         config = reader.finished() => config?,
-        () = signals.stop() => return Ok(0), // Nothing was accepted yet.
+        () = signals.stop_requested() => return Ok(0), // Nothing was accepted yet.
     };
     let node = NodeContext::new(&config).map_err(|error| RunError::Settings(file.to_path_buf(), error))?;
     let listener = tokio::select! {
         listener = weirusher_net::bind(config.listen) => listener,
-        () = signals.stop() => return Ok(0),
+        () = signals.stop_requested() => return Ok(0),
     };
     let listener = listener.map_err(|error| RunError::Listen(config.listen, error))?;
     if let Some(fleet) = fleet {
