--- a/crates/node/src/wakeup.rs
+++ b/crates/node/src/wakeup.rs
@@ -1,33 +1,34 @@
-//! A task's wait for a time that others may bring forward.
+//! A timer that other tasks can set to an earlier time.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 use weirusher::Time;
 use weirusher_clock::Clock;
 
-/// Ends the wait of one task at the earliest time that was set.
+/// Wakes one task at the earliest time that was set.
 #[derive(Debug)]
 pub struct Wakeup {
     due: Cell<Time>,
-    brought_forward: Notify,
+    due_changed: Notify,
 }
 
 impl Default for Wakeup {
     fn default() -> Self {
-        Self { due: Cell::new(f64::INFINITY), brought_forward: Notify::new() }
+        Self { due: Cell::new(f64::INFINITY), due_changed: Notify::new() }
     }
 }
 
 impl Wakeup {
-    /// Ends the wait at `due` at the latest. Wakes the task only if that is earlier than before.
+    /// Wakes the task at `due` at the latest. Has no effect if an earlier time is already set.
     pub fn set(&self, due: Option<Time>) {
         if let Some(due) = due.filter(|due| *due < self.due.get()) {
             self.due.set(due);
-            self.brought_forward.notify_one();
+            self.due_changed.notify_one();
         }
     }
 
-    /// Waits until `due`, or an earlier time that is set meanwhile. `None`: only until a time that is set.
+    /// Waits until `due`, or until an earlier time that is set in the meantime. With `None`, only a time that
+    /// is set ends the wait.
     pub async fn wait(&self, clock: &Clock, due: Option<Time>) {
         self.due.set(due.unwrap_or(f64::INFINITY));
         loop {
@@ -35,7 +36,7 @@
             let sleep = tokio::time::sleep_until(clock.instant(due));
             tokio::select! {
                 () = sleep, if due.is_finite() => return,
-                () = self.brought_forward.notified() => {}
+                () = self.due_changed.notified() => {}
             }
         }
     }
