--- a/crates/fleet/src/authenticator.rs
+++ b/crates/fleet/src/authenticator.rs
@@ -1,31 +1,29 @@
-//! Authentication of datagrams: a tag of HMAC-SHA256 with the fleet's key, truncated to 128 bits (RFC 2104,
-//! section 5).
+//! Datagram authentication: HMAC-SHA256 with the fleet's key, truncated to 128 bits (RFC 2104, section 5).
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Bytes of the tag.
 const TAG_BYTES: usize = 16;
-/// Least bytes of a fleet's key.
+/// Minimum length of a fleet's key.
 pub const MIN_KEY_BYTES: usize = 32;
-/// Domain separation: keeps these tags apart from other uses of the key and from other versions of the protocol.
+/// Domain separation: distinguishes these tags from other uses of the key and from other protocol versions.
 const DOMAIN: &[u8] = b"weirusher fleet 1";
 
-/// Makes and verifies the tags of a fleet.
+/// Signs and verifies the datagrams of a fleet.
 #[derive(Clone)]
 pub struct Authenticator {
     keyed: Hmac<Sha256>,
 }
 
 impl std::fmt::Debug for Authenticator {
-    /// Leaves the key out: it must never reach a log.
+    /// Omits the key, which must never reach a log.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Authenticator")
     }
 }
 
 impl Authenticator {
-    /// An authenticator for a key; `None` where the key is shorter than [`MIN_KEY_BYTES`].
+    /// Creates an authenticator; `None` if the key is shorter than [`MIN_KEY_BYTES`].
     pub fn new(key: &[u8]) -> Option<Self> {
         if key.len() < MIN_KEY_BYTES {
             return None;
@@ -35,7 +33,7 @@
         Some(Self { keyed })
     }
 
-    /// Appends the tag to a datagram's content.
+    /// Appends the authentication tag to the content of a datagram.
     pub fn sign(&self, mut content: Vec<u8>) -> Vec<u8> {
         let mut tag = self.keyed.clone();
         tag.update(&content);
@@ -43,7 +41,7 @@
         content
     }
 
-    /// A datagram's content, if its tag is right.
+    /// Returns the content of a signed datagram if its tag is valid.
     pub fn verify<'a>(&self, signed: &'a [u8]) -> Option<&'a [u8]> {
         let (content, tag) = signed.split_at_checked(signed.len().checked_sub(TAG_BYTES)?)?;
         let mut expected = self.keyed.clone();
--- a/crates/fleet/src/datagram.rs
+++ b/crates/fleet/src/datagram.rs
@@ -1,20 +1,20 @@
-//! The datagram between two members: a header and messages, in postcard's wire format, followed by an authentication
-//! tag. Its form is the order and the types of the fields below.
+//! Datagrams between members: a header and messages in postcard's wire format, followed by an authentication
+//! tag. The order and types of the fields below define the wire format.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of a datagram, its tag included: it passes every path without being fragmented.
+/// Maximum size of a datagram, including its tag: small enough not to be fragmented on any usual path.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Suspecting observers that are named for one member at most: more change nothing.
+/// Maximum number of suspecting observers listed for one member; further ones do not change the outcome.
 pub const MAX_SUSPECTORS: usize = 3;
-/// Largest incarnation that is accepted: the next one must still fit.
+/// Largest incarnation accepted, so that the next one does not overflow.
 pub const MAX_INCARNATION: u64 = 1 << 62;
 
-/// Sender, recipient, and what shows that the datagram is no replay.
+/// Sender, recipient, and the incarnations and sequence number that protect against replays.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Members of the fleet, as the sender is configured.
+    /// The fleet size that the sender is configured with.
     pub fleet_size: u16,
     /// The sender's number.
     pub sender: u16,
@@ -22,108 +22,113 @@
     pub recipient: u16,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// The recipient's incarnation as the sender knows it, 0 for none. A datagram that names the present one was sent
-    /// after it began: older datagrams, replayed or left in a socket, cannot name it.
+    /// The recipient's incarnation as known to the sender; 0 if none is known. A datagram that carries the
+    /// recipient's current incarnation was sent after it began; one that was replayed, or waited in a socket
+    /// buffer since before, cannot carry it.
     pub recipient_incarnation: u64,
-    /// Datagrams sent in this incarnation.
+    /// Number of datagrams sent in this incarnation.
     pub sequence: u64,
-    /// Heartbeats sent in this incarnation.
+    /// Number of heartbeats sent in this incarnation.
     pub heartbeat: u32,
-    /// The sender has received a datagram of the recipient within [`SUSPECT_TIMEOUT`](crate::SUSPECT_TIMEOUT).
+    /// Whether the sender has received a datagram from the recipient within
+    /// [`SUSPECT_TIMEOUT`](crate::SUSPECT_TIMEOUT).
     pub hears_recipient: bool,
-    /// The sender asks for the recipient's heartbeats.
+    /// Whether the sender asks the recipient to send it heartbeats.
     pub wants_heartbeats: bool,
 }
 
-/// The content of a datagram.
+/// The authenticated content of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Sender and recipient.
+    /// Addressing and replay protection.
     pub header: Header,
-    /// What it carries.
+    /// The messages, which may be none.
     pub messages: Vec<Message>,
 }
 
 /// One message in a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A member was alive.
+    /// Evidence that a member was alive.
     Alive {
-        /// Its number.
+        /// The member's number.
         member: u16,
-        /// Its incarnation.
+        /// The member's incarnation.
         incarnation: u64,
-        /// Its latest known heartbeat.
+        /// The latest known heartbeat of that incarnation.
         heartbeat: u32,
-        /// Tenths of a second since that heartbeat was sent, as far as is known.
+        /// Estimated time since that heartbeat was sent, in tenths of a second.
         age: u16,
-        /// It refutes a suspicion or tells of a change: the recipient passes it on.
+        /// Whether the recipient disseminates the message further. Set for refutations and state changes.
         gossip: bool,
     },
-    /// The latest heartbeats of a range of members, relayed to everybody in turn.
+    /// The latest known heartbeats of a range of members. Every datagram carries the next range in turn.
     Heartbeats {
-        /// The number of the first member of the range.
+        /// The number of the first member in the range.
         first: u16,
-        /// One for each member from there on.
+        /// One entry per member, in order of their numbers.
         heartbeats: Vec<CompactHeartbeat>,
     },
-    /// Observers receive nothing from a member.
+    /// One or more observers receive nothing from a member.
     Suspect {
-        /// The member.
+        /// The member's number.
         member: u16,
-        /// Its incarnation as the observers know it, 0 for none.
+        /// The member's incarnation as known to the observers; 0 if none is known.
         incarnation: u64,
-        /// Its latest heartbeat that they know.
+        /// The latest heartbeat known to the observers.
         heartbeat: u32,
-        /// The observers, [`MAX_SUSPECTORS`] at most.
+        /// The suspecting observers, at most [`MAX_SUSPECTORS`].
         suspectors: Vec<u16>,
-        /// The recipient passes it on. Otherwise it is a question to one of the member's other observers, which answers
-        /// if it knows a later heartbeat.
+        /// Whether the recipient disseminates the message further. If not set, it is a query to another
+        /// observer of the member, which answers if it knows a later heartbeat.
         gossip: bool,
     },
-    /// What the sender has of a shared state.
+    /// A digest of what the sender has of a shared state.
     Digest {
-        /// Which state.
+        /// The kind of shared state.
         kind: u8,
-        /// In that state's own form.
+        /// The digest, encoded by that shared state.
         digest: Vec<u8>,
     },
-    /// A part of a shared state.
+    /// Entries of a shared state to be merged.
     Delta {
-        /// Which state.
+        /// The kind of shared state.
         kind: u8,
-        /// In that state's own form.
+        /// The delta, encoded by that shared state.
         delta: Vec<u8>,
-        /// The recipient passes it on. Otherwise it answers the recipient's digest.
+        /// Whether the recipient disseminates the delta further. If not set, it answers a digest of the
+        /// recipient.
         gossip: bool,
     },
 }
 
-/// Milliseconds in the unit of all ages in messages.
+/// The unit of ages in messages, in milliseconds.
 pub(crate) const AGE_UNIT: Millis = 100;
-/// The age of a relayed heartbeat whose sender takes the member for dead, or never heard of it.
+/// The age of a relayed heartbeat whose sender considers the member dead, or has never heard of it.
 pub const AGE_DEAD: u16 = u16::MAX;
 
-/// A member's latest heartbeat in few bytes. It says nothing to those who do not know the member's incarnation.
+/// A member's latest known heartbeat in compact form, usable only by recipients that know the member's
+/// incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactHeartbeat {
-    /// The low bits of its incarnation; 0 with heartbeat 0 where nothing is known.
+    /// The low bits of the incarnation; 0, with heartbeat 0, if none is known.
     pub incarnation: u16,
-    /// Its latest known heartbeat.
+    /// The latest known heartbeat.
     pub heartbeat: u32,
-    /// Tenths of a second since that was sent, or [`AGE_DEAD`].
+    /// Time since it was sent in tenths of a second, or [`AGE_DEAD`].
     pub age: u16,
 }
 
 impl Message {
-    /// Bytes that it takes in a datagram.
+    /// Number of bytes that the message takes in a datagram.
     pub fn encoded_len(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or(MAX_DATAGRAM_BYTES)
     }
 }
 
 impl Datagram {
-    /// Whether all numbers lie within a fleet of `size` members, so that no table is indexed beyond its end.
+    /// Whether all member numbers lie within a fleet of `size` members, so that they can index tables, and
+    /// all incarnations and list lengths are within their limits.
     pub fn is_valid(&self, size: u16) -> bool {
         let incarnation_fits = |incarnation: u64| incarnation <= MAX_INCARNATION;
         let header = &self.header;
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,29 +1,31 @@
-//! What a member reports to the program that runs it.
+//! Events that a member reports to the program that runs it.
 
 use crate::Millis;
 use crate::member_table::StateChange;
 use crate::reachability::Reachability;
 
-/// Something that an operator wants to know.
+/// A change that operators need to know about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// A member's state changed.
     StateChanged(StateChange),
-    /// This process did nothing for so many milliseconds; it took the next incarnation.
+    /// This process was paused for this many milliseconds and has taken the next incarnation.
     Paused(Millis),
-    /// An earlier process under this number had this later incarnation; this one took the next one.
+    /// An earlier process with this member number used this later incarnation; this process has taken the
+    /// next one.
     IncarnationRaised(u64),
-    /// Another process has this number, under this later incarnation; this one takes no part any more.
+    /// Another process with this member number uses this later incarnation; this process no longer takes
+    /// part.
     Superseded(u64),
-    /// A member is configured with another size of the fleet.
+    /// A member is configured with a different fleet size.
     FleetSizeMismatch {
-        /// Its number.
+        /// The member's number.
         member: u16,
-        /// The size it names.
+        /// The fleet size that it is configured with.
         size: u16,
     },
-    /// Less than half of the fleet can be counted on to hear this member and be heard.
+    /// The [fraction](Reachability::fraction) of the fleet that this member can reach fell below one half.
     Isolated(Reachability),
-    /// Three quarters of the fleet can again.
+    /// The fraction has been at least three quarters again, for long enough to rely on it.
     Reconnected(Reachability),
 }
--- a/crates/fleet/src/gossip_queue.rs
+++ b/crates/fleet/src/gossip_queue.rs
@@ -1,11 +1,11 @@
-//! Messages that are disseminated by gossip: each is repeated on outgoing datagrams until it was sent often enough.
+//! Messages disseminated by gossip: each is repeated on outgoing datagrams a fixed number of times.
 
 use crate::OBSERVERS;
 use crate::datagram::Message;
 use std::collections::VecDeque;
 
-/// Messages kept at most; beyond that the one sent most often is dropped. Members repeat what still holds, so that a
-/// dropped message costs time only.
+/// Capacity of the queue; when it is full, the message sent most often is dropped. Members repeat what still
+/// holds, so a dropped message only delays dissemination.
 const MAX_QUEUED: usize = 2048;
 
 #[derive(Debug, Clone)]
@@ -14,16 +14,16 @@
     message: Message,
 }
 
-/// The gossip of one member, the least sent message first.
+/// The gossip messages of one member, least often sent first.
 #[derive(Debug, Clone)]
 pub(crate) struct GossipQueue {
     queue: VecDeque<Queued>,
-    /// How often each message is sent.
+    /// How many times each message is sent.
     transmissions: u32,
     dropped: u64,
 }
 
-/// Whether a newer message makes an older one needless.
+/// Whether a newer message makes an older one redundant.
 fn supersedes(newer: &Message, older: &Message) -> bool {
     match (newer, older) {
         (Message::Alive { member: a, .. }, Message::Alive { member: b, .. }) => a == b,
@@ -34,14 +34,15 @@
 }
 
 impl GossipQueue {
-    /// Each message is sent `log2(size) + 1` times by each member that learns of it, and at least once to each observer:
-    /// all but a small part of the fleet then has it (Demers et al. 1987, 1.4). Relayed heartbeats reach the rest.
+    /// Creates an empty queue. Each member that learns of a message sends it `log2(size) + 1` times, but at
+    /// least once per observer, which reaches all but a small part of the fleet (Demers et al. 1987, section
+    /// 1.4). Relayed heartbeats reach the rest.
     pub fn new(size: u16) -> Self {
         let transmissions = (u32::from(size).ilog2() + 1).max(OBSERVERS as u32);
         Self { queue: VecDeque::new(), transmissions, dropped: 0 }
     }
 
-    /// Messages dropped for want of space, since the start.
+    /// Number of messages dropped because the queue was full, since the process started.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
@@ -50,7 +51,7 @@
         self.queue.len()
     }
 
-    /// Adds a message, in place of those that it supersedes.
+    /// Adds a message and removes those it supersedes.
     pub fn push(&mut self, message: Message) {
         self.queue.retain(|queued| !supersedes(&message, &queued.message));
         if self.queue.len() >= MAX_QUEUED {
@@ -60,13 +61,13 @@
         self.queue.push_front(Queued { times_sent: 0, message });
     }
 
-    /// Drops what suspects a member that was found to be alive.
+    /// Removes suspicions of a member, which has been found alive.
     pub fn remove_suspicions(&mut self, of: u16) {
         self.queue
             .retain(|queued| !matches!(queued.message, Message::Suspect { member, .. } if member == of));
     }
 
-    /// Takes messages of `max_bytes` in all for one datagram.
+    /// Returns messages for one datagram, of at most `max_bytes` in total.
     pub fn take(&mut self, max_bytes: usize) -> Vec<Message> {
         let mut left = max_bytes;
         let mut taken = Vec::new();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,12 @@
-//! Membership of a fleet of gateways: which members are alive, how much of the fleet one member reaches, and state that
-//! all members share. Without I/O: datagrams, time and randomness are passed in.
+//! Fleet membership for gateways: which members are alive, how much of the fleet a member can reach, and
+//! state that all members replicate. The crate does no I/O: the caller passes in datagrams, time and
+//! randomness.
 //!
-//! Each member sends heartbeats to eight observers, its next live neighbours on eight fixed rings. An observer that
-//! hears nothing suspects the member; any member that knows a later heartbeat refutes it. A member is confirmed dead when enough
-//! observers suspect it and nobody refuted in time. Evidence of life always wins over suspicions, so that a broken link
-//! costs no member its place. The protocol and its bounds are described in docs/fleet.md.
+//! Each member sends heartbeats to eight observers: the next live member on each of eight fixed rings. An
+//! observer that receives nothing suspects the member, and any member that knows a later heartbeat refutes
+//! the suspicion. A member is confirmed dead when enough observers suspect it and nobody refutes them in
+//! time. Evidence of life always overrides suspicions, so a broken link does not get a live member declared
+//! dead. docs/fleet.md describes the protocol and its bounds.
 //!
 //! [`Membership`] is the state machine; `weirusher-peers` runs it on a socket.
 #![forbid(unsafe_code)]
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -1,46 +1,45 @@
-//! What is known of the direct path to one other member, in both directions.
+//! The state of the direct path to one other member, in both directions.
 
 use crate::member_table::Evidence;
 use crate::replay_window::ReplayWindow;
 use crate::token_bucket::{Rate, TokenBucket};
 use crate::{Millis, QUERY_TIMEOUT, SUSPECT_TIMEOUT};
 
-/// Datagrams that are read from one member: several times what a member sends at most.
+/// Rate limit on datagrams accepted from one member: several times what a member sends at most.
 const RECEIVE_RATE: Rate = Rate { per_second: 64, burst: 128 };
-/// Doublings of the timeouts at most, for a member whose suspicions were refuted by others.
+/// How many times the timeouts are doubled at most, when other members refute this member's suspicions.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Milliseconds of silence after which an observer acts.
+/// Times without a heartbeat, in milliseconds, after which an observer acts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SilenceTimeouts {
-    /// The subject's other observers are asked.
+    /// The observer queries the subject's other observers.
     pub query: Millis,
-    /// The subject is suspected.
+    /// The observer suspects the subject.
     pub suspect: Millis,
 }
 
 /// The direct path to one member.
 #[derive(Debug, Clone)]
 pub(crate) struct Link {
-    /// When its last datagram that was not overtaken arrived.
+    /// When the last datagram arrived that was not older than the evidence already known.
     pub last_received: Option<Millis>,
-    /// When its last datagram arrived that said it hears this member.
+    /// When the last datagram arrived in which the member said that it receives this member's datagrams.
     pub last_confirmed: Option<Millis>,
-    /// When the last datagram was sent to it.
     pub last_sent: Option<Millis>,
-    /// When something that was not accepted was last replied to.
+    /// When a datagram that was not accepted was last replied to.
     pub last_handshake_reply: Option<Millis>,
-    /// The evidence with which suspicions of it were last refuted from here.
-    pub refuted_with: Evidence,
-    /// Its incarnation that `replay_window` belongs to.
+    /// The evidence in the last refutation that was sent for the member.
+    pub last_refutation: Evidence,
+    /// The member's incarnation that `replay_window` applies to.
     pub incarnation: u64,
     pub replay_window: ReplayWindow,
     pub receive_limit: TokenBucket,
-    /// Since when its heartbeats are expected.
+    /// When this member began to observe the other one; `None` if it does not.
     pub observed_since: Option<Millis>,
-    /// Its other observers were asked about it, and nothing was heard of it since.
+    /// Whether the member's other observers have been queried since there was last evidence of its life.
     pub queried: bool,
-    /// When this member last suspected it; nothing was heard of it since.
+    /// When this member last suspected the other one; reset by evidence of its life.
     pub suspected_at: Option<Millis>,
     timeout_doublings: u32,
 }
@@ -52,7 +51,7 @@
             last_confirmed: None,
             last_sent: None,
             last_handshake_reply: None,
-            refuted_with: Evidence::default(),
+            last_refutation: Evidence::default(),
             incarnation: 0,
             replay_window: ReplayWindow::default(),
             receive_limit: TokenBucket::new(RECEIVE_RATE, now),
@@ -63,8 +62,8 @@
         }
     }
 
-    /// There is newer evidence of the member's life. Where others had to give it after a query, this link loses
-    /// heartbeats: its timeouts double.
+    /// Records newer evidence of the member's life. If the evidence came from another member after a query,
+    /// this link is losing heartbeats, and its timeouts are doubled.
     pub fn handle_evidence(&mut self, direct: bool) {
         if direct {
             self.timeout_doublings = 0;
@@ -81,7 +80,7 @@
         }
     }
 
-    /// This process was paused: what arrived before says nothing of the link now.
+    /// Discards what was recorded before a pause of this process, which says nothing about the link now.
     pub fn reset_after_pause(&mut self) {
         (self.last_received, self.last_confirmed, self.observed_since) = (None, None, None);
         (self.queried, self.suspected_at) = (false, None);
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -1,21 +1,21 @@
-//! The links of one member to all others, and which of them are in use: its observers, its subjects, and members that
-//! asked for its heartbeats.
+//! The links of a member to all others, and which of them are in use: those to its observers, its subjects,
+//! and subscribers that asked for its heartbeats.
 
 use crate::link::Link;
 use crate::member_table::MemberTable;
 use crate::{HEARTBEAT_INTERVAL, Millis, OBSERVERS, Rings, SUSPECT_TIMEOUT};
 
-/// Members that asked for heartbeats without being observers, at most. The one that asked longest ago is dropped first;
-/// it will ask again.
+/// Maximum number of subscribers. The one that subscribed longest ago is dropped first; it will subscribe
+/// again.
 const MAX_SUBSCRIBERS: usize = 16;
-/// How long a subscriber gets heartbeats after it asked.
-const SUBSCRIPTION: Millis = 4 * HEARTBEAT_INTERVAL;
-/// A link on which nothing arrives for this long, while the member is alive, is broken.
+/// How long a subscriber receives heartbeats after it last asked for them.
+const SUBSCRIPTION_DURATION: Millis = 4 * HEARTBEAT_INTERVAL;
+/// A link to a live member on which nothing arrives for this long is considered broken.
 const BROKEN_LINK_TIMEOUT: Millis = 2 * SUSPECT_TIMEOUT;
-/// When nothing arrives from anybody for this long, the cause is this member's own link.
+/// If nothing arrives from any member for this long, this member's own connectivity is the likely cause.
 const HEARS_NOBODY_TIMEOUT: Millis = SUSPECT_TIMEOUT + 2 * HEARTBEAT_INTERVAL;
 
-/// Whether something happened less than `span` ago.
+/// Whether `at` lies less than `span` before `now`.
 pub(crate) fn is_within(at: Option<Millis>, span: Millis, now: Millis) -> bool {
     at.is_some_and(|at| now.saturating_sub(at) < span)
 }
@@ -27,18 +27,18 @@
     since: Millis,
 }
 
-/// The links of one member.
+/// The links of one member to all others.
 #[derive(Debug, Clone)]
 pub(crate) struct Links {
     me: u16,
     rings: Rings,
     links: Vec<Link>,
-    /// The members that this one sends heartbeats to.
+    /// The members that this member sends heartbeats to.
     pub observers: Vec<u16>,
-    /// The members whose heartbeats this one expects.
+    /// The members from which this member expects heartbeats.
     pub subjects: Vec<u16>,
     subscribers: Vec<Subscriber>,
-    /// When the last accepted datagram from anybody arrived.
+    /// When the last datagram arrived from any member that was not older than the evidence already known.
     pub last_received: Option<Millis>,
 }
 
@@ -63,7 +63,7 @@
         &mut self.links[usize::from(member)]
     }
 
-    /// Determines observers and subjects anew, after members died or came back.
+    /// Recomputes observers and subjects after members have died or come back.
     pub fn update_neighbours(&mut self, table: &MemberTable, now: Millis) {
         self.observers = self.rings.observers(self.me, |member| table.is_dead(member));
         self.subjects = self.rings.subjects(self.me, |member| table.is_dead(member));
@@ -78,14 +78,14 @@
         }
     }
 
-    /// The other observers of a member, as far as is known here.
+    /// The other observers of a member, according to the states known here.
     pub fn other_observers(&self, of: u16, table: &MemberTable) -> Vec<u16> {
         let mut observers = self.rings.observers(of, |member| table.is_dead(member));
         observers.retain(|observer| *observer != self.me);
         observers
     }
 
-    /// A member asks for heartbeats.
+    /// Records that a member asked for heartbeats.
     pub fn subscribe(&mut self, member: u16, now: Millis) {
         self.subscribers.retain(|subscriber| subscriber.member != member);
         if self.subscribers.len() >= MAX_SUBSCRIBERS {
@@ -94,9 +94,10 @@
         self.subscribers.push(Subscriber { member, since: now });
     }
 
-    /// The subscribers that get a heartbeat in one of the slots of a heartbeat interval. Observers get theirs anyway.
+    /// The subscribers that are sent a heartbeat in the given slot of the heartbeat interval. Observers are
+    /// left out, as they receive heartbeats anyway.
     pub fn subscribers_in_slot(&mut self, slot: usize, now: Millis) -> Vec<u16> {
-        self.subscribers.retain(|subscriber| now.saturating_sub(subscriber.since) < SUBSCRIPTION);
+        self.subscribers.retain(|subscriber| now.saturating_sub(subscriber.since) < SUBSCRIPTION_DURATION);
         let in_slot = |(at, member): (usize, u16)| {
             (at % OBSERVERS == slot && !self.observers.contains(&member)).then_some(member)
         };
@@ -104,22 +105,22 @@
         members.enumerate().filter_map(in_slot).collect()
     }
 
-    /// Whether a member's heartbeats arrive.
+    /// Whether datagrams arrive from a member.
     pub fn hears(&self, member: u16, now: Millis) -> bool {
         is_within(self.get(member).last_received, SUSPECT_TIMEOUT, now)
     }
 
-    /// Whether a member said lately that it hears this one.
+    /// Whether a member has recently confirmed that it receives this member's datagrams.
     pub fn is_heard_by(&self, member: u16, now: Millis) -> bool {
         is_within(self.get(member).last_confirmed, BROKEN_LINK_TIMEOUT, now)
     }
 
-    /// Whether nothing arrived from anybody for longer than chance explains.
+    /// Whether nothing has arrived from any member for longer than random loss explains.
     pub fn hears_nobody(&self, now: Millis) -> bool {
         !is_within(self.last_received, HEARS_NOBODY_TIMEOUT, now)
     }
 
-    /// The subjects whose heartbeats do not arrive, though they are alive.
+    /// The subjects that are alive but whose heartbeats do not arrive.
     pub fn unheard_subjects(&self, table: &MemberTable, now: Millis) -> Vec<u16> {
         let unheard = |member: &u16| {
             let link = self.get(*member);
@@ -131,7 +132,7 @@
         self.subjects.iter().copied().filter(unheard).collect()
     }
 
-    /// This process was paused: what arrived before says nothing of the links now.
+    /// Discards what was recorded before a pause of this process, which says nothing about the links now.
     pub fn reset_after_pause(&mut self) {
         self.last_received = None;
         self.subscribers.clear();
--- a/crates/fleet/src/member_table.rs
+++ b/crates/fleet/src/member_table.rs
@@ -1,41 +1,43 @@
-//! The state of each member as one member believes it: evidence of life against suspicions, as in SWIM (Das et al.
-//! 2002). It knows no message and no ring, so that it can be model-checked on its own.
+//! The state of each member as one member believes it, from evidence of life and suspicions, as in SWIM (Das
+//! et al. 2002). The table is independent of messages and rings, so that it can be model-checked by itself.
 
 use crate::datagram::{AGE_UNIT, MAX_SUSPECTORS};
 use crate::protocol::REFUTATION_TIMEOUT;
 use crate::{HEARTBEAT_INTERVAL, Millis, forget_timeout};
 use serde::{Deserialize, Serialize};
 
-/// Suspecting observers that count as much as all observers would.
-const ENOUGH_SUSPECTORS: usize = MAX_SUSPECTORS;
-/// Milliseconds in which a suspicion can be refuted: with enough suspecting observers, with one fewer, with two fewer.
-/// Few are as likely to have a bad link as to be right, so they wait longer (Lifeguard, Dadgar et al. 2017).
-const REFUTATION_TIMEOUTS: [Millis; ENOUGH_SUSPECTORS] = [REFUTATION_TIMEOUT, 2_000, 4_000];
-/// A suspicion and a known heartbeat that are this close do not contradict each other: the heartbeats of one round
-/// leave one after another.
+/// Number of suspecting observers that count as much as all observers would: with this many, a suspicion gets
+/// the shortest refutation timeout.
+const REQUIRED_SUSPECTORS: usize = MAX_SUSPECTORS;
+/// Time to refute a suspicion, in milliseconds: with all required suspectors, with one fewer, and with two
+/// fewer. A few observers are as likely to have a bad link as to be right, so their suspicions wait longer
+/// (Lifeguard, Dadgar et al. 2017).
+const REFUTATION_TIMEOUTS: [Millis; REQUIRED_SUSPECTORS] = [REFUTATION_TIMEOUT, 2_000, 4_000];
+/// A known heartbeat refutes a suspicion only if it is later by more than this: the heartbeats of one round
+/// are sent to the observers one after another.
 const SAME_ROUND_HEARTBEATS: u32 = 1;
-/// Factor by which the heartbeats of a member may outrun the time that passed here.
+/// Factor by which a member's heartbeats may run ahead of the time that passed locally.
 const MAX_HEARTBEAT_SPEEDUP: Millis = 2;
-/// Heartbeats by which paths of different length may set what two members know apart.
+/// Heartbeats by which the knowledge of two members may differ because of paths of different length.
 const PATH_SKEW_HEARTBEATS: Millis = 16;
 
-/// What is believed of a member.
+/// The state of a member, as another member believes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// Nothing was ever heard of it.
+    /// Nothing is known of the member.
     Unknown,
-    /// There is recent evidence of its life.
+    /// There is recent evidence of the member's life.
     Alive,
-    /// Suspected by one or more observers, and not refuted yet.
+    /// One or more observers suspect the member, and nobody has refuted them.
     Suspected,
-    /// Confirmed dead, or not heard of for too long.
+    /// Confirmed dead, or without any evidence of life for too long.
     #[serde(rename = "gone")]
     Dead,
 }
 
 impl MemberState {
-    /// Its word on the page and in tables.
+    /// The name of the state on the admin page and in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
@@ -46,17 +48,17 @@
     }
 }
 
-/// A point in a member's life: its incarnation and a heartbeat of it. The greater one is the later one.
+/// A point in a member's life: an incarnation and a heartbeat within it. Later points compare greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Evidence {
-    /// Its incarnation, 0 for none.
+    /// The member's incarnation; 0 if none is known.
     pub incarnation: u64,
-    /// Its heartbeat.
+    /// The heartbeat within that incarnation.
     pub heartbeat: u32,
 }
 
 impl Evidence {
-    /// Whether this refutes that nothing came after `last`.
+    /// Whether this refutes a suspicion by observers that received nothing after `last`.
     pub(crate) fn refutes(self, last: Evidence) -> bool {
         self.incarnation > last.incarnation
             || (self.incarnation == last.incarnation
@@ -67,11 +69,11 @@
 /// A change of a member's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 pub struct StateChange {
-    /// Its number.
+    /// The member's number.
     pub member: u16,
-    /// What was believed.
+    /// The state before the change.
     pub from: MemberState,
-    /// What is believed now.
+    /// The state after the change.
     pub to: MemberState,
 }
 
@@ -79,50 +81,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct Suspector {
     pub number: u16,
-    /// Since when this is known here.
+    /// When this member learned of the suspicion.
     pub since: Millis,
 }
 
-/// What one believes of one member.
+/// What is known of one member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Record {
     pub state: MemberState,
-    /// When the state began.
     pub state_since: Millis,
-    /// The latest evidence of its life.
+    /// The latest evidence of the member's life.
     pub latest: Evidence,
-    /// When the latest heartbeat was sent, as far as is known.
+    /// When the latest heartbeat was sent; an estimate where it was relayed.
     pub last_alive: Millis,
-    /// Who says that nothing came after `suspected_after`.
+    /// The observers that received nothing after `suspected_after`.
     pub suspectors: Vec<Suspector>,
     suspected_after: Evidence,
 }
 
-/// What became of a suspicion.
+/// The outcome of a suspicion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspicionOutcome {
-    /// It was known, or is out of date.
+    /// It is already known, or out of date.
     Stale,
-    /// Evidence known here refutes it: the others should learn of that.
+    /// Evidence known here refutes it, and should be passed on to other members.
     Refuted,
-    /// It is new and stands.
+    /// It is new and not refuted.
     Accepted,
 }
 
-/// What one member believes of all others.
+/// What one member believes about all others.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MemberTable {
     me: u16,
     records: Vec<Record>,
-    /// No member is confirmed dead before this: what arrived while this process was late has to be read first.
-    no_verdict_before: Millis,
-    /// Silence before this does not count: this process was not running.
+    /// No death is confirmed before this time: datagrams that arrived while this process was late are read
+    /// first.
+    no_deaths_before: Millis,
+    /// Silence before this time does not count, because this process was not running.
     running_since: Millis,
     changes: Vec<StateChange>,
 }
 
 impl MemberTable {
-    /// The table of member `me` in a fleet of `size`, with nothing known of the others.
+    /// The table of member `me` in a fleet of `size`, with all other members unknown.
     pub fn new(size: u16, me: u16, now: Millis) -> Self {
         let record = Record {
             state: MemberState::Unknown,
@@ -135,18 +137,18 @@
         Self {
             me,
             records: vec![record; usize::from(size)],
-            no_verdict_before: now,
+            no_deaths_before: now,
             running_since: now,
             changes: Vec::new(),
         }
     }
 
-    /// Members of the fleet.
+    /// The number of members in the fleet, this one included.
     pub fn size(&self) -> u16 {
         u16::try_from(self.records.len()).unwrap_or(u16::MAX)
     }
 
-    /// What is believed of a member.
+    /// The state of a member.
     pub fn state(&self, member: u16) -> MemberState {
         self.record(member).state
     }
@@ -160,7 +162,7 @@
         &self.records[usize::from(member)]
     }
 
-    /// The numbers of all others.
+    /// The numbers of all other members.
     pub fn others(&self) -> impl Iterator<Item = u16> + use<> {
         let me = self.me;
         (0..self.size()).filter(move |member| *member != me)
@@ -176,7 +178,7 @@
         self.state(member) == MemberState::Dead
     }
 
-    /// Whether a member can have reached a heartbeat by now, judged by the time since its latest one.
+    /// Whether a member can have reached a heartbeat by now, given its latest one and the time since.
     pub fn is_plausible(&self, member: u16, heartbeat: u32, now: Millis) -> bool {
         let record = self.record(member);
         let elapsed = now.saturating_sub(record.last_alive) / HEARTBEAT_INTERVAL;
@@ -184,14 +186,14 @@
             <= Millis::from(record.latest.heartbeat) + MAX_HEARTBEAT_SPEEDUP * elapsed + PATH_SKEW_HEARTBEATS
     }
 
-    /// Tenths of a second since a member's latest heartbeat was sent, rounded up: it is relayed many times, and must not
-    /// grow younger by that.
+    /// Age of a member's latest heartbeat in tenths of a second. It is rounded up, because heartbeats are
+    /// relayed many times and rounding down would make them appear younger each time.
     pub fn age(&self, member: u16, now: Millis) -> u16 {
         let age = now.saturating_sub(self.record(member).last_alive).div_ceil(AGE_UNIT);
         u16::try_from(age).unwrap_or(u16::MAX)
     }
 
-    /// The changes since the last call.
+    /// Returns the state changes since the last call.
     pub fn take_changes(&mut self) -> Vec<StateChange> {
         std::mem::take(&mut self.changes)
     }
@@ -205,8 +207,8 @@
         }
     }
 
-    /// Takes in that a member sent a heartbeat `age` milliseconds ago. `true` if that is news to all: it ends a
-    /// suspicion or begins an incarnation.
+    /// Handles evidence that a member sent a heartbeat `age` milliseconds ago. Returns `true` if the evidence
+    /// should be disseminated: it ends a suspicion or begins an incarnation.
     pub fn handle_alive(&mut self, member: u16, evidence: Evidence, age: Millis, now: Millis) -> bool {
         let record = &mut self.records[usize::from(member)];
         if member == self.me || evidence <= record.latest {
@@ -218,20 +220,21 @@
         if evidence.refutes(record.suspected_after) {
             record.suspectors.clear();
         }
-        let unsuspected = record.suspectors.is_empty();
+        let is_unsuspected = record.suspectors.is_empty();
         let (state, sent_at) = (record.state, now.saturating_sub(age));
-        // Old heartbeats of a dead member are relayed for a while: they are no evidence that it came back.
+        // Old heartbeats of a dead member are relayed for a while; they do not show that it came back.
         let proves_life = match state {
             MemberState::Dead => sent_at > record.state_since,
             _ => age < forget_timeout(self.size()),
         };
-        if unsuspected && proves_life {
+        if is_unsuspected && proves_life {
             self.set_state(member, MemberState::Alive, now);
         }
-        unsuspected && proves_life && (state != MemberState::Alive || new_incarnation)
+        is_unsuspected && proves_life && (state != MemberState::Alive || new_incarnation)
     }
 
-    /// Takes in that observers heard nothing of a member after `last`. Without any `suspectors` it is a question only.
+    /// Handles a suspicion by observers that received nothing after `last`. Without `suspectors` it is only a
+    /// query.
     pub fn handle_suspicion(
         &mut self,
         member: u16,
@@ -247,7 +250,7 @@
         if record.latest.refutes(last) {
             return if dead { SuspicionOutcome::Stale } else { SuspicionOutcome::Refuted };
         }
-        // It is evidence as well: the observers had received `last`, at a time that is not known.
+        // A suspicion is evidence too: its observers received `last`, at an unknown time.
         record.latest = record.latest.max(last);
         if dead {
             return SuspicionOutcome::Stale;
@@ -261,7 +264,7 @@
         let before = record.suspectors.len();
         for number in suspectors {
             let known = record.suspectors.iter().any(|suspector| suspector.number == *number);
-            if !known && record.suspectors.len() < ENOUGH_SUSPECTORS {
+            if !known && record.suspectors.len() < REQUIRED_SUSPECTORS {
                 record.suspectors.push(Suspector { number: *number, since: now });
             }
         }
@@ -272,40 +275,41 @@
         SuspicionOutcome::Accepted
     }
 
-    /// The suspecting observers that are enough: [`ENOUGH_SUSPECTORS`], or as many as can observe a member in a fleet
-    /// with so few alive.
-    fn enough_suspectors(&self) -> usize {
+    /// The number of suspectors that get the shortest refutation timeout: [`REQUIRED_SUSPECTORS`], or fewer
+    /// if fewer members are alive to observe the suspected one.
+    fn required_suspectors(&self) -> usize {
         let others_alive = self.others().filter(|member| !self.is_dead(*member)).count();
-        // The suspected member is counted and this one is not, so this is the number of its possible observers.
-        others_alive.clamp(1, ENOUGH_SUSPECTORS)
+        // This count includes the suspected member and excludes this one, so it equals the number of members
+        // that can observe the suspected one.
+        others_alive.clamp(1, REQUIRED_SUSPECTORS)
     }
 
-    /// When a suspected member is confirmed dead, as far as is known now.
-    fn suspicion_deadline(&self, member: u16, enough: usize) -> Option<Millis> {
-        let suspectors = self.record(member).suspectors.iter().take(enough);
+    /// When a suspected member will be confirmed dead, according to the suspicions known now.
+    fn suspicion_deadline(&self, member: u16, required: usize) -> Option<Millis> {
+        let suspectors = self.record(member).suspectors.iter().take(required);
         suspectors
             .enumerate()
-            .map(|(i, suspector)| suspector.since + REFUTATION_TIMEOUTS[enough - 1 - i])
+            .map(|(i, suspector)| suspector.since + REFUTATION_TIMEOUTS[required - 1 - i])
             .min()
     }
 
-    /// Confirms no member dead before `until`.
-    pub fn defer_verdicts(&mut self, until: Millis) {
-        self.no_verdict_before = self.no_verdict_before.max(until);
+    /// Postpones the confirmation of any death until `until`.
+    pub fn defer_deaths(&mut self, until: Millis) {
+        self.no_deaths_before = self.no_deaths_before.max(until);
     }
 
-    /// Confirms the members dead whose suspicion was not refuted in time, and those that were not heard of by any path
-    /// for [`forget_timeout`]. While this member hears nobody, suspicions confirm nothing: its own link is the likelier
-    /// cause.
+    /// Declares members dead whose suspicion was not refuted in time, or of which there was no evidence by
+    /// any path for [`forget_timeout`]. While this member receives nothing from anybody, suspicions confirm
+    /// no death: its own connectivity is the likelier cause.
     pub fn confirm_deaths(&mut self, hears_nobody: bool, now: Millis) {
-        if now < self.no_verdict_before {
+        if now < self.no_deaths_before {
             return;
         }
-        let (enough, forget_after) = (self.enough_suspectors(), forget_timeout(self.size()));
+        let (required, forget_after) = (self.required_suspectors(), forget_timeout(self.size()));
         let confirmed = |member: &u16| {
             let record = self.record(*member);
-            let suspected =
-                !hears_nobody && self.suspicion_deadline(*member, enough).is_some_and(|end| end <= now);
+            let suspected = !hears_nobody
+                && self.suspicion_deadline(*member, required).is_some_and(|deadline| deadline <= now);
             let forgotten = now.saturating_sub(record.last_alive.max(self.running_since)) >= forget_after;
             record.state != MemberState::Dead && (suspected || forgotten)
         };
@@ -316,7 +320,7 @@
         }
     }
 
-    /// This process was paused: suspicions from before count for nothing, and silence counts from now on.
+    /// Discards suspicions from before a pause of this process; silence counts from `now` on.
     pub fn reset_after_pause(&mut self, now: Millis) {
         self.running_since = now;
         for member in self.others() {
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -1,6 +1,7 @@
-//! Suspicion and refutation, as in SWIM (Das et al. 2002). An observer that hears nothing of a subject asks the other
-//! observers, then suspects it; any member that knows a later heartbeat refutes it. Only evidence of life decides, so that a broken
-//! link costs no member its place. [`MemberTable`](crate::MemberTable) confirms the deaths.
+//! Suspicion and refutation, as in SWIM (Das et al. 2002). An observer that receives nothing from a subject
+//! first queries the other observers, then suspects the subject; any member that knows a later heartbeat
+//! refutes the suspicion. Only evidence of life decides, so a broken link does not get a live member declared
+//! dead. [`MemberTable`](crate::MemberTable) confirms the deaths.
 
 use super::Membership;
 use crate::Millis;
@@ -8,13 +9,16 @@
 use crate::links::is_within;
 use crate::member_table::{Evidence, MemberState, SuspicionOutcome};
 
-/// Suspecting observers from which on a suspicion is disseminated to all. A single one asks the other observers first.
+/// Number of suspecting observers at which a suspicion is disseminated to all members. A single suspector
+/// first queries the other observers.
 const SUSPECTORS_TO_GOSSIP: usize = 2;
-/// A suspicion that nobody shares and nobody refutes is disseminated after this long, and repeated each time.
+/// A suspicion that no other observer shares and nobody refutes is disseminated after this long, and again at
+/// this interval.
 const REPEAT_SUSPICION_AFTER: Millis = 2_000;
 
 impl Membership {
-    /// Asks about the subjects that are silent, and suspects them when nobody knows better.
+    /// Queries the other observers about silent subjects, and suspects the subjects for which no newer
+    /// evidence arrives.
     pub(super) fn check_subjects(&mut self, now: Millis) {
         for member in self.links.subjects.clone() {
             let (link, record) = (self.links.get(member), self.table.record(member));
@@ -33,14 +37,14 @@
             } else if silence >= timeouts.query && !link.queried {
                 self.links.get_mut(member).queried = true;
                 let Evidence { incarnation, heartbeat } = self.table.latest(member);
-                let question = Message::Suspect {
+                let query = Message::Suspect {
                     member,
                     incarnation,
                     heartbeat,
                     suspectors: Vec::new(),
                     gossip: false,
                 };
-                self.ask_other_observers(member, &question, now);
+                self.query_other_observers(member, &query, now);
             }
         }
     }
@@ -50,17 +54,17 @@
         let last = self.table.latest(member);
         self.table.handle_suspicion(member, &[self.me], last, now);
         if first_time && self.table.record(member).suspectors.len() < SUSPECTORS_TO_GOSSIP {
-            self.ask_other_observers(member, &self.suspect_message(member, false), now);
+            self.query_other_observers(member, &self.suspect_message(member, false), now);
         } else {
             self.gossip_suspicion(member);
         }
     }
 
-    /// Asks the other observers of a member. Where the link loses heartbeats they mostly know a later one, and the
-    /// suspicion goes no further.
-    fn ask_other_observers(&mut self, member: u16, question: &Message, now: Millis) {
+    /// Queries the other observers of a member. If only this link loses heartbeats, they usually know a later
+    /// one and the suspicion is not disseminated.
+    fn query_other_observers(&mut self, member: u16, query: &Message, now: Millis) {
         for observer in self.links.other_observers(member, &self.table) {
-            self.send(observer, vec![question.clone()], now);
+            self.send(observer, vec![query.clone()], now);
         }
     }
 
@@ -75,14 +79,14 @@
         self.gossip.push(suspicion);
     }
 
-    /// Observers suspect a member. `asked_by` is the observer that asks whether this member knows a later heartbeat;
-    /// it alone gets the answer.
+    /// Handles a suspicion by one or more observers. `queried_by` is the observer that asks whether this
+    /// member knows a later heartbeat; only that observer gets the answer.
     pub(super) fn handle_suspicion(
         &mut self,
         member: u16,
         suspectors: &[u16],
         last: Evidence,
-        asked_by: Option<u16>,
+        queried_by: Option<u16>,
         now: Millis,
     ) {
         if member == self.me {
@@ -92,11 +96,11 @@
             SuspicionOutcome::Stale => {}
             SuspicionOutcome::Accepted => {
                 let suspectors = self.table.record(member).suspectors.len();
-                if asked_by.is_none() || suspectors >= SUSPECTORS_TO_GOSSIP {
+                if queried_by.is_none() || suspectors >= SUSPECTORS_TO_GOSSIP {
                     self.gossip_suspicion(member);
                 }
             }
-            SuspicionOutcome::Refuted => match asked_by {
+            SuspicionOutcome::Refuted => match queried_by {
                 Some(observer) => {
                     let answer = self.alive_message(member, false, now);
                     self.send(observer, vec![answer], now);
@@ -106,10 +110,10 @@
         }
     }
 
-    /// Tells all that this member is alive, once a heartbeat.
+    /// Disseminates that this member is alive, at most once per heartbeat.
     fn refute_own_suspicion(&mut self) {
         let evidence = self.own.evidence();
-        if std::mem::replace(&mut self.refuted_with, evidence) != evidence {
+        if std::mem::replace(&mut self.last_refutation, evidence) != evidence {
             let Evidence { incarnation, heartbeat } = evidence;
             self.gossip.push(Message::Alive {
                 member: self.me,
@@ -121,17 +125,19 @@
         }
     }
 
-    /// Tells all that a member was alive later than its suspectors know, once for each heartbeat of it.
+    /// Disseminates evidence that a member was alive later than its suspectors know, once for each of its
+    /// heartbeats.
     fn refute(&mut self, member: u16, now: Millis) {
         let latest = self.table.latest(member);
-        if std::mem::replace(&mut self.links.get_mut(member).refuted_with, latest) != latest {
+        if std::mem::replace(&mut self.links.get_mut(member).last_refutation, latest) != latest {
             let refutation = self.alive_message(member, true, now);
             self.gossip.push(refutation);
         }
     }
 
-    /// A member sent a heartbeat `age` milliseconds ago; 0 for a datagram of its own. What that ends or begins is
-    /// passed on if `gossip`.
+    /// Handles evidence that a member sent a heartbeat `age` milliseconds ago; the age is 0 for a datagram
+    /// from the member itself. If `gossip` is set, the end of a suspicion or a new incarnation is
+    /// disseminated.
     pub(super) fn handle_evidence(
         &mut self,
         member: u16,
@@ -146,7 +152,8 @@
         let unknown = self.table.state(member) == MemberState::Unknown;
         if self.table.handle_alive(member, evidence, age, now) {
             self.gossip.remove_suspicions(member);
-            // At a start all members are new to all: relayed heartbeats spread that sooner than as many gossip messages.
+            // When the fleet starts, every member is new to all others: relayed heartbeats spread this faster
+            // than one gossip message per member.
             if gossip && !unknown {
                 let alive = self.alive_message(member, true, now);
                 self.gossip.push(alive);
--- a/crates/fleet/src/membership/inbound.rs
+++ b/crates/fleet/src/membership/inbound.rs
@@ -1,5 +1,5 @@
-//! Datagrams that arrive: which are rejected, which are answered without being believed, and what the accepted ones
-//! say.
+//! Incoming datagrams: which are rejected, which are replied to without being accepted, and how accepted ones
+//! are handled.
 
 use super::Membership;
 use crate::Millis;
@@ -10,18 +10,20 @@
 use crate::token_bucket::Rate;
 use std::net::SocketAddr;
 
-/// Datagrams whose tag is verified, from all members together: the budget of CPU.
+/// Rate limit on datagrams from all members together, which bounds the CPU time spent on verifying tags.
 pub(super) const RECEIVE_RATE: Rate = Rate { per_second: 1_000, burst: 1_000 };
-/// Least time between two replies to a member that is not believed yet, or that asks for heartbeats.
+/// Minimum time between two replies to a member whose datagrams are not accepted yet, or that asks for
+/// heartbeats.
 const MIN_REPLY_INTERVAL: Millis = 200;
 
-/// The age in milliseconds of what a message reports. It is never 0: only the member's own datagram is that fresh.
+/// The age of relayed evidence in milliseconds. It is never 0, which stands for a datagram from the member
+/// itself.
 pub(super) fn age_millis(tenths: u16) -> Millis {
     AGE_UNIT * Millis::from(tenths).max(1)
 }
 
 impl Membership {
-    /// Takes in a datagram that arrived from an address.
+    /// Handles a datagram that arrived from an address.
     pub fn handle_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Millis) {
         self.detect_pause(now);
         self.counters.received_bytes += bytes.len() as u64;
@@ -34,7 +36,7 @@
         self.emit_state_changes();
     }
 
-    /// Verifies and decodes a datagram, the cheapest check first, and counts what is rejected.
+    /// Verifies and decodes a datagram, cheapest check first, and counts rejected ones.
     fn decode(&mut self, from: SocketAddr, bytes: &[u8], now: Millis) -> Option<Datagram> {
         let Some(member) = self.numbers.get(&from).copied().filter(|member| *member != self.me) else {
             self.counters.wrong_sender += 1;
@@ -77,8 +79,9 @@
         Some(datagram)
     }
 
-    /// Believes a datagram, once, if it was sent to this incarnation by the sender's latest one. Others are replied to,
-    /// so that their sender learns the incarnation that it does not know.
+    /// Accepts a datagram, at most once, if it was sent by the latest incarnation of the sender to the
+    /// current one of this member. Others are replied to, so that their sender learns the incarnation that it
+    /// lacks.
     fn accept(&mut self, Datagram { header, messages }: Datagram, now: Millis) {
         let sender = header.sender;
         if header.recipient_incarnation > self.own.number {
@@ -87,11 +90,11 @@
         let known = self.table.latest(sender).incarnation;
         if header.incarnation < known {
             self.counters.stale_sender += 1;
-            return self.reply_to_unproven(sender, known, now);
+            return self.send_handshake_reply(sender, known, now);
         }
         if header.recipient_incarnation != self.own.number {
             self.counters.stale_recipient += 1;
-            return self.reply_to_unproven(sender, header.incarnation, now);
+            return self.send_handshake_reply(sender, header.incarnation, now);
         }
         let link = self.links.get_mut(sender);
         if header.incarnation > link.incarnation {
@@ -108,8 +111,9 @@
         }
     }
 
-    /// Tells a member this one's incarnation, and that `known_incarnation` of its own is known here.
-    fn reply_to_unproven(&mut self, to: u16, known_incarnation: u64, now: Millis) {
+    /// Replies with this member's incarnation and with `known_incarnation`, the recipient's latest
+    /// incarnation known here.
+    fn send_handshake_reply(&mut self, to: u16, known_incarnation: u64, now: Millis) {
         let link = self.links.get_mut(to);
         let recent = is_within(link.last_handshake_reply, MIN_REPLY_INTERVAL, now);
         if recent || self.own.superseded || !self.send_budget.allows_heartbeat(now) {
@@ -119,10 +123,11 @@
         self.transmit(to, known_incarnation, false, Vec::new(), now);
     }
 
-    /// The sender itself is alive, and says whether it hears this member.
+    /// Handles a header: evidence that the sender is alive, and whether the sender receives this member's
+    /// datagrams.
     fn handle_header(&mut self, header: &Header, now: Millis) {
         let evidence = Evidence { incarnation: header.incarnation, heartbeat: header.heartbeat };
-        // A datagram that was overtaken says nothing of the link now.
+        // A datagram older than the known evidence says nothing about the current state of the link.
         if evidence >= self.table.latest(header.sender) {
             self.links.last_received = Some(now);
             let link = self.links.get_mut(header.sender);
@@ -156,8 +161,8 @@
             }
             Message::Suspect { member, incarnation, heartbeat, suspectors, gossip } => {
                 let last = Evidence { incarnation, heartbeat };
-                let asked_by = (!gossip).then_some(from);
-                self.handle_suspicion(member, &suspectors, last, asked_by, now);
+                let queried_by = (!gossip).then_some(from);
+                self.handle_suspicion(member, &suspectors, last, queried_by, now);
             }
             Message::Digest { kind, digest } => self.handle_digest(from, kind, &digest, now),
             Message::Delta { kind, delta, gossip } => self.handle_delta(kind, &delta, gossip),
--- a/crates/fleet/src/membership/incarnation.rs
+++ b/crates/fleet/src/membership/incarnation.rs
@@ -1,4 +1,5 @@
-//! This member's own incarnation: when a new one begins, and what happens when another process has its number.
+//! This member's own incarnation: when a new one begins, and what happens when another process has the same
+//! member number.
 
 use super::Membership;
 use crate::datagram::MAX_INCARNATION;
@@ -6,26 +7,28 @@
 use crate::member_table::Evidence;
 use crate::{Millis, PAUSE_THRESHOLD};
 
-/// A process younger than this that learns of a later incarnation of its number takes the next one: the other process
-/// is an earlier one whose wall clock stood ahead. An older process gives way instead.
+/// A process younger than this that learns of a later incarnation of its member number takes the next one,
+/// assuming that the later incarnation belongs to an earlier process whose wall clock was ahead. An older
+/// process stops taking part instead.
 pub(super) const STARTUP_PERIOD: Millis = 3_000;
 
-/// This member's incarnation and what is counted within it.
+/// This member's incarnation, and the counters within it.
 #[derive(Debug)]
 pub(super) struct OwnIncarnation {
     pub number: u64,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sequence: u64,
-    /// Heartbeats sent.
+    /// Number of heartbeats sent.
     pub heartbeat: u32,
-    /// Till when a later incarnation of this number is taken for an earlier process's.
+    /// Until then, a later incarnation of this member number is attributed to an earlier process.
     startup_until: Millis,
-    /// Another process has this number: this one sends and accepts nothing any more.
+    /// Whether another process has taken this member number; if so, this process sends and accepts nothing.
     pub superseded: bool,
 }
 
 impl OwnIncarnation {
-    /// The incarnation of a process that starts now. It leaves room for later ones below [`MAX_INCARNATION`].
+    /// The first incarnation of a process. It is clamped to leave room for later ones below
+    /// [`MAX_INCARNATION`].
     pub fn new(number: u64, now: Millis) -> Self {
         Self {
             number: number.clamp(1, MAX_INCARNATION / 2),
@@ -46,8 +49,9 @@
 }
 
 impl Membership {
-    /// Finds out, before anything else is done, whether this process was paused. If so it takes the next incarnation:
-    /// what still waits in its socket names the one before, and is not accepted.
+    /// Detects, before anything else is done, whether this process was paused. If so, it takes the next
+    /// incarnation: datagrams still waiting in the socket are addressed to the previous one, and are not
+    /// accepted.
     pub(super) fn detect_pause(&mut self, now: Millis) {
         let idle = now.saturating_sub(self.schedule.last_activity);
         self.schedule.last_activity = self.schedule.last_activity.max(now);
@@ -65,8 +69,8 @@
         self.emit(Event::Paused(idle));
     }
 
-    /// There is, or was, a later incarnation of this member's number. So the process that was started last keeps the
-    /// number.
+    /// Handles a later incarnation of this member's number, current or past. The process that was started
+    /// last keeps the number.
     pub(super) fn handle_later_incarnation(&mut self, later: u64, now: Millis) {
         if now < self.own.startup_until {
             self.own.begin(later + 1);
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -1,8 +1,9 @@
-//! The protocol's state machine: one member's part in the fleet, without I/O.
+//! The membership protocol as a state machine without I/O, for one member of the fleet.
 //!
-//! Its caller passes in datagrams ([`Membership::handle_datagram`]) and time ([`Membership::handle_timeout`]), and takes
-//! out datagrams ([`Membership::poll_transmit`]), events ([`Membership::poll_event`]) and the time of the next timeout
-//! ([`Membership::poll_timeout`]). The modules below hold one concern each; they share the state in [`Membership`].
+//! The caller passes in datagrams ([`Membership::handle_datagram`]) and time
+//! ([`Membership::handle_timeout`]), and takes out datagrams ([`Membership::poll_transmit`]), events
+//! ([`Membership::poll_event`]) and the time of the next timeout ([`Membership::poll_timeout`]). Each
+//! submodule implements one concern; they share the state in [`Membership`].
 
 mod anti_entropy;
 mod failure_detector;
@@ -32,10 +33,10 @@
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Events that wait to be polled at most; beyond that the oldest are dropped.
+/// Capacity of the event queue; when it is full, the oldest event is dropped.
 const MAX_QUEUED_EVENTS: usize = 4096;
 
-/// One member of the fleet.
+/// The protocol state of one member of the fleet.
 pub struct Membership {
     me: u16,
     addresses: Vec<SocketAddr>,
@@ -43,26 +44,26 @@
     authenticator: Authenticator,
     rng: Rng,
     own: OwnIncarnation,
-    /// The own evidence with which suspicions of this member were last refuted.
-    refuted_with: Evidence,
+    /// This member's own evidence in the last refutation of a suspicion of it.
+    last_refutation: Evidence,
     table: MemberTable,
     links: Links,
-    /// Whether observers and subjects match the members that are alive now.
+    /// Whether observers and subjects have been recomputed since the last death or return.
     neighbours_current: bool,
     schedule: Schedule,
     isolation: IsolationDetector,
     gossip: GossipQueue,
     self_reports: Registers<SelfReport>,
-    /// The other shared states; their kinds follow that of `self_reports`.
+    /// The registered shared states. Their kinds count up from the kind after that of `self_reports`.
     shared_states: Vec<Box<dyn SharedState + Send>>,
-    /// The kind whose digest is sent next.
+    /// The kind of shared state whose digest is sent next.
     next_digest_kind: usize,
     /// The member whose heartbeat is relayed next.
     next_relayed: u16,
-    /// The absent member that was last probed.
+    /// The absent member that was probed last.
     last_probed: u16,
-    /// Members that are alive, this one included.
-    alive: usize,
+    /// Number of members that are alive, this one included.
+    alive_count: usize,
     send_budget: SendBudget,
     receive_limit: TokenBucket,
     counters: Counters,
@@ -71,11 +72,12 @@
 }
 
 impl Membership {
-    /// A member that knows nothing of the others yet. `incarnation` is the wall clock in milliseconds: a first guess that
-    /// mostly lies above that of any earlier process under this number. Where it does not, the others say so.
+    /// Creates a member that knows nothing about the others yet. `incarnation` is the wall clock in
+    /// milliseconds, which usually exceeds the incarnation of any earlier process with this member number. If
+    /// it does not, replies from other members reveal the later incarnation.
     ///
     /// # Errors
-    /// The settings cannot work.
+    /// The settings are not valid.
     pub fn new(settings: Settings, incarnation: u64, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         let size = settings.fleet_size()?;
         let numbers = settings.numbers_by_address()?;
@@ -89,18 +91,18 @@
             last_probed: rng.u16(0..size),
             rng,
             own: OwnIncarnation::new(incarnation, now),
-            refuted_with: Evidence::default(),
+            last_refutation: Evidence::default(),
             table: MemberTable::new(size, me, now),
             links: Links::new(size, me, now),
             neighbours_current: false,
             schedule: Schedule::new(now),
             isolation: IsolationDetector::new(now + STARTUP_PERIOD, now),
             gossip: GossipQueue::new(size),
-            self_reports: Registers::new(size, anti_entropy::SELF_REPORT_BYTES),
+            self_reports: Registers::new(size, anti_entropy::MAX_SELF_REPORT_BYTES),
             shared_states: Vec::new(),
             next_digest_kind: 0,
             next_relayed: 0,
-            alive: 1,
+            alive_count: 1,
             send_budget: SendBudget::new(now),
             receive_limit: TokenBucket::new(inbound::RECEIVE_RATE, now),
             counters: Counters::default(),
@@ -109,32 +111,33 @@
         })
     }
 
-    /// What is believed of the others.
+    /// What this member believes about the others.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// This member's incarnation.
+    /// This member's current incarnation.
     pub fn incarnation(&self) -> u64 {
         self.own.number
     }
 
-    /// Datagrams that were sent, accepted, rejected and put off.
+    /// Counts of datagrams sent, received, rejected and deferred since the process started.
     pub fn counters(&self) -> Counters {
         Counters { gossip_dropped: self.gossip.dropped(), ..self.counters }
     }
 
-    /// The next datagram to send, and where to. To be called until it gives none after each other call.
+    /// Returns the next datagram to send and its destination. Call this until it returns `None` after each
+    /// call of another method.
     pub fn poll_transmit(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.outbox.pop_front()
     }
 
-    /// The next event.
+    /// Returns the next event.
     pub fn poll_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// When [`Membership::handle_timeout`] is due.
+    /// Returns when [`Membership::handle_timeout`] is to be called next.
     pub fn poll_timeout(&self) -> Millis {
         self.schedule.next_slot_at
     }
@@ -146,7 +149,8 @@
         self.events.push_back(event);
     }
 
-    /// Reports the changes in the table. A death or a return changes who observes whom.
+    /// Emits an event for each state change in the table. A death or a return changes the observers and
+    /// subjects.
     fn emit_state_changes(&mut self) {
         for change in self.table.take_changes() {
             if change.from == MemberState::Dead || change.to == MemberState::Dead {
--- a/crates/fleet/src/membership/outbound.rs
+++ b/crates/fleet/src/membership/outbound.rs
@@ -1,23 +1,24 @@
-//! Datagrams that are sent: what each carries besides its purpose, as far as the budget allows.
+//! Outgoing datagrams, and what is piggybacked on them within the send budget.
 
 use super::Membership;
 use crate::Millis;
 use crate::datagram::{Datagram, Header, MAX_DATAGRAM_BYTES, Message};
 
-/// Bytes of a datagram kept for the header, the tag and the frames of messages.
+/// Bytes of a datagram reserved for the header, the authentication tag and the framing of messages.
 pub(super) const OVERHEAD_BYTES: usize = 96;
-/// Bytes of a delta's frame in a datagram.
+/// Bytes that the framing of a delta takes in a datagram.
 const DELTA_FRAME_BYTES: usize = 4;
-/// Datagrams that wait to be polled at most. The caller takes all after each call, so that this is not reached.
+/// Capacity of the outbox. The caller empties it after each call, so it is not expected to fill up.
 const MAX_QUEUED_DATAGRAMS: usize = 512;
 
 impl Membership {
-    /// Sends messages to a member, with relayed heartbeats and gossip. Without messages it is a plain heartbeat.
+    /// Sends messages to a member, with relayed heartbeats and gossip piggybacked. Without messages, the
+    /// datagram is a plain heartbeat.
     pub(super) fn send(&mut self, to: u16, messages: Vec<Message>, now: Millis) {
         self.send_with_piggyback(to, false, messages, now);
     }
 
-    /// Asks a member for its heartbeats.
+    /// Asks a member to send heartbeats to this one.
     pub(super) fn request_heartbeats(&mut self, from: u16, now: Millis) {
         self.send_with_piggyback(from, true, Vec::new(), now);
     }
@@ -33,7 +34,8 @@
             self.counters.deferred += 1;
             return;
         }
-        // Relayed heartbeats do not depend on the budget: they keep members from being forgotten.
+        // Relayed heartbeats do not depend on the budget: they keep members from being declared dead by
+        // [`forget_timeout`](crate::forget_timeout).
         messages.push(self.next_relayed_heartbeats(now));
         let used: usize = messages.iter().map(Message::encoded_len).sum();
         let left = self
@@ -46,7 +48,8 @@
         self.transmit(to, known_incarnation, wants_heartbeats, messages, now);
     }
 
-    /// Gossip of `max_bytes` at most: on members first, then on shared state in the order of its kinds.
+    /// Returns gossip of at most `max_bytes`: about members first, then about shared state in the order of
+    /// its kinds.
     fn next_gossip(&mut self, max_bytes: usize) -> Vec<Message> {
         let mut messages = self.gossip.take(max_bytes);
         let mut left = max_bytes.saturating_sub(messages.iter().map(Message::encoded_len).sum::<usize>());
@@ -63,7 +66,7 @@
         messages
     }
 
-    /// What is known of another member's life, as a message.
+    /// Builds a message from the latest evidence of another member's life.
     pub(super) fn alive_message(&self, member: u16, gossip: bool, now: Millis) -> Message {
         let evidence = self.table.latest(member);
         Message::Alive {
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Signs a datagram of exactly these messages and puts it into the outbox.
+    /// Signs a datagram with exactly these messages and adds it to the outbox.
     pub(super) fn transmit(
         &mut self,
         to: u16,
--- a/crates/fleet/src/membership/relay.rs
+++ b/crates/fleet/src/membership/relay.rs
@@ -1,5 +1,6 @@
-//! Heartbeats of all members, relayed a few on each datagram, so that evidence of life reaches also those who receive
-//! no heartbeat of a member directly (counters as in van Renesse et al. 1998).
+//! Relaying of heartbeats: each datagram carries those of a few members in turn, so that evidence of life
+//! also reaches members that receive no heartbeat directly (heartbeat counters as in van Renesse et al.
+//! 1998).
 
 use super::Membership;
 use super::inbound::age_millis;
@@ -7,14 +8,15 @@
 use crate::member_table::Evidence;
 use crate::{Millis, forget_timeout};
 
-/// Members whose heartbeats are relayed on each datagram: at fifty datagrams a second those of a thousand members go
-/// around in three seconds.
+/// Members whose heartbeats each datagram relays: at fifty datagrams per second, a thousand members take
+/// three seconds.
 const HEARTBEATS_PER_DATAGRAM: u16 = 8;
-/// The forget timeout divided by this is long enough for the heartbeats of every live member to be relayed here.
+/// The forget timeout divided by this is long enough for a later heartbeat of every live member to be relayed
+/// here.
 const RELAY_TIME_DIVISOR: Millis = 4;
 
 impl Membership {
-    /// The latest heartbeats of the members whose turn it is.
+    /// Returns the latest heartbeats of the members whose turn it is.
     pub(super) fn next_relayed_heartbeats(&mut self, now: Millis) -> Message {
         let first = self.next_relayed;
         let end = (first + HEARTBEATS_PER_DATAGRAM).min(self.table.size());
@@ -28,7 +30,7 @@
         Message::Heartbeats { first, heartbeats: (first..end).map(compact).collect() }
     }
 
-    /// Takes in relayed heartbeats, and introduces the members that their sender does not know.
+    /// Handles relayed heartbeats, and introduces members that the sender does not know.
     pub(super) fn handle_relayed_heartbeats(
         &mut self,
         from: u16,
@@ -36,16 +38,16 @@
         heartbeats: Vec<CompactHeartbeat>,
         now: Millis,
     ) {
-        let lacking: Vec<u16> = (first..)
+        let unknown_to_sender: Vec<u16> = (first..)
             .zip(heartbeats)
             .filter_map(|(member, relayed)| {
                 self.handle_relayed_heartbeat(from, member, &relayed, now).then_some(member)
             })
             .collect();
-        self.introduce(from, &lacking, now);
+        self.introduce(from, &unknown_to_sender, now);
     }
 
-    /// Takes in one relayed heartbeat. `true` if its sender lacks what is known here of the member.
+    /// Handles one relayed heartbeat. Returns `true` if the sender lacks what is known here of the member.
     fn handle_relayed_heartbeat(
         &mut self,
         from: u16,
@@ -64,18 +66,19 @@
         if relayed.age == AGE_DEAD {
             return self.handle_reported_dead(from, member, evidence, now);
         }
-        // The low bits may be those of another incarnation.
+        // The low bits may belong to another incarnation.
         if self.table.is_plausible(member, relayed.heartbeat, now) {
             self.handle_evidence(member, evidence, age_millis(relayed.age), false, now);
         }
         false
     }
 
-    /// A member takes another for dead that is alive here: gossip did not reach one of the two. `true` if the sender
-    /// lacks later evidence.
+    /// Handles a report that a member is dead which is alive here: gossip did not reach either the sender or
+    /// this member. Returns `true` if the sender lacks later evidence.
     ///
-    /// Without later evidence this member takes it as a suspicion, but only when heartbeats would have been relayed
-    /// since: while a partition heals, those that know less still say that members are dead.
+    /// Without later evidence the report counts as a suspicion, but only if a later heartbeat would have been
+    /// relayed here by now: while a partition heals, members with older knowledge still report others as
+    /// dead.
     fn handle_reported_dead(&mut self, from: u16, member: u16, last: Evidence, now: Millis) -> bool {
         if !self.table.is_alive(member) {
             return false;
@@ -88,8 +91,8 @@
         refuted
     }
 
-    /// Introduces members to one that does not know them, as far as the budget allows. It is repeated with the next
-    /// relayed heartbeats that show it.
+    /// Sends evidence of members that the recipient does not know, as far as the send budget allows. It is
+    /// repeated when relayed heartbeats show again that they are unknown.
     fn introduce(&mut self, to: u16, members: &[u16], now: Millis) {
         if members.is_empty() || !self.send_budget.allows_introduction(now) {
             return;
--- a/crates/fleet/src/membership/schedule.rs
+++ b/crates/fleet/src/membership/schedule.rs
@@ -1,29 +1,31 @@
-//! The timer: a heartbeat interval is divided into one slot for each observer, and each slot sends one heartbeat. What
-//! is decided once a heartbeat, and once a round of heartbeats, is done in the first slot.
+//! The timer: a heartbeat interval is divided into one slot per observer, and each slot sends one heartbeat.
+//! Work that is due once per heartbeat or once per round of heartbeats is done in the first slot.
 
 use super::Membership;
 use crate::links::is_within;
 use crate::{HEARTBEAT_INTERVAL, Millis, OBSERVERS, SUSPECT_TIMEOUT};
 
-/// Between two slots.
+/// Time between two slots.
 const SLOT_INTERVAL: Millis = HEARTBEAT_INTERVAL / OBSERVERS as Millis;
-/// A slot that comes this much too late shows that this process is short of time, not that others are dead.
-const LATE_TIMER: Millis = 100;
-/// After a late slot, nobody's silence counts for this long: datagrams that arrived meanwhile are read first.
+/// A slot that is late by this much shows that this process lacks CPU time, not that other members are dead.
+const LATE_TIMER_THRESHOLD: Millis = 100;
+/// Time after a late slot during which silence does not count, so that datagrams that arrived meanwhile are
+/// read first.
 const LATE_TIMER_GRACE: Millis = 2 * HEARTBEAT_INTERVAL;
-/// Heartbeats between two rounds of anti-entropy and of probes of absent members.
+/// Number of heartbeats per round. Each round sends digests of shared state and probes an absent member.
 const HEARTBEATS_PER_ROUND: u32 = 4;
-/// A subject is asked for heartbeats, or sent a confirmation that it is heard, when nothing passed for this long.
-const QUIET_LINK: Millis = 2 * HEARTBEAT_INTERVAL;
+/// A subject is asked for heartbeats if nothing was received from it for this long, and sent a confirmation
+/// that it is heard if nothing was sent to it for this long.
+const QUIET_LINK_TIMEOUT: Millis = 2 * HEARTBEAT_INTERVAL;
 
-/// When slots are due, and what is known of this process's own delays.
+/// When slots are due, and how late this process itself has been.
 #[derive(Debug)]
 pub(super) struct Schedule {
     pub next_slot_at: Millis,
     slot: usize,
-    /// The last time that this process did anything.
+    /// When this process was last active.
     pub last_activity: Millis,
-    /// Silence of others before this does not count: this process was late itself.
+    /// Silence of other members before this time does not count, because this process was late itself.
     pub silence_counts_from: Millis,
 }
 
@@ -38,10 +40,10 @@
 }
 
 impl Membership {
-    /// Does what is due.
+    /// Runs the slots that are due.
     pub fn handle_timeout(&mut self, now: Millis) {
         self.detect_pause(now);
-        if now >= self.schedule.next_slot_at + LATE_TIMER {
+        if now >= self.schedule.next_slot_at + LATE_TIMER_THRESHOLD {
             self.handle_late_timer(now);
         }
         while self.schedule.next_slot_at <= now {
@@ -53,20 +55,22 @@
         self.emit_state_changes();
     }
 
-    /// Distrusts this member's own judgement for a while (Lifeguard, Dadgar et al. 2017).
+    /// Postpones suspicions and deaths after this process was late itself (local health awareness as in
+    /// Lifeguard, Dadgar et al. 2017).
     fn handle_late_timer(&mut self, now: Millis) {
         let schedule = &mut self.schedule;
         let silence_from = (now + LATE_TIMER_GRACE).saturating_sub(SUSPECT_TIMEOUT);
         schedule.silence_counts_from = schedule.silence_counts_from.max(silence_from);
-        self.table.defer_verdicts(now + LATE_TIMER_GRACE);
-        // Heartbeats that were not sent are counted, so that the next one refutes suspicions by those who missed them.
-        // It goes to all observers at once, as the next delay may be near.
+        self.table.defer_deaths(now + LATE_TIMER_GRACE);
+        // Missed heartbeats are counted, so that the next heartbeat refutes suspicions by members that missed
+        // them. It is sent to all observers at once, as the next delay may follow soon.
         let missed = (now - schedule.next_slot_at) / HEARTBEAT_INTERVAL;
         self.own.heartbeat += u32::try_from(missed).unwrap_or(0);
         schedule.next_slot_at = now.saturating_sub((OBSERVERS as Millis - 1) * SLOT_INTERVAL);
     }
 
-    /// Sends a heartbeat to one observer and to the subscribers of this slot, and attends to one subject.
+    /// Sends a heartbeat to one observer and to the subscribers of this slot, and maintains the link to one
+    /// subject.
     fn run_slot(&mut self, now: Millis) {
         let slot = self.schedule.slot;
         self.schedule.slot = (slot + 1) % OBSERVERS;
@@ -80,15 +84,15 @@
             self.send(subscriber, Vec::new(), now);
         }
         if let Some(subject) = self.links.subjects.get(slot).copied() {
-            self.attend_to_subject(subject, now);
+            self.maintain_subject_link(subject, now);
         }
         // The fewer members are alive, the more absent ones each of them has to probe.
-        if 2 * self.alive < usize::from(self.table.size()) {
+        if 2 * self.alive_count < usize::from(self.table.size()) {
             self.probe_absent_member(now);
         }
     }
 
-    /// Counts a heartbeat and decides what is decided once for each.
+    /// Counts a heartbeat and does the work that is due once per heartbeat or per round.
     fn begin_heartbeat(&mut self, now: Millis) {
         self.own.heartbeat += 1;
         if !std::mem::replace(&mut self.neighbours_current, true) {
@@ -104,11 +108,11 @@
         }
     }
 
-    /// Asks a subject for heartbeats that are missing, or confirms that it is heard.
-    fn attend_to_subject(&mut self, subject: u16, now: Millis) {
+    /// Asks a subject for missing heartbeats, or confirms that it is heard.
+    fn maintain_subject_link(&mut self, subject: u16, now: Millis) {
         let link = self.links.get(subject);
-        let missed = !is_within(link.last_received, QUIET_LINK, now);
-        let quiet = !is_within(link.last_sent, QUIET_LINK, now);
+        let missed = !is_within(link.last_received, QUIET_LINK_TIMEOUT, now);
+        let quiet = !is_within(link.last_sent, QUIET_LINK_TIMEOUT, now);
         if missed {
             self.request_heartbeats(subject, now);
         } else if quiet {
@@ -116,11 +120,11 @@
         }
     }
 
-    /// Sends a datagram to the next member that is dead or unknown: it may be there again.
+    /// Sends a datagram to the next member that is dead or unknown, in case it is reachable again.
     fn probe_absent_member(&mut self, now: Millis) {
         let size = self.table.size();
-        let mut following = (1..=size).map(|step| (self.last_probed + step) % size);
-        let Some(member) = following.find(|member| *member != self.me && !self.table.is_alive(*member))
+        let mut candidates = (1..=size).map(|step| (self.last_probed + step) % size);
+        let Some(member) = candidates.find(|member| *member != self.me && !self.table.is_alive(*member))
         else {
             return;
         };
--- a/crates/fleet/src/membership/status.rs
+++ b/crates/fleet/src/membership/status.rs
@@ -1,4 +1,4 @@
-//! What a member knows of its own standing: reachability, isolation, and the views that the page shows.
+//! The status of this member: reachability, isolation, and the views shown on the admin page.
 
 use super::Membership;
 use crate::Millis;
@@ -11,8 +11,9 @@
 }
 
 impl Membership {
-    /// How much of the fleet this member hears and is heard by. Whoever acts on it passes the present time, so that a
-    /// process that was paused learns of it here at the latest.
+    /// How much of the fleet receives this member's datagrams, and how much it receives from. Callers that
+    /// act on the result pass the current time, so that a process that was paused detects the pause here at
+    /// the latest.
     pub fn reachability(&mut self, now: Millis) -> Reachability {
         self.detect_pause(now);
         let links = &self.links;
@@ -31,10 +32,10 @@
         }
     }
 
-    /// Counts the members that are alive, and reports when this one becomes isolated or reconnected.
+    /// Updates the number of live members, and reports when this member becomes isolated or reconnected.
     pub(super) fn update_isolation(&mut self, now: Millis) {
         let reachability = self.reachability(now);
-        self.alive = 1 + usize::from(reachability.alive);
+        self.alive_count = 1 + usize::from(reachability.alive);
         match self.isolation.update(reachability.fraction(), now) {
             Some(IsolationChange::Isolated) => self.emit(Event::Isolated(reachability)),
             Some(IsolationChange::Reconnected) => self.emit(Event::Reconnected(reachability)),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// All that this member believes.
+    /// Returns the full view of the fleet.
     pub fn view(&mut self, now: Millis) -> View {
         let reachability = self.reachability(now);
         let member = |number: u16| {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The same in brief.
+    /// Returns the view in brief.
     pub fn view_summary(&mut self, now: Millis) -> ViewSummary {
         let reachability = self.reachability(now);
         let others = || self.table.others();
--- a/crates/fleet/src/reachability.rs
+++ b/crates/fleet/src/reachability.rs
@@ -1,47 +1,51 @@
-//! How much of the fleet a member can reach, and when it counts as isolated.
+//! How much of the fleet a member can reach, and the detection of its isolation.
 
 use crate::{DEATH_KNOWN_WITHIN, Millis};
 use serde::{Deserialize, Serialize};
 
-/// A member that reaches less than this fraction of the fleet is isolated.
+/// A member that can reach less than this fraction of the fleet is isolated.
 const ISOLATED_BELOW: f64 = 0.5;
-/// An isolated member that reaches at least this fraction is reconnected. The distance to [`ISOLATED_BELOW`] keeps a
-/// fraction between them from being reported again and again.
+/// An isolated member that can reach at least this fraction is reconnected. The gap to [`ISOLATED_BELOW`]
+/// keeps a member whose fraction fluctuates around one threshold from being reported repeatedly.
 const RECONNECTED_FROM: f64 = 0.75;
 
-/// How much of the fleet one member hears and is heard by. The two differ where a link is broken in one direction.
+/// How much of the fleet receives this member's datagrams, and how much it receives from. The two differ if a
+/// link is broken in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Reachability {
-    /// Members besides this one.
+    /// Number of members besides this one.
     pub others: u16,
-    /// Those that are alive, as far as is known by any path.
+    /// Other members that are alive, according to direct or relayed evidence.
     pub alive: u16,
-    /// Subjects: members whose heartbeats should arrive here directly.
+    /// Subjects: members whose heartbeats this member expects directly.
     #[serde(rename = "expected")]
     pub subjects: u16,
-    /// Subjects whose heartbeats arrived in time.
+    /// Subjects whose heartbeats arrive.
     #[serde(rename = "heard")]
     pub subjects_heard: u16,
-    /// Observers: members that this one sends heartbeats to.
+    /// Observers: members that this member sends heartbeats to.
     #[serde(rename = "watchers")]
     pub observers: u16,
-    /// Observers that said lately that they hear this one.
+    /// Observers that have recently confirmed that they receive this member's datagrams.
     #[serde(rename = "confirmed")]
     pub observers_confirming: u16,
-    /// Observers that report, by any path, that they do not.
+    /// Observers that report, directly or through other members, that they do not receive this member's
+    /// heartbeats.
     #[serde(rename = "denied")]
     pub observers_denying: u16,
-    /// Milliseconds since the last datagram from anybody; `None` since the start or a pause of this process.
+    /// Milliseconds since the last datagram from any member; `None` if none has arrived since the start or
+    /// the last pause of this process.
     #[serde(rename = "age_ms")]
     pub last_received_ms: Option<Millis>,
-    /// Another process took over this one's number; this one takes no part any more.
+    /// Whether another process has taken over this member's number, so that this process no longer takes
+    /// part.
     pub superseded: bool,
 }
 
 impl Reachability {
-    /// The fraction of the others, from 0 to 1, that can be counted on to hear this member and be heard: the least of
-    /// those alive, of the subjects that are heard, and of the observers that confirm. An observer that confirms
-    /// nothing does not count: the path may be broken in either direction.
+    /// The fraction of the other members, from 0 to 1, with which communication works in both directions: the
+    /// minimum of the fractions of members alive, of subjects heard, and of observers that confirm. An
+    /// observer that confirms nothing does not count, as the path may be broken in either direction.
     pub fn fraction(&self) -> f64 {
         if self.others == 0 || self.superseded {
             return 0.0;
@@ -53,20 +57,20 @@
     }
 }
 
-/// What an update of the isolation detector found.
+/// A change found by the isolation detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IsolationChange {
     Isolated,
     Reconnected,
 }
 
-/// Decides when this member is isolated from the fleet, and when it is no longer.
+/// Detects when this member becomes isolated from the fleet, and when it is reconnected.
 #[derive(Debug)]
 pub(crate) struct IsolationDetector {
     isolated: bool,
-    /// After a start nobody is heard yet: nothing is decided before this.
+    /// No isolation is reported before this time, because after a start nothing has been received yet.
     not_before: Millis,
-    /// The last time at which the fraction was too low to be reconnected.
+    /// When the fraction was last too low to count as reconnected.
     last_low: Millis,
 }
 
@@ -75,12 +79,12 @@
         Self { isolated: false, not_before, last_low: now }
     }
 
-    /// This process was paused: nothing is decided before `until`.
+    /// Suspends detection until `until`, after a pause of this process.
     pub fn suspend(&mut self, until: Millis) {
         self.not_before = until;
     }
 
-    /// Looks at the present reachable fraction.
+    /// Updates the detector with the current reachable fraction.
     pub fn update(&mut self, fraction: f64, now: Millis) -> Option<IsolationChange> {
         if !self.isolated && now >= self.not_before && fraction < ISOLATED_BELOW {
             self.isolated = true;
@@ -90,7 +94,7 @@
             self.last_low = now;
             return None;
         }
-        // By then it is known if some of those that came back are dead, as when a partition moves.
+        // By then, any members that came back only briefly are known to be dead, as when a partition moves.
         if now < self.last_low + DEATH_KNOWN_WITHIN {
             return None;
         }
--- a/crates/fleet/src/registers.rs
+++ b/crates/fleet/src/registers.rs
@@ -1,4 +1,4 @@
-//! A shared state of one register for each member, written by that member alone: the last write wins.
+//! A shared state with one register per member. Only that member writes it, and its last write wins.
 
 use crate::shared_state::{Malformed, SharedState};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
@@ -6,31 +6,32 @@
 use std::collections::VecDeque;
 use std::marker::PhantomData;
 
-/// Registers that one digest covers at most.
+/// Maximum number of registers covered by one digest.
 const MAX_CHECKSUMS: usize = 64;
-/// Most bytes of one checksum in a digest, and of the digest's two counts together.
+/// Maximum encoded size of one checksum in a digest, and of the digest's two numbers (first register and
+/// count) together.
 const CHECKSUM_BYTES: usize = 5;
-/// Bytes that hold the count of entries in a delta.
+/// Encoded size of the number of entries in a delta.
 const COUNT_BYTES: usize = 2;
-/// Times that each member which learns of a write passes it on.
+/// How many times each member that learns of a write passes it on.
 const TRANSMISSIONS: u8 = 24;
 
-/// What a member reports of itself to all others.
+/// What a member reports about itself to all others.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SelfReport {
-    /// Subjects whose heartbeats should reach it and do not, eight at most.
+    /// Subjects whose heartbeats do not arrive at the reporting member; at most eight.
     pub unheard_subjects: Vec<u16>,
 }
 
-/// The order of a member's writes.
+/// A stamp that orders the writes of a member.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Stamp {
     incarnation: u64,
-    /// Writes in that incarnation.
+    /// Number of earlier writes in that incarnation.
     count: u32,
 }
 
-/// A register's content.
+/// The content of a register.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Write {
     stamp: Stamp,
@@ -38,13 +39,14 @@
 }
 
 impl Write {
-    /// Two processes under one number may write under the same stamp; then all members choose by the bytes.
+    /// Two processes with the same member number may produce the same stamp; comparing the values as well
+    /// makes all members keep the same write.
     fn is_newer_than(&self, other: &Write) -> bool {
         (self.stamp, &self.value) > (other.stamp, &other.value)
     }
 }
 
-/// A write that is to be disseminated.
+/// A write to be disseminated by gossip.
 #[derive(Debug, Clone)]
 struct Pending {
     member: u16,
@@ -56,13 +58,13 @@
 pub struct Registers<V> {
     writes: Vec<Option<Write>>,
     max_value_bytes: usize,
-    /// The register at which the next digest begins.
+    /// The first register of the next digest.
     next_digest: usize,
     pending: VecDeque<Pending>,
     value: PhantomData<fn() -> V>,
 }
 
-/// A digest: checksums of the registers from a number on, 0 for an empty register.
+/// A digest: checksums of consecutive registers from `first` on, 0 for an empty register.
 #[derive(Serialize, Deserialize)]
 struct Checksums {
     first: u16,
@@ -80,7 +82,7 @@
 }
 
 impl<V: Serialize + DeserializeOwned> Registers<V> {
-    /// Empty registers of `size` members, for values of `max_value_bytes` at most.
+    /// Creates empty registers for `size` members and values of at most `max_value_bytes`.
     pub fn new(size: u16, max_value_bytes: usize) -> Self {
         let writes = vec![None; usize::from(size)];
         Self { writes, max_value_bytes, next_digest: 0, pending: VecDeque::new(), value: PhantomData }
@@ -89,14 +91,14 @@
     /// Writes a member's own register.
     ///
     /// # Errors
-    /// The value takes more bytes than a register has.
+    /// The encoded value is larger than a register.
     pub fn write(&mut self, member: u16, incarnation: u64, value: &V) -> Result<(), Malformed> {
         let value = postcard::to_allocvec(value).map_err(|_| Malformed)?;
         if value.len() > self.max_value_bytes {
             return Err(Malformed);
         }
         let last = self.writes[usize::from(member)].as_ref().map(|write| write.stamp).unwrap_or_default();
-        // An earlier process under this number may have had a wall clock that stood ahead.
+        // An earlier process with this member number may have had a wall clock that was ahead.
         let stamp = if last.incarnation >= incarnation {
             Stamp { incarnation: last.incarnation, count: last.count + 1 }
         } else {
@@ -106,13 +108,13 @@
         Ok(())
     }
 
-    /// The value in a member's register.
+    /// Reads the value in a member's register.
     pub fn read(&self, member: u16) -> Option<V> {
         let write = self.writes.get(usize::from(member))?.as_ref()?;
         postcard::from_bytes(&write.value).ok()
     }
 
-    /// Keeps a write if it is newer than what is there.
+    /// Stores a write if it is newer than the stored one, and returns whether it was.
     fn accept(&mut self, member: u16, write: Write, gossip: bool) -> bool {
         let current = &mut self.writes[usize::from(member)];
         let newer = current.as_ref().is_none_or(|current| write.is_newer_than(current));
@@ -126,7 +128,8 @@
         newer
     }
 
-    /// One delta of `max_bytes` at most, of the first of `members` that fit; and how many those are.
+    /// Encodes one delta of at most `max_bytes` from the first of `members` that fit; returns it with their
+    /// number.
     fn encode_delta(&self, members: &[u16], max_bytes: usize) -> (Vec<u8>, usize) {
         let entry = |member: &u16| Some((*member, self.writes[usize::from(*member)].as_ref()?));
         let mut entries: Vec<(u16, &Write)> = Vec::new();
--- a/crates/fleet/src/replay_window.rs
+++ b/crates/fleet/src/replay_window.rs
@@ -1,19 +1,20 @@
-//! Protection against replayed datagrams: each sequence number of a sender is accepted once, in any order within a
-//! window (as in RFC 4303, section 3.4.3).
+//! Replay protection: each sequence number of a sender is accepted once, in any order within a sliding window
+//! (as in RFC 4303, section 3.4.3).
 
-/// Sequence numbers back from the newest one that are still told apart.
+/// Width of the window, in sequence numbers up to the newest one.
 const WINDOW_BITS: u64 = 64;
 
-/// The sequence numbers that were accepted from one incarnation of a sender.
+/// The sequence numbers accepted from one incarnation of a sender.
 #[derive(Debug, Clone, Default)]
 pub struct ReplayWindow {
     newest: u64,
-    /// Bit `i`: `newest - i` was accepted.
+    /// Bit `i` is set if `newest - i` was accepted.
     accepted: u64,
 }
 
 impl ReplayWindow {
-    /// Accepts a sequence number, from 1; `false` if it was accepted before or lies before the window.
+    /// Accepts a sequence number, starting at 1; `false` if it was accepted before or is older than the
+    /// window.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.newest {
             let ahead = sequence - self.newest;
--- a/crates/fleet/src/rings.rs
+++ b/crates/fleet/src/rings.rs
@@ -1,8 +1,9 @@
-//! Who monitors whom, as in Rapid (Suresh et al. 2018): a member's observers are the next live members on eight fixed
-//! rings, its subjects the previous ones.
+//! The monitoring topology, as in Rapid (Suresh et al. 2018): a member's observers are the next live members
+//! on eight fixed rings, and its subjects are the previous ones.
 //!
-//! All members derive the same rings from the fleet's size. A ring's order is that of a hash, so that neighbours on one
-//! ring are far apart on the others, and the monitoring graph stays connected when many members are dead.
+//! All members derive the same rings from the fleet size. Each ring is ordered by a hash, so that neighbours
+//! on one ring are far apart on the others, and the monitoring graph stays connected when many members are
+//! dead.
 
 use crate::OBSERVERS;
 use sha2::{Digest, Sha256};
@@ -10,9 +11,9 @@
 /// The rings of a fleet.
 #[derive(Debug, Clone)]
 pub struct Rings {
-    /// For each ring, the members in its order.
+    /// The members in the order of each ring.
     order: Vec<Vec<u16>>,
-    /// For each ring, each member's place in that order.
+    /// The position of each member on each ring.
     place: Vec<Vec<u16>>,
 }
 
@@ -25,7 +26,7 @@
 }
 
 impl Rings {
-    /// The rings of a fleet of `size` members.
+    /// Creates the rings of a fleet of `size` members.
     pub fn new(size: u16) -> Self {
         let mut order = Vec::new();
         let mut place = Vec::new();
@@ -47,7 +48,7 @@
         self.neighbours(member, is_dead, 1)
     }
 
-    /// The members whose heartbeats a member expects.
+    /// The members from which a member expects heartbeats.
     pub fn subjects(&self, member: u16, is_dead: impl Fn(u16) -> bool) -> Vec<u16> {
         self.neighbours(member, is_dead, usize::from(self.size()) - 1)
     }
@@ -56,13 +57,14 @@
         u16::try_from(self.order[0].len()).unwrap_or(u16::MAX)
     }
 
-    /// The nearest live member on each ring, `step` places at a time. While no more are live than there are rings, all
-    /// are neighbours: the rings name some twice, and a small fleet needs each one.
+    /// The nearest live member on each ring, in steps of `step` positions. If there are no more live members
+    /// than rings, all of them are neighbours: the rings would give some of them twice and leave out others,
+    /// and a small fleet needs each one.
     fn neighbours(&self, of: u16, is_dead: impl Fn(u16) -> bool, step: usize) -> Vec<u16> {
         let mut live = (0..self.size()).filter(|member| *member != of && !is_dead(*member));
-        let few: Vec<u16> = live.by_ref().take(OBSERVERS).collect();
+        let first_live: Vec<u16> = live.by_ref().take(OBSERVERS).collect();
         if live.next().is_none() {
-            return few;
+            return first_live;
         }
         let mut chosen: Vec<u16> = Vec::with_capacity(OBSERVERS);
         for (order, place) in self.order.iter().zip(&self.place) {
--- a/crates/fleet/src/send_budget.rs
+++ b/crates/fleet/src/send_budget.rs
@@ -1,21 +1,21 @@
-//! What may still be sent: a budget of bytes that does not grow with the fleet, and what is put off first when it runs
-//! low.
+//! The send budget of a member: bytes per second, independent of the fleet size.
 //!
-//! In the order in which they stop: introductions of members (below [`INTRODUCTION_RESERVE`]), deltas of shared state
-//! and gossip (at zero), heartbeats and replies (below minus [`OVERDRAFT`]). Evidence of life comes last, so that a
-//! storm of gossip makes nobody look dead.
+//! When the budget runs low, traffic is deferred in this order: introductions of members (below
+//! [`INTRODUCTION_RESERVE`]), deltas of shared state and gossip (at zero), heartbeats and replies (below
+//! minus [`OVERDRAFT`]). Evidence of life is deferred last, so that a storm of gossip makes no member appear
+//! dead.
 
 use crate::Millis;
 use crate::token_bucket::{Rate, TokenBucket};
 
-/// Bytes that a member sends.
+/// Rate at which a member may send, in bytes.
 const SEND_RATE: Rate = Rate { per_second: 8_000, burst: 4_000 };
 /// Bytes by which heartbeats and replies may overdraw the budget.
 const OVERDRAFT: i64 = 2_000;
-/// Bytes that introductions leave for what is more urgent.
+/// Bytes of the budget that introductions leave to more urgent traffic.
 const INTRODUCTION_RESERVE: i64 = 1_000;
 
-/// The budget of bytes of one member.
+/// The send budget of one member, in bytes.
 #[derive(Debug)]
 pub(crate) struct SendBudget {
     bytes: TokenBucket,
@@ -31,22 +31,22 @@
         self.bytes.level(now) >= -OVERDRAFT
     }
 
-    /// Whether a member may be sent introductions of members that it does not know.
+    /// Whether introductions may be sent: evidence of members that the recipient does not know.
     pub fn allows_introduction(&mut self, now: Millis) -> bool {
         self.bytes.level(now) >= INTRODUCTION_RESERVE
     }
 
-    /// Whether a delta of shared state of so many bytes may be sent.
+    /// Whether a delta of shared state of this many bytes may be sent.
     pub fn allows_delta(&mut self, bytes: usize, now: Millis) -> bool {
         self.bytes.level(now) >= i64::try_from(bytes).unwrap_or(i64::MAX)
     }
 
-    /// Bytes left for gossip.
+    /// Bytes available for gossip.
     pub fn left_for_gossip(&mut self, now: Millis) -> usize {
         usize::try_from(self.bytes.level(now)).unwrap_or(0)
     }
 
-    /// So many bytes were sent.
+    /// Subtracts bytes that were sent, even if that overdraws the budget.
     pub fn spend(&mut self, bytes: usize) {
         self.bytes.spend(bytes);
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,117 +1,119 @@
-//! What a member shows of the fleet to operators and tools. The JSON keys are part of the page's interface.
+//! Snapshots of a member's view of the fleet, for operators and tools. Their JSON keys are part of the
+//! interface of the admin page.
 
 use crate::Millis;
 use crate::member_table::MemberState;
 use crate::reachability::Reachability;
 use serde::{Deserialize, Serialize};
 
-/// Datagrams that were sent, accepted, rejected and put off, since the start.
+/// Counts of datagrams sent, received, rejected and deferred since the process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
     pub received: u64,
-    /// Bytes of all datagrams that arrived.
+    /// Bytes of all datagrams that arrived, accepted or not.
     pub received_bytes: u64,
-    /// Rejected: longer than a datagram may be.
+    /// Rejected: longer than [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES).
     pub oversized: u64,
-    /// Rejected: from an address that is no member's, or another's than it names.
+    /// Rejected: the source address belongs to no other member, or to a member other than the sender in the
+    /// header.
     #[serde(rename = "misplaced")]
     pub wrong_sender: u64,
-    /// Rejected: more than a member may send.
+    /// Rejected: above the rate limit of its sender or of all members together.
     #[serde(rename = "flooded")]
     pub rate_limited: u64,
-    /// Rejected: the tag does not match; another key, or forged.
+    /// Rejected: the authentication tag does not match, because of a different key or a forgery.
     #[serde(rename = "forged")]
     pub unauthenticated: u64,
-    /// Rejected: the tag matches, the content is not of the form or names numbers outside the fleet.
+    /// Rejected: the tag matches, but the content does not decode or has member numbers outside the fleet.
     pub malformed: u64,
-    /// Rejected: the sender is configured with another fleet size.
+    /// Rejected: the sender is configured with a different fleet size.
     #[serde(rename = "other_size")]
     pub wrong_fleet_size: u64,
-    /// Rejected: for another member.
+    /// Rejected: addressed to another member.
     #[serde(rename = "misdelivered")]
     pub wrong_recipient: u64,
-    /// Rejected: received before, or too old to tell.
+    /// Rejected: a duplicate, or too old for the replay window to tell.
     pub replayed: u64,
-    /// Answered, not believed: of an incarnation that is over.
+    /// Replied to but not accepted: sent by an earlier incarnation of the sender.
     #[serde(rename = "stale")]
     pub stale_sender: u64,
-    /// Answered, not believed: sent before the sender knew this incarnation.
+    /// Replied to but not accepted: addressed to an incarnation other than this member's current one.
     #[serde(rename = "unproven")]
     pub stale_recipient: u64,
-    /// Deltas or digests of shared state that were not of its form.
+    /// Deltas or digests of shared state that could not be decoded.
     #[serde(rename = "unreadable")]
     pub malformed_state: u64,
-    /// Datagrams put off because the send budget was used up.
+    /// Datagrams not sent when due, because the send budget was exhausted; a later round makes up for them.
     #[serde(rename = "put_off")]
     pub deferred: u64,
-    /// Gossip messages dropped because there were too many.
+    /// Gossip messages dropped because the queue was full.
     #[serde(rename = "rumors_dropped")]
     pub gossip_dropped: u64,
-    /// Pauses of this process that were long enough for a new incarnation.
+    /// Pauses of this process that were long enough to start a new incarnation.
     #[serde(rename = "away")]
     pub pauses: u64,
 }
 
-/// What is believed of one member.
+/// What this member believes about one other member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its number.
+    /// The other member's number.
     pub number: u16,
-    /// What is believed.
+    /// Its state.
     pub state: MemberState,
-    /// Milliseconds since that state began.
+    /// Milliseconds since the state began.
     #[serde(rename = "for_ms")]
     pub state_age_ms: Millis,
-    /// Its incarnation, 0 for none.
+    /// Its latest known incarnation; 0 if none is known.
     pub incarnation: u64,
-    /// Milliseconds since its latest heartbeat was sent, as far as is known.
+    /// Milliseconds since its latest known heartbeat was sent; an estimate where that heartbeat was relayed.
     #[serde(rename = "age_ms")]
     pub heartbeat_age_ms: Option<Millis>,
-    /// Milliseconds since its last datagram arrived here.
+    /// Milliseconds since the last datagram that arrived from it directly.
     #[serde(rename = "direct_ms")]
     pub last_received_ms: Option<Millis>,
-    /// It reports that it does not hear this member.
+    /// Whether it reports that it does not receive this member's heartbeats.
     #[serde(rename = "denies")]
     pub reports_unheard: bool,
 }
 
-/// All that a member believes.
+/// The full view of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Its number.
+    /// This member's number.
     pub number: u16,
-    /// Its incarnation.
+    /// This member's incarnation.
     pub incarnation: u64,
-    /// How much of the fleet it reaches.
+    /// How much of the fleet this member can reach.
     #[serde(rename = "hearing")]
     pub reachability: Reachability,
-    /// The others.
+    /// All other members.
     pub members: Vec<MemberView>,
-    /// Datagrams that were sent, accepted, rejected and put off.
+    /// Counts of datagrams sent, received, rejected and deferred since the process started.
     pub counters: Counters,
-    /// Gossip messages that wait to be sent.
+    /// Gossip messages queued for sending.
     #[serde(rename = "rumors")]
     pub gossip_queued: usize,
 }
 
-/// A view in few enough bytes to be polled often.
+/// A summary of [`View`], small enough to be polled often.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewSummary {
-    /// Its number.
+    /// This member's number.
     pub number: u16,
-    /// Its incarnation.
+    /// This member's incarnation.
     pub incarnation: u64,
-    /// How much of the fleet it reaches.
+    /// How much of the fleet this member can reach.
     #[serde(rename = "hearing")]
     pub reachability: Reachability,
-    /// Members that are alive, suspected or not.
+    /// Other members that are alive, suspected or not.
     pub alive: Vec<u16>,
-    /// Members that are dead.
+    /// Other members that are dead.
     #[serde(rename = "gone")]
     pub dead: Vec<u16>,
 }
