--- a/crates/peers/src/driver.rs
+++ b/crates/peers/src/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the membership state machine and its socket.
+//! The task that drives the membership state machine and owns its socket.
 
 use crate::clock;
 use crate::event_log::EventLog;
@@ -8,10 +8,10 @@
 use tokio::time::Instant;
 use weirusher_fleet::{MAX_DATAGRAM_BYTES, Membership, View, ViewSummary};
 
-/// Datagrams read before timers are looked at again.
+/// Maximum number of datagrams read before timers are checked again.
 const MAX_READ_BATCH: usize = 64;
 
-/// What the rest of the process asks the driver.
+/// A query from the rest of the process, with the channel for its reply.
 #[derive(Debug)]
 pub(crate) enum Query {
     View(oneshot::Sender<View>),
@@ -59,7 +59,7 @@
 
     fn answer(&mut self, query: Query) {
         let now = clock::monotonic_now();
-        // The one that asked may have been cancelled meanwhile.
+        // The reply fails if the caller was cancelled in the meantime.
         let _ = match query {
             Query::View(reply) => reply.send(self.membership.view(now)).is_ok(),
             Query::Summary(reply) => reply.send(self.membership.view_summary(now)).is_ok(),
@@ -67,14 +67,15 @@
     }
 
     fn receive(&mut self) {
-        // One byte more than the longest datagram: a longer one is truncated to that, and rejected as too long.
+        // One byte more than the longest valid datagram: a longer one is truncated to this size and rejected
+        // as oversized.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_READ_BATCH {
             match self.socket.try_recv_from(&mut buffer) {
                 Ok((bytes, from)) => {
                     self.membership.handle_datagram(from, &buffer[..bytes], clock::monotonic_now());
                 }
-                // Nothing more to read, or a report that a peer's port is closed.
+                // There is nothing more to read, or the kernel reports that a peer's port is closed.
                 Err(_) => return,
             }
         }
@@ -82,7 +83,7 @@
 
     fn transmit(&mut self) {
         while let Some((to, bytes)) = self.membership.poll_transmit() {
-            // A datagram that cannot be sent is lost, as it can be anywhere.
+            // A datagram that cannot be sent counts as lost; the protocol tolerates loss.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
--- a/crates/peers/src/event_log.rs
+++ b/crates/peers/src/event_log.rs
@@ -1,4 +1,4 @@
-//! Log lines about the fleet, few enough to be read: many members that die at once are one line.
+//! Log lines about the fleet. They are aggregated: many members that die at once give one line.
 
 #[cfg(test)]
 mod tests;
@@ -7,28 +7,28 @@
 use std::fmt::Write as _;
 use weirusher_fleet::{Event, HEARTBEAT_INTERVAL, MemberState, Millis, StateChange};
 
-/// Members that are named in one line; further ones are counted.
+/// Maximum number of members named in one line; the remaining ones are counted.
 const MAX_NAMED: usize = 8;
-/// Least time between two lines about members that died or came back.
+/// Minimum time between two log lines about deaths and returns.
 const CHANGES_INTERVAL: Millis = 4 * HEARTBEAT_INTERVAL;
 
-/// Writes events to the log.
+/// Writes membership events to the log.
 #[derive(Debug, Default)]
 pub(crate) struct EventLog {
-    /// Changes that are not logged yet.
+    /// State changes not logged yet.
     changes: Vec<StateChange>,
     changes_logged_at: Millis,
-    /// Members with another fleet size: one line each.
+    /// Members already reported for a different fleet size, so that each one is logged once.
     size_mismatches: HashSet<u16>,
 }
 
 impl EventLog {
-    /// Logs events, and the changes of members' states that were not logged yet.
+    /// Logs events, and pending state changes if [`CHANGES_INTERVAL`] has passed since the last ones.
     pub fn record(&mut self, events: impl Iterator<Item = Event>, now: Millis) {
         events.for_each(|event| self.record_event(event));
         if now >= self.changes_logged_at + CHANGES_INTERVAL && !self.changes.is_empty() {
             self.changes_logged_at = now;
-            for line in change_lines(&std::mem::take(&mut self.changes)) {
+            for line in format_changes(&std::mem::take(&mut self.changes)) {
                 tracing::info!("{line}");
             }
         }
@@ -38,48 +38,52 @@
         match event {
             Event::StateChanged(change) => self.changes.push(change),
             Event::Paused(ms) => {
-                tracing::warn!(ms, "this process stood still; it takes part in its fleet anew");
+                tracing::warn!(ms, "process was paused; rejoining the fleet with a new incarnation");
             }
             Event::IncarnationRaised(incarnation) => {
                 tracing::info!(
                     incarnation,
-                    "an earlier process under this number had this later incarnation"
+                    "an earlier process with this member number had a later incarnation; taking the next one"
                 );
             }
             Event::Superseded(incarnation) => {
                 tracing::error!(
                     incarnation,
-                    "another process has this number; this one leaves the fleet to it"
+                    "another process has taken this member number; this one no longer takes part in the fleet"
                 );
             }
             Event::FleetSizeMismatch { member, size } => {
                 if self.size_mismatches.insert(member) {
-                    tracing::warn!(member, size, "a gateway is configured with another size of the fleet");
+                    tracing::warn!(member, size, "a gateway is configured with a different fleet size");
                 }
             }
             Event::Isolated(reachability) => {
-                tracing::warn!(?reachability, "cut off from most of the fleet");
+                tracing::warn!(?reachability, "isolated: less than half of the fleet is reachable");
             }
             Event::Reconnected(reachability) => {
-                tracing::info!(?reachability, "no longer cut off from the fleet");
+                tracing::info!(
+                    ?reachability,
+                    "reconnected: at least three quarters of the fleet are reachable"
+                );
             }
         }
     }
 }
 
-/// The lines about members that died or came back. Suspicions are not logged: most are refuted, and the page shows them.
-fn change_lines(changes: &[StateChange]) -> Vec<String> {
+/// Formats the lines about members that died or came back. Suspicions are not logged: most are refuted, and
+/// the admin page shows them.
+fn format_changes(changes: &[StateChange]) -> Vec<String> {
     let died = |change: &&StateChange| change.to == MemberState::Dead;
     let came_back = |change: &&StateChange| {
         change.to == MemberState::Alive && matches!(change.from, MemberState::Dead | MemberState::Unknown)
     };
     let died = changes.iter().filter(died).map(|change| change.member).collect();
     let came_back = changes.iter().filter(came_back).map(|change| change.member).collect();
-    let lines = [change_line(died, MemberState::Dead), change_line(came_back, MemberState::Alive)];
+    let lines = [format_change(died, MemberState::Dead), format_change(came_back, MemberState::Alive)];
     lines.into_iter().flatten().collect()
 }
 
-fn change_line(mut members: Vec<u16>, state: MemberState) -> Option<String> {
+fn format_change(mut members: Vec<u16>, state: MemberState) -> Option<String> {
     members.sort_unstable();
     members.dedup();
     let first = members.first()?;
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,5 +1,6 @@
-//! Runs [`weirusher_fleet::Membership`]: one UDP socket, the clock, log lines, and the admin page with the views. It
-//! decides nothing. Without `[fleet]` in the configuration, nothing of it is started.
+//! Runs [`weirusher_fleet::Membership`] on a UDP socket and a clock, logs its events, and serves its views on
+//! the admin page. All protocol decisions are made by the state machine. Nothing is started unless the
+//! configuration has a `[fleet]` table.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/peers/src/page.rs
+++ b/crates/peers/src/page.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server and client for admin pages: few connections at once, none idle for long.
+//! A minimal HTTP server and client for admin pages, with few concurrent connections and short idle timeouts.
 
 use futures::{SinkExt, StreamExt};
 use std::io;
@@ -10,20 +10,20 @@
 use weirusher_net::{Listener, Stream};
 use weirusher_wire::http1::{ClientCodec, Request, Response, ServerCodec};
 
-/// Connections at once; a further one is closed.
+/// Maximum number of concurrent connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 16;
-/// How long a connection may be idle, and how long a response may take to be sent.
+/// Maximum time that a connection may be idle, and that sending a response may take.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Status of a response to a request that could not be read. The connection is closed after it.
+/// Status of the response to a request that could not be parsed. The connection is closed after it.
 const BAD_REQUEST: u16 = 400;
 
-/// What serves the requests of a page.
+/// Answers the requests to a page.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// The response to a request.
+    /// Returns the response to a request.
     fn handle(&self, request: &Request) -> impl Future<Output = Response> + Send;
 }
 
-/// Serves a page until it is aborted.
+/// Serves a page until the task is aborted.
 pub async fn serve(mut listener: Listener, handler: impl Handler) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -51,10 +51,10 @@
     }
 }
 
-/// Gets a page.
+/// Fetches a page.
 ///
 /// # Errors
-/// Nothing listens there, or the response cannot be read.
+/// The connection fails, or the response cannot be read.
 pub async fn get(address: SocketAddr, path: &str) -> io::Result<Response> {
     let mut framed = Framed::new(Stream::connect(address).await?, ClientCodec::default());
     let request = Request { method: "GET".into(), path: path.into(), ..Request::default() };
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,4 +1,4 @@
-//! The handle by which the rest of the process reaches the fleet's driver, and the admin page on it.
+//! The handle through which the rest of the process queries fleet membership, and the admin page built on it.
 
 use crate::clock;
 use crate::driver::{Driver, Query};
@@ -12,40 +12,40 @@
 use weirusher_fleet::{Membership, SettingsError, View, ViewSummary};
 use weirusher_wire::http1::{Request, Response};
 
-/// Queries that may wait for the driver.
+/// Maximum number of queries waiting for the driver.
 const MAX_QUEUED_QUERIES: usize = 16;
 
-/// Why a gateway cannot take part in its fleet.
+/// Why a gateway cannot join its fleet.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// The address cannot be listened on.
-    #[error("cannot listen for the fleet on {0}: {1}")]
+    /// The datagram socket cannot be bound.
+    #[error("cannot listen for fleet datagrams on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The settings cannot work.
-    #[error("the fleet: {0}")]
+    /// The fleet settings are not valid.
+    #[error("fleet settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// A handle to this process's membership of its fleet.
+/// A handle to this process's membership in its fleet.
 #[derive(Debug, Clone)]
 pub struct Peers {
-    /// Where datagrams are received.
+    /// The address on which datagrams are received.
     pub address: SocketAddr,
     queries: mpsc::Sender<Query>,
 }
 
 impl Peers {
-    /// Listens, and returns the handle with the driver's task, which the caller has to run.
+    /// Binds the datagram socket, and returns the handle and the driver task, which the caller has to run.
     ///
     /// # Errors
-    /// The address cannot be listened on, or the settings cannot work.
+    /// The address cannot be bound, or the settings are not valid.
     pub async fn start(
         config: FleetConfig,
     ) -> Result<(Self, impl Future<Output = ()> + Send + use<>), StartError> {
-        let fail = |error| StartError::Listen(config.listen, error);
-        let socket = UdpSocket::bind(config.listen).await.map_err(fail)?;
-        let address = socket.local_addr().map_err(fail)?;
+        let listen_error = |error| StartError::Listen(config.listen, error);
+        let socket = UdpSocket::bind(config.listen).await.map_err(listen_error)?;
+        let address = socket.local_addr().map_err(listen_error)?;
         let incarnation = clock::wall_clock_now(config.clock_shift_seconds);
         let seed = fastrand::u64(..);
         let membership = Membership::new(config.settings, incarnation, seed, clock::monotonic_now())?;
@@ -53,14 +53,14 @@
         Ok((Self { address, queries }, Driver::new(membership, socket, received).run()))
     }
 
-    /// What this gateway believes of its fleet; `None` while the process stops.
+    /// Returns this gateway's full view of the fleet; `None` while the process is stopping.
     pub async fn view(&self) -> Option<View> {
         let (reply, view) = oneshot::channel();
         self.queries.send(Query::View(reply)).await.ok()?;
         view.await.ok()
     }
 
-    /// The same in brief.
+    /// Returns the view in brief; `None` while the process is stopping.
     pub async fn view_summary(&self) -> Option<ViewSummary> {
         let (reply, summary) = oneshot::channel();
         self.queries.send(Query::Summary(reply)).await.ok()?;
--- a/crates/peers/tests/page_keys.rs
+++ b/crates/peers/tests/page_keys.rs
@@ -1,4 +1,4 @@
-//! The JSON keys of `/fleet` and `/fleet/brief`, pinned: operators' tools and kept captures read them.
+//! Pins the JSON keys of `/fleet` and `/fleet/brief`, which operators' tools and stored captures depend on.
 
 use std::net::SocketAddr;
 use weirusher_fleet::{Membership, Settings};
@@ -15,7 +15,7 @@
 );
 
 #[test]
-fn the_full_view_keeps_its_keys() {
+fn full_view_keys_are_stable() {
     let view = serde_json::to_string(&fleet().view(5)).unwrap();
     let expected = [
         r#"{"number":0,"incarnation":9,"#,
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn the_brief_view_keeps_its_keys() {
+fn brief_view_keys_are_stable() {
     let brief = serde_json::to_string(&fleet().view_summary(5)).unwrap();
     let expected = [r#"{"number":0,"incarnation":9,"#, REACHABILITY, r#","alive":[],"gone":[]}"#];
     assert_eq!(brief, expected.concat());
 }
 
 #[test]
-fn the_states_keep_their_words() {
+fn state_names_are_stable() {
     use weirusher_fleet::MemberState::{Alive, Dead, Suspected, Unknown};
     let words = [Unknown, Alive, Suspected, Dead].map(|state| serde_json::to_string(&state).unwrap());
     assert_eq!(words, [r#""unknown""#, r#""alive""#, r#""suspected""#, r#""gone""#]);
