--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! What a member accepts, rejects and replies to, and the small types that it does so with.
+//! Which datagrams a member accepts, rejects and replies to. Also tests the replay window, the token bucket, the rings
+//! and the settings.
 
 use proptest::prelude::*;
 use weirusher_fleet::{
@@ -22,7 +23,7 @@
     }
 }
 
-fn fleet() -> Membership {
+fn membership() -> Membership {
     let members = (0..4).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
     Membership::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap()
 }
@@ -32,26 +33,26 @@
 }
 
 #[test]
-fn each_sequence_number_is_taken_once_in_any_order_within_the_window() {
+fn replay_window_accepts_each_sequence_number_once() {
     let mut window = ReplayWindow::default();
-    let taken = [1, 3, 2, 3, 70, 7, 6, 70, 71, 5, 0, u64::MAX, 71].map(|n| window.accept(n));
+    let accepted = [1, 3, 2, 3, 70, 7, 6, 70, 71, 5, 0, u64::MAX, 71].map(|n| window.accept(n));
     let expected = [true, true, true, false, true, true, false, false, true, false, false, true, false];
-    assert_eq!(taken, expected);
+    assert_eq!(accepted, expected);
 }
 
 #[test]
-fn an_overdrawn_bucket_is_paid_back_before_it_gives() {
+fn overdrawn_bucket_refills_before_tokens_are_available() {
     let mut bucket = TokenBucket::new(Rate { per_second: 100, burst: 50 }, 0);
     bucket.spend(150);
     assert_eq!(bucket.level(0), -100);
     assert!(!bucket.try_take(1_000));
     assert!(bucket.try_take(1_010) && !bucket.try_take(1_010));
     assert_eq!(bucket.level(100_000), 50);
-    assert_eq!(bucket.level(0), 50, "time that runs backwards changes nothing");
+    assert_eq!(bucket.level(0), 50, "an earlier time changes nothing");
 }
 
 #[test]
-fn every_live_member_has_observers_and_subjects_whoever_is_dead() {
+fn every_live_member_has_observers_and_subjects() {
     for size in [2u16, 3, 9, 10, 40, 300] {
         let rings = Rings::new(size);
         for dead_step in [0u16, 2, 3] {
@@ -65,7 +66,7 @@
                     );
                     assert!(neighbours.iter().all(|other| *other != member && !is_dead(*other)));
                 }
-                // A subject sends its heartbeats to its observers.
+                // Observers and subjects must correspond: a member is an observer of each of its subjects.
                 for subject in rings.subjects(member, is_dead) {
                     assert!(rings.observers(subject, is_dead).contains(&member), "{size} {dead_step}");
                 }
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn numbers_outside_the_fleet_are_rejected() {
+fn member_numbers_outside_the_fleet_are_rejected() {
     let alive =
         |member, incarnation| Message::Alive { member, incarnation, heartbeat: 1, age: 0, gossip: true };
     let suspicion = |member, suspectors| Message::Suspect {
@@ -85,7 +86,7 @@
         suspectors,
         gossip: true,
     };
-    let bad = [
+    let invalid = [
         (header(1, 0), alive(4, 1)),
         (header(1, 0), alive(2, 0)),
         (header(1, 0), alive(2, u64::MAX)),
@@ -98,40 +99,41 @@
         (Header { incarnation: 0, ..header(1, 0) }, alive(2, 1)),
         (Header { recipient_incarnation: u64::MAX, ..header(1, 0) }, alive(2, 1)),
     ];
-    let mut fleet = fleet();
-    for (at, (header, part)) in bad.into_iter().enumerate() {
-        fleet.handle_datagram(
+    let mut membership = membership();
+    for (at, (header, message)) in invalid.into_iter().enumerate() {
+        membership.handle_datagram(
             ([127, 0, 0, 1], 2001).into(),
-            &signed(&Datagram { header, messages: vec![part] }),
+            &signed(&Datagram { header, messages: vec![message] }),
             1,
         );
-        assert_eq!(fleet.counters().malformed, at as u64 + 1);
+        assert_eq!(membership.counters().malformed, at as u64 + 1);
     }
-    let good = Datagram { header: header(1, 0), messages: vec![alive(2, 1), suspicion(3, vec![1])] };
-    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&good), 1);
-    assert_eq!((fleet.counters().malformed, fleet.counters().received), (11, 1));
+    let valid = Datagram { header: header(1, 0), messages: vec![alive(2, 1), suspicion(3, vec![1])] };
+    membership.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&valid), 1);
+    assert_eq!((membership.counters().malformed, membership.counters().received), (11, 1));
 }
 
-/// What is believed of member 3 a second after other members relayed that it is dead. Its last known heartbeat was sent
-/// `age` tenths of a second before.
+/// Returns the state of member 3 one second after other members relayed that it is dead. Its last known heartbeat was
+/// sent `age` tenths of a second before the first of those reports.
 fn state_after_relayed_deaths(age: u16) -> MemberState {
     let members = (0..8).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
-    let mut fleet = Membership::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap();
+    let mut membership =
+        Membership::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap();
     let start = 100_000;
-    let receive = |fleet: &mut Membership, from: u16, messages: Vec<Message>, now: u64| {
+    let receive = |membership: &mut Membership, from: u16, messages: Vec<Message>, now: u64| {
         let header = Header { fleet_size: 8, sequence: now, heartbeat: now as u32, ..header(from, 0) };
-        fleet.handle_datagram(
+        membership.handle_datagram(
             ([127, 0, 0, 1], 2000 + from).into(),
             &signed(&Datagram { header, messages }),
             now,
         );
     };
     for now in (0..start + 1_000).step_by(30) {
-        fleet.handle_timeout(now);
-        while fleet.poll_transmit().is_some() {}
+        membership.handle_timeout(now);
+        while membership.poll_transmit().is_some() {}
         if now + 30 >= start && now < start {
             let alive = Message::Alive { member: 3, incarnation: 7, heartbeat: 100, age, gossip: false };
-            receive(&mut fleet, 1, vec![alive], now + 1);
+            receive(&mut membership, 1, vec![alive], now + 1);
         }
         let dead = CompactHeartbeat { incarnation: 7, heartbeat: 100, age: AGE_DEAD };
         for from in [4, 5, 6, 7] {
@@ -140,27 +142,34 @@
             } else {
                 Vec::new()
             };
-            receive(&mut fleet, from, messages, now + 2);
+            receive(&mut membership, from, messages, now + 2);
         }
     }
-    fleet.table().state(3)
+    membership.table().state(3)
 }
 
+/// A relayed death counts only if a later heartbeat would have been relayed here by now.
 #[test]
-fn a_relayed_death_counts_only_when_a_later_heartbeat_would_have_been_relayed() {
+fn relayed_death_counts_only_without_a_recent_heartbeat() {
     assert_ne!(state_after_relayed_deaths(5), MemberState::Dead);
-    // Eight members are forgotten after 10.8 s.
+    // In a fleet of eight the forget timeout is 10.8 s.
     assert_eq!(state_after_relayed_deaths(50), MemberState::Dead);
 }
 
-/// The reply to a datagram of an incarnation that knows the recipient under another.
-fn reply_to(fleet: &mut Membership, incarnation: u64, knows: u64, now: u64) -> Option<Header> {
+/// Sends a datagram from `incarnation` of member 1, addressed to `known_incarnation` of the recipient. Returns the header
+/// of the reply.
+fn reply_to(
+    membership: &mut Membership,
+    incarnation: u64,
+    known_incarnation: u64,
+    now: u64,
+) -> Option<Header> {
     let datagram = Datagram {
-        header: Header { incarnation, recipient_incarnation: knows, ..header(1, 0) },
+        header: Header { incarnation, recipient_incarnation: known_incarnation, ..header(1, 0) },
         messages: Vec::new(),
     };
-    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&datagram), now);
-    let (to, bytes) = fleet.poll_transmit()?;
+    membership.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&datagram), now);
+    let (to, bytes) = membership.poll_transmit()?;
     assert_eq!(to, ([127, 0, 0, 1], 2001).into());
     let content = Authenticator::new(KEY).unwrap().verify(&bytes).map(<[u8]>::to_vec).unwrap();
     Some(postcard::from_bytes::<Datagram>(&content).unwrap().header)
@@ -168,103 +177,113 @@
 
 #[test]
 fn senders_with_stale_incarnations_get_a_reply() {
-    let mut fleet = fleet();
-    // It does not know this incarnation: the reply names it, and the one of the sender.
-    let reply = reply_to(&mut fleet, 7, 0, 1).unwrap();
+    let mut membership = membership();
+    // The sender does not know this incarnation: the reply contains it, and the sender's own.
+    let reply = reply_to(&mut membership, 7, 0, 1).unwrap();
     assert_eq!((reply.incarnation, reply.recipient_incarnation), (9, 7));
-    assert!(reply_to(&mut fleet, 7, 0, 100).is_none(), "five times a second at most");
-    assert!(reply_to(&mut fleet, 7, 9, 300).is_none(), "it is believed now");
-    // An incarnation that is over, as of a process whose wall clock stands earlier: the reply names the later one.
-    let reply = reply_to(&mut fleet, 5, 9, 600).unwrap();
+    assert!(reply_to(&mut membership, 7, 0, 100).is_none(), "at most five replies per second");
+    assert!(reply_to(&mut membership, 7, 9, 300).is_none(), "the sender is accepted now");
+    // An earlier incarnation, as from a process whose wall clock is behind: the reply contains the later one.
+    let reply = reply_to(&mut membership, 5, 9, 600).unwrap();
     assert_eq!((reply.incarnation, reply.recipient_incarnation), (9, 7));
-    let counters = fleet.counters();
+    let counters = membership.counters();
     assert_eq!((counters.stale_recipient, counters.received, counters.stale_sender), (2, 1, 1));
 }
 
-/// Passes in a datagram of member 1 that is accepted.
-fn receive_from_1(fleet: &mut Membership, sequence: u64, heartbeat: u32, messages: Vec<Message>, now: u64) {
+/// Passes in a datagram from member 1 that is accepted.
+fn receive_from_1(
+    membership: &mut Membership,
+    sequence: u64,
+    heartbeat: u32,
+    messages: Vec<Message>,
+    now: u64,
+) {
     let datagram = Datagram { header: Header { sequence, heartbeat, ..header(1, 0) }, messages };
-    fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&datagram), now);
+    membership.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed(&datagram), now);
 }
 
 #[test]
-fn an_overtaken_datagram_does_not_refresh_the_link() {
-    let mut fleet = fleet();
-    receive_from_1(&mut fleet, 3, 10, Vec::new(), 100);
+fn reordered_datagram_does_not_refresh_the_link() {
+    let mut membership = membership();
+    receive_from_1(&mut membership, 3, 10, Vec::new(), 100);
     for now in (100..900).step_by(30) {
-        fleet.handle_timeout(now);
+        membership.handle_timeout(now);
     }
-    receive_from_1(&mut fleet, 2, 5, Vec::new(), 900);
-    assert_eq!(fleet.counters().received, 2);
-    assert_eq!(fleet.view(900).members[0].last_received_ms, Some(800));
+    receive_from_1(&mut membership, 2, 5, Vec::new(), 900);
+    assert_eq!(membership.counters().received, 2);
+    assert_eq!(membership.view(900).members[0].last_received_ms, Some(800));
 }
 
 #[test]
-fn after_a_late_timer_waiting_datagrams_are_read_before_a_verdict() {
-    let mut fleet = fleet();
+fn late_timer_defers_deaths_until_datagrams_are_read() {
+    let mut membership = membership();
     let alive = |heartbeat| Message::Alive { member: 2, incarnation: 4, heartbeat, age: 0, gossip: true };
     let suspicion =
         Message::Suspect { member: 2, incarnation: 4, heartbeat: 1, suspectors: vec![1, 3], gossip: true };
     for now in (0..600).step_by(30) {
-        fleet.handle_timeout(now);
-        receive_from_1(&mut fleet, now + 1, now as u32, vec![alive(1)], now);
+        membership.handle_timeout(now);
+        receive_from_1(&mut membership, now + 1, now as u32, vec![alive(1)], now);
     }
-    receive_from_1(&mut fleet, 601, 601, vec![suspicion], 600);
-    assert_eq!(fleet.table().state(2), MemberState::Suspected);
-    // It suspects the member as well after a second, and its timer is late until after the refutation timeout, while the
-    // refutation waits in its socket.
+    receive_from_1(&mut membership, 601, 601, vec![suspicion], 600);
+    assert_eq!(membership.table().state(2), MemberState::Suspected);
+    // This member suspects member 2 as well after a second. Its timer is then late until after the refutation timeout,
+    // while the refutation waits in the socket.
     for now in (600..1_290).step_by(30) {
-        fleet.handle_timeout(now);
-        receive_from_1(&mut fleet, now + 2, now as u32, Vec::new(), now);
+        membership.handle_timeout(now);
+        receive_from_1(&mut membership, now + 2, now as u32, Vec::new(), now);
     }
-    fleet.handle_timeout(2_000);
-    assert_eq!(fleet.table().state(2), MemberState::Suspected);
-    receive_from_1(&mut fleet, 2_000, 2_000, vec![alive(9)], 2_000);
-    fleet.handle_timeout(2_010);
-    assert_eq!(fleet.table().state(2), MemberState::Alive);
+    membership.handle_timeout(2_000);
+    assert_eq!(membership.table().state(2), MemberState::Suspected);
+    receive_from_1(&mut membership, 2_000, 2_000, vec![alive(9)], 2_000);
+    membership.handle_timeout(2_010);
+    assert_eq!(membership.table().state(2), MemberState::Alive);
 }
 
+/// Relayed heartbeats contain only the low bits of the incarnation, which another incarnation may share. A heartbeat
+/// that is too far ahead belongs to another one.
 #[test]
-fn a_relayed_heartbeat_of_another_incarnation_with_the_same_low_bits_is_ignored() {
-    let mut fleet = fleet();
+fn implausible_relayed_heartbeat_is_ignored() {
+    let mut membership = membership();
     let alive = Message::Alive { member: 2, incarnation: 7, heartbeat: 5, age: 0, gossip: false };
     let relayed = |heartbeat| Message::Heartbeats {
         first: 2,
         heartbeats: vec![CompactHeartbeat { incarnation: 7, heartbeat, age: 0 }],
     };
-    receive_from_1(&mut fleet, 1, 1, vec![alive, relayed(1_000_000)], 100);
-    assert_eq!(fleet.table().latest(2).heartbeat, 5);
-    receive_from_1(&mut fleet, 2, 2, vec![relayed(6)], 340);
-    assert_eq!(fleet.table().latest(2).heartbeat, 6);
+    receive_from_1(&mut membership, 1, 1, vec![alive, relayed(1_000_000)], 100);
+    assert_eq!(membership.table().latest(2).heartbeat, 5);
+    receive_from_1(&mut membership, 2, 2, vec![relayed(6)], 340);
+    assert_eq!(membership.table().latest(2).heartbeat, 6);
 }
 
 #[test]
-fn a_subscriber_gets_heartbeats_for_a_while() {
+fn subscriber_receives_heartbeats_until_the_subscription_expires() {
     const SIZE: u16 = 40;
     let rings = Rings::new(SIZE);
     let neighbours = [rings.observers(0, |_| false), rings.subjects(0, |_| false)].concat();
     let subscriber = (1..SIZE).find(|member| !neighbours.contains(member)).unwrap();
     let address = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 2000 + n));
     let settings = Settings { instance: 0, members: (0..SIZE).map(address).collect(), key: KEY.to_vec() };
-    let mut fleet = Membership::new(settings, 9, 1, 0).unwrap();
+    let mut membership = Membership::new(settings, 9, 1, 0).unwrap();
     let request = Datagram {
         header: Header { fleet_size: SIZE, wants_heartbeats: true, ..header(subscriber, 0) },
         messages: Vec::new(),
     };
-    fleet.handle_datagram(address(subscriber), &signed(&request), 0);
+    membership.handle_datagram(address(subscriber), &signed(&request), 0);
     let mut times = Vec::new();
     for now in (0..4_000).step_by(10) {
-        fleet.handle_timeout(now);
-        let sent = std::iter::from_fn(|| fleet.poll_transmit()).filter(|(to, _)| *to == address(subscriber));
+        membership.handle_timeout(now);
+        let sent =
+            std::iter::from_fn(|| membership.poll_transmit()).filter(|(to, _)| *to == address(subscriber));
         times.extend(sent.map(|_| now));
     }
-    // At once, then once a heartbeat interval for four of them. A probe of unknown members may reach it as well.
+    // At once, then once per heartbeat interval during the subscription of four intervals. Probes of unknown members
+    // may also reach the subscriber.
     assert!(times[0] == 0 && times.iter().filter(|at| **at < 1_000).count() >= 4, "{times:?}");
     assert!(times.iter().filter(|at| **at > 1_200).count() <= 3, "{times:?}");
 }
 
 #[test]
-fn unusable_settings_are_rejected() {
+fn invalid_settings_are_rejected() {
     let start = |me, ports: &[u16], key: &[u8]| {
         let members = ports.iter().map(|port| ([127, 0, 0, 1], *port).into()).collect();
         Membership::new(Settings { instance: me, members, key: key.to_vec() }, 1, 1, 0)
@@ -279,13 +298,13 @@
 }
 
 proptest! {
-    /// Any content with a valid tag is handled without a panic.
+    /// Content with a valid tag may be arbitrary bytes; none of it causes a panic.
     #[test]
-    fn any_content_with_a_valid_tag_is_handled(
+    fn authenticated_arbitrary_content_causes_no_panic(
         contents in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..20),
         valid_header in any::<bool>(),
     ) {
-        let mut fleet = fleet();
+        let mut membership = membership();
         for (at, content) in contents.into_iter().enumerate() {
             let mut bytes = Vec::new();
             if valid_header {
@@ -294,19 +313,19 @@
             }
             bytes.extend(content);
             let signed = Authenticator::new(KEY).unwrap().sign(bytes);
-            fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed, at as u64);
-            fleet.handle_timeout(at as u64);
-            while fleet.poll_transmit().is_some() {}
+            membership.handle_datagram(([127, 0, 0, 1], 2001).into(), &signed, at as u64);
+            membership.handle_timeout(at as u64);
+            while membership.poll_transmit().is_some() {}
         }
     }
 
     #[test]
-    fn a_datagram_with_any_bit_flipped_is_rejected(byte in 0usize..40, bit in 0u8..8) {
+    fn datagram_with_a_flipped_bit_is_rejected(byte in 0usize..40, bit in 0u8..8) {
         let mut bytes = signed(&Datagram { header: header(1, 0), messages: Vec::new() });
         let at = byte % bytes.len();
         bytes[at] ^= 1 << bit;
-        let mut fleet = fleet();
-        fleet.handle_datagram(([127, 0, 0, 1], 2001).into(), &bytes, 1);
-        prop_assert_eq!((fleet.counters().unauthenticated, fleet.counters().received), (1, 0));
+        let mut membership = membership();
+        membership.handle_datagram(([127, 0, 0, 1], 2001).into(), &bytes, 1);
+        prop_assert_eq!((membership.counters().unauthenticated, membership.counters().received), (1, 0));
     }
 }
--- a/crates/fleet/tests/hard_cases.rs
+++ b/crates/fleet/tests/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! Members as they run in service, on a network in virtual time, under each kind of fault.
+//! Complete members on a simulated network in virtual time, under each kind of fault.
 
 use proptest::prelude::*;
 use weirusher_fleet::{
@@ -9,15 +9,15 @@
 
 type Net = Network<Member>;
 
-fn net(size: u16, seed: u64) -> Net {
+fn new_network(size: u16, seed: u64) -> Net {
     Network::new(size, seed, move |me, incarnation, now| {
         Member::new(size, me, incarnation, seed ^ u64::from(me), now)
     })
 }
 
-/// A network of members that were started and know each other.
-fn settled(size: u16, seed: u64) -> Net {
-    let mut net = net(size, seed);
+/// A network whose members have all started and know each other.
+fn converged(size: u16, seed: u64) -> Net {
+    let mut net = new_network(size, seed);
     (0..size).for_each(|member| net.start(member));
     net.run_for(10_000);
     net.belief_changes.clear();
@@ -25,11 +25,11 @@
 }
 
 fn state(net: &mut Net, by: u16, of: u16) -> MemberState {
-    net.member(by).expect("it runs").0.fleet.table().state(of)
+    net.member(by).expect("member is running").0.fleet.table().state(of)
 }
 
 fn reachability(net: &mut Net, of: u16) -> weirusher_fleet::Reachability {
-    let (member, now) = net.member(of).expect("it runs");
+    let (member, now) = net.member(of).expect("member is running");
     member.fleet.reachability(now)
 }
 
@@ -37,22 +37,22 @@
     (0..net.size()).all(|of| all_believe(net, of, MemberState::Alive))
 }
 
-/// Whether all others believe this of a member.
+/// Whether all other members believe that a member is in the expected state.
 fn all_believe(net: &mut Net, of: u16, expected: MemberState) -> bool {
     (0..net.size()).filter(|by| *by != of).all(|by| state(net, by, of) == expected)
 }
 
-fn deaths(net: &Net) -> usize {
+fn death_count(net: &Net) -> usize {
     net.belief_changes.iter().filter(|change| change.belief == Belief::Dead).count()
 }
 
 #[test]
-fn members_know_each_other_soon_after_a_start() {
-    let mut net = net(40, 1);
+fn members_discover_each_other_after_start() {
+    let mut net = new_network(40, 1);
     (0..40).for_each(|member| net.start(member));
     net.run_for(3_000);
     assert!(all_alive(&mut net));
-    assert_eq!(deaths(&net), 0);
+    assert_eq!(death_count(&net), 0);
     for member in 0..40 {
         let reachability = reachability(&mut net, member);
         assert_eq!((reachability.others, reachability.alive, reachability.observers_denying), (39, 39, 0));
@@ -65,11 +65,12 @@
 }
 
 #[test]
-fn deaths_and_returns_are_known_within_their_bounds() {
+fn deaths_and_returns_are_detected_within_their_bounds() {
     for size in [2, 3, 5, 9, 10, 40] {
-        let mut net = settled(size, 2);
+        let mut net = converged(size, 2);
         net.kill(1);
-        // Of two members the one that is left hears nobody: the cause may be its own link, so it waits.
+        // With two members, the remaining one receives nothing from anybody. As its own link may be the cause, it waits
+        // for the forget timeout.
         net.run_for(if size == 2 { forget_timeout(size) + HEARTBEAT_INTERVAL } else { DEATH_KNOWN_WITHIN });
         assert!(all_believe(&mut net, 1, MemberState::Dead), "{size}");
         net.start(1);
@@ -79,8 +80,8 @@
 }
 
 #[test]
-fn two_members_of_a_large_fleet_find_each_other() {
-    let mut net = net(300, 20);
+fn two_running_members_of_a_large_fleet_find_each_other() {
+    let mut net = new_network(300, 20);
     net.start(17);
     net.run_for(60_000);
     net.start(253);
@@ -92,15 +93,15 @@
 }
 
 #[test]
-fn two_quick_restarts_are_no_death() {
-    let mut net = settled(20, 3);
+fn quick_restarts_are_not_detected_as_deaths() {
+    let mut net = converged(20, 3);
     for _ in 0..2 {
         net.kill(4);
         net.run_for(50);
         net.start(4);
     }
     net.run_for(2_000);
-    assert_eq!(deaths(&net), 0);
+    assert_eq!(death_count(&net), 0);
     assert!(all_alive(&mut net));
     let now = net.member(4).unwrap().0.fleet.incarnation();
     for by in (0..20).filter(|by| *by != 4) {
@@ -108,9 +109,10 @@
     }
 }
 
+/// Incarnations start from the wall clock, which may be behind that of an earlier process.
 #[test]
-fn a_restart_under_an_earlier_wall_clock_takes_a_later_incarnation() {
-    let mut net = settled(20, 4);
+fn restart_with_clock_set_back_takes_a_later_incarnation() {
+    let mut net = converged(20, 4);
     let before = net.member(4).unwrap().0.fleet.incarnation();
     net.kill(4);
     net.run_for(50);
@@ -124,29 +126,29 @@
 }
 
 #[test]
-fn a_link_broken_in_one_direction_kills_nobody_and_is_reported() {
-    let mut net = settled(12, 5);
+fn one_way_link_failure_is_reported_and_causes_no_death() {
+    let mut net = converged(12, 5);
     let (receiver, sender) = (0, {
         let (member, now) = net.member(0).unwrap();
         let view = member.fleet.view(now);
         view.members
             .iter()
             .find(|m| m.last_received_ms.is_some_and(|ms| ms < HEARTBEAT_INTERVAL + 50))
-            .expect("it hears some")
+            .expect("a subject is heard")
             .number
     });
     net.block(sender, receiver);
     net.run_for(5_000);
     assert_eq!(state(&mut net, receiver, sender), MemberState::Alive);
     assert_eq!(state(&mut net, sender, receiver), MemberState::Alive);
-    // The sender learns by way of others that it is not heard.
+    // The sender learns through other members that it is not heard.
     let (member, now) = net.member(sender).unwrap();
     let view = member.fleet.view(now);
     assert!(view.members.iter().any(|m| m.number == receiver && m.reports_unheard), "{view:?}");
     net.belief_changes.clear();
     net.run_for(120_000);
-    assert_eq!(deaths(&net), 0);
-    assert!(net.belief_changes.len() < 12 * 40, "{} changes in two minutes", net.belief_changes.len());
+    assert_eq!(death_count(&net), 0);
+    assert!(net.belief_changes.len() < 12 * 40, "{} belief changes in two minutes", net.belief_changes.len());
     net.unblock_all();
     net.run_for(5_000);
     let (member, now) = net.member(sender).unwrap();
@@ -154,8 +156,8 @@
 }
 
 #[test]
-fn beliefs_are_stable_when_each_member_hears_only_the_next() {
-    let mut net = settled(8, 6);
+fn views_are_stable_if_each_member_hears_only_one() {
+    let mut net = converged(8, 6);
     for from in 0..8 {
         for to in (0..8).filter(|to| from != (to + 1) % 8) {
             net.block(from, to);
@@ -169,30 +171,34 @@
             (1, 0),
             "{reachability:?}"
         );
-        assert!(reachability.fraction() == 0.0, "nobody can confirm that it is heard: {reachability:?}");
+        assert!(
+            reachability.fraction() == 0.0,
+            "no observer can confirm that it hears the member: {reachability:?}"
+        );
     }
     let changes = net.belief_changes.len();
     net.run_for(120_000);
-    assert_eq!(deaths(&net), 0);
+    assert_eq!(death_count(&net), 0);
     assert!(
         net.belief_changes.len() - changes < 20,
-        "{} changes in two minutes",
+        "{} belief changes in two minutes",
         net.belief_changes.len() - changes
     );
 }
 
+/// Partitions into two and three groups and into single members.
 #[test]
-fn partitions_into_two_three_and_single_members_are_known_and_heal() {
-    // Some members have no observer on the other side: those are forgotten, not suspected.
+fn partitions_are_detected_and_heal() {
+    // Members without an observer on the other side are never suspected; they expire after the forget timeout.
     let known = partition_known_within(24);
-    let mut net = settled(24, 7);
+    let mut net = converged(24, 7);
     net.partition(|member| u8::from(member < 12));
     net.run_for(known);
     for member in 0..24 {
         let reachability = reachability(&mut net, member);
         assert_eq!(reachability.alive, 11, "{member}: {reachability:?}");
     }
-    // The partition moves while it heals, then there are three.
+    // The partition changes before it has healed; then there are three groups.
     net.partition(|member| u8::from(member % 2 == 0));
     net.run_for(known);
     for member in 0..24 {
@@ -216,7 +222,7 @@
     net.partition(|_| 0);
     net.run_for(recovery_known_within(net.size()) + DEATH_KNOWN_WITHIN);
     assert!(all_alive(&mut net));
-    // Less than half of the fleet was reachable throughout: that is reported once.
+    // Less than half of the fleet was reachable throughout, which is reported once.
     for member in 0..24 {
         let events = &net.member(member).unwrap().0.events;
         assert!(matches!(events[..], [Event::Isolated(_), Event::Reconnected(_)]), "{member}: {events:?}");
@@ -224,8 +230,8 @@
 }
 
 #[test]
-fn a_member_that_hears_nobody_believes_nobody_dead_until_it_forgets() {
-    let mut net = settled(24, 21);
+fn member_that_hears_nobody_waits_for_the_forget_timeout() {
+    let mut net = converged(24, 21);
     (1..24).for_each(|from| net.block(from, 0));
     net.run_for(forget_timeout(24) - 1_000);
     assert_eq!(
@@ -237,12 +243,13 @@
     assert_eq!(reachability(&mut net, 0).alive, 0);
 }
 
+/// The network loses, duplicates, reorders and delays datagrams.
 #[test]
-fn lost_duplicated_reordered_and_late_datagrams_cause_no_false_death() {
-    let mut net = settled(24, 8);
+fn unreliable_network_causes_no_false_death() {
+    let mut net = converged(24, 8);
     net.link_quality = LinkQuality { loss: 0.3, duplication: 0.1, delay: DelayRange { min: 0, max: 200 } };
     net.run_for(600_000);
-    assert_eq!(deaths(&net), 0);
+    assert_eq!(death_count(&net), 0);
     // A real death is still detected.
     net.kill(3);
     net.run_for(DEATH_KNOWN_WITHIN + 4_000);
@@ -250,14 +257,15 @@
 }
 
 #[test]
-fn a_paused_process_detects_the_pause_before_it_acts() {
+fn paused_process_detects_the_pause_before_acting() {
     for pause in [5_000, 60_000] {
-        let mut net = settled(16, 9);
+        let mut net = converged(16, 9);
         let before = net.member(2).unwrap().0.fleet.incarnation();
         net.pause(2);
         net.run_for(pause);
         assert!(all_believe(&mut net, 2, MemberState::Dead));
-        // It counts on nobody, whatever it believed before and whatever waits in its socket.
+        // After the pause the member counts no other as reachable, whatever it believed before and whatever waits in
+        // its socket.
         net.resume(2);
         let reachability = reachability(&mut net, 2);
         assert_eq!(
@@ -278,33 +286,40 @@
     }
 }
 
+/// Two processes have the same member number: the one that was paused yields to the one started later.
 #[test]
-fn of_two_processes_under_one_number_the_paused_one_gives_way() {
-    let mut net = settled(16, 10);
+fn superseded_process_stops_taking_part() {
+    let mut net = converged(16, 10);
     net.pause(2);
     net.run_for(5_000);
-    // Another process was started under its number meanwhile. The network has one process for each number, so the old
-    // one is a twin outside of it, and gets a datagram that another member sent.
-    let older = net.member(2).unwrap().0.fleet.incarnation();
-    let mut twin = Member::new(16, 2, older, 99, 0);
+    // Another process with the same member number was started in the meantime. The network holds only one process per
+    // number, so the old process is simulated outside of it, and gets a datagram that another member sent.
+    let old_incarnation = net.member(2).unwrap().0.fleet.incarnation();
+    let mut old_process = Member::new(16, 2, old_incarnation, 99, 0);
     for at in (0..4_000).step_by(30) {
-        twin.fleet.handle_timeout(at);
+        old_process.fleet.handle_timeout(at);
     }
     net.start(2);
     net.run_for(3_000);
-    let newer = net.member(2).unwrap().0.fleet.incarnation();
+    let new_incarnation = net.member(2).unwrap().0.fleet.incarnation();
     let (_, datagram) = next_datagram(&mut net, 5, 2);
-    twin.fleet.handle_datagram(datagram.0, &datagram.1, 4_010);
-    assert!(std::iter::from_fn(|| twin.fleet.poll_event()).any(|event| event == Event::Superseded(newer)));
-    assert!(twin.fleet.reachability(4_020).superseded && twin.fleet.reachability(4_020).fraction() == 0.0);
-    while twin.fleet.poll_transmit().is_some() {}
-    (4_020..9_000).step_by(30).for_each(|at| twin.fleet.handle_timeout(at));
-    assert!(twin.fleet.poll_transmit().is_none(), "it still takes part");
+    old_process.fleet.handle_datagram(datagram.0, &datagram.1, 4_010);
+    assert!(
+        std::iter::from_fn(|| old_process.fleet.poll_event())
+            .any(|event| event == Event::Superseded(new_incarnation))
+    );
+    assert!(
+        old_process.fleet.reachability(4_020).superseded
+            && old_process.fleet.reachability(4_020).fraction() == 0.0
+    );
+    while old_process.fleet.poll_transmit().is_some() {}
+    (4_020..9_000).step_by(30).for_each(|at| old_process.fleet.handle_timeout(at));
+    assert!(old_process.fleet.poll_transmit().is_none(), "the superseded process still sends datagrams");
 }
 
-/// A datagram that `from` sends to `to`, taken off the wire, with the address it comes from.
+/// Takes the next datagram that `from` sends to `to`, and returns it with its source address.
 fn next_datagram(net: &mut Net, from: u16, to: u16) -> (u16, (std::net::SocketAddr, Vec<u8>)) {
-    let (member, now) = net.member(from).expect("it runs");
+    let (member, now) = net.member(from).expect("member is running");
     let source: std::net::SocketAddr = ([127, 0, 0, 1], 1024 + from).into();
     for step in (0..60_000).step_by(30) {
         member.fleet.handle_timeout(now + step);
@@ -314,12 +329,12 @@
             }
         }
     }
-    panic!("{from} never writes to {to}");
+    panic!("member {from} sent nothing to member {to}");
 }
 
 #[test]
-fn the_deaths_of_seven_in_ten_members_at_once_are_known() {
-    let mut net = settled(100, 11);
+fn simultaneous_deaths_of_70_percent_are_detected() {
+    let mut net = converged(100, 11);
     (0..70).for_each(|member| net.kill(member));
     net.run_for(partition_known_within(100));
     for by in 70..100 {
@@ -331,8 +346,8 @@
 }
 
 #[test]
-fn a_rolling_restart_causes_no_false_death_of_others() {
-    let mut net = settled(40, 12);
+fn rolling_restart_causes_no_false_death() {
+    let mut net = converged(40, 12);
     for tenth in 0..10 {
         let rolled: Vec<u16> = (0..40).filter(|member| member % 10 == tenth).collect();
         rolled.iter().for_each(|member| net.kill(*member));
@@ -351,9 +366,9 @@
 
 #[test]
 fn late_timers_cause_no_false_death() {
-    let mut net = settled(16, 13);
+    let mut net = converged(16, 13);
     let mut rng = fastrand::Rng::with_seed(13);
-    // Processes are paused for up to 900 ms again and again, as on a machine with too few cores.
+    // Processes are repeatedly paused for up to 900 ms, as on a machine with too few cores.
     for _ in 0..200 {
         let members: Vec<u16> = (0..16).filter(|_| rng.f64() < 0.3).collect();
         members.iter().for_each(|member| net.pause(*member));
@@ -361,21 +376,22 @@
         members.iter().for_each(|member| net.resume(*member));
         net.run_for(rng.u64(50..400));
     }
-    assert_eq!(deaths(&net), 0);
+    assert_eq!(death_count(&net), 0);
 }
 
+/// Forged, truncated, replayed and oversized datagrams, and a flood of them.
 #[test]
-fn forged_truncated_replayed_oversized_and_flooding_datagrams_are_rejected() {
-    let mut net = settled(12, 14);
-    let (_, (_, good)) = next_datagram(&mut net, 5, 2);
+fn invalid_and_excess_datagrams_are_rejected() {
+    let mut net = converged(12, 14);
+    let (_, (_, valid)) = next_datagram(&mut net, 5, 2);
     let counters = |net: &mut Net| net.member(2).unwrap().0.fleet.counters();
     let before = counters(&mut net);
-    net.inject(5, 2, good.clone());
-    net.inject(5, 2, good.clone());
-    net.inject(6, 2, good.clone());
-    net.inject(5, 2, good[..good.len() - 1].to_vec());
+    net.inject(5, 2, valid.clone());
+    net.inject(5, 2, valid.clone());
+    net.inject(6, 2, valid.clone());
+    net.inject(5, 2, valid[..valid.len() - 1].to_vec());
     net.inject(5, 2, Vec::new());
-    let mut forged = good.clone();
+    let mut forged = valid.clone();
     forged[3] ^= 1;
     net.inject(5, 2, forged);
     net.inject(5, 2, vec![0; 1201]);
@@ -387,7 +403,7 @@
     assert_eq!(after.oversized, before.oversized + 1);
     for _ in 0..100 {
         for _ in 0..100 {
-            net.inject(7, 2, good.clone());
+            net.inject(7, 2, valid.clone());
         }
         net.run_for(100);
     }
@@ -401,8 +417,8 @@
 }
 
 #[test]
-fn a_replay_from_before_a_restart_revives_nobody() {
-    let mut net = settled(12, 15);
+fn replay_from_before_a_restart_is_not_accepted() {
+    let mut net = converged(12, 15);
     let (_, (_, old)) = next_datagram(&mut net, 5, 2);
     net.kill(5);
     net.kill(2);
@@ -416,7 +432,7 @@
 }
 
 #[test]
-fn a_member_with_another_fleet_size_is_rejected_and_reported() {
+fn different_fleet_size_is_rejected_and_reported() {
     let mut net = Network::new(6, 16, |me, incarnation, now| {
         Member::new(if me == 5 { 7 } else { 6 }, me, incarnation, u64::from(me), now)
     });
@@ -429,9 +445,9 @@
 }
 
 #[test]
-fn a_seed_determines_the_run() {
+fn same_seed_gives_the_same_run() {
     let run = |seed| {
-        let mut net = settled(20, seed);
+        let mut net = converged(20, seed);
         net.link_quality = LinkQuality { loss: 0.2, duplication: 0.1, delay: DelayRange { min: 0, max: 50 } };
         net.run_for(5_000);
         net.kill(3);
@@ -473,13 +489,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Once the faults are over, all members that run believe exactly those alive that are, and go on to.
+    /// Once the faults are over, the running members believe exactly the running members alive, and keep believing so.
     #[test]
-    fn beliefs_become_true_after_any_faults_and_stay_true(
+    fn views_converge_after_random_faults_and_stay_stable(
         seed in any::<u64>(),
         faults in prop::collection::vec((fault(), 0u64..4_000), 1..20),
     ) {
-        let mut net = settled(SIZE, seed);
+        let mut net = converged(SIZE, seed);
         for (fault, time) in faults {
             match fault {
                 Fault::Kill(member) => net.kill(member),
--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/fleet/tests/model_checking.rs
@@ -1,5 +1,5 @@
-//! Model checking of the crate's own code: every order of the messages that can reach one member, and every short
-//! script of faults.
+//! Model checking of the production code: every order of messages that can reach one member's table, and every short
+//! sequence of faults in a small fleet.
 
 use stateright::{Checker, Model, Property};
 use weirusher_fleet::{
@@ -8,35 +8,35 @@
 };
 use weirusher_simulation::membership::{Member, Network};
 
-// ---- One member's table: messages about another member, lost, duplicated and reordered. ----
+// ---- The table of one member: messages about another member may be lost, duplicated and reordered. ----
 
-/// The member whose table it is, the member that the messages are about, and three more observers of that one.
+/// The member that owns the table, the member that the messages are about, and three other observers of the latter.
 const OBSERVER: u16 = 0;
 const SUBJECT: u16 = 1;
 const OBSERVERS: [u16; 3] = [2, 3, 4];
-/// A step of time.
+/// The time step of the model.
 const TICK: Millis = HEARTBEAT_INTERVAL;
-/// The subject sends its last heartbeat then, and the model ends a while later.
+/// When the subject sends its last heartbeat, and when the model ends.
 const LAST_HEARTBEAT: Millis = 5 * TICK;
 const END: Millis = 14 * TICK;
-/// Messages that can arrive within one tick.
+/// Maximum number of messages that arrive within one tick.
 const MESSAGES_PER_TICK: u8 = 2;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Observed {
+struct TableState {
     table: MemberTable,
     now: Millis,
     messages: u8,
     /// When evidence last arrived that refuted all suspicions before it.
-    cleared: Millis,
-    /// Whether the table has believed the subject dead, and alive after that.
-    died: bool,
-    revived: bool,
-    suspected: bool,
+    refuted_at: Millis,
+    /// Whether the subject was ever declared dead, alive again after that, or suspected.
+    ever_dead: bool,
+    ever_revived: bool,
+    ever_suspected: bool,
 }
 
-impl Observed {
-    fn dead(&self) -> bool {
+impl TableState {
+    fn is_dead(&self) -> bool {
         self.table.state(SUBJECT) == MemberState::Dead
     }
 }
@@ -44,13 +44,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// A heartbeat that the subject sent.
+    /// A heartbeat from the subject.
     Heartbeat(u32),
-    /// An observer's suspicion: it received nothing after this heartbeat.
+    /// A suspicion by an observer that received nothing after this heartbeat.
     Suspicion(u16, u32),
 }
 
-struct OneTable;
+struct TableModel;
 
 fn sent(heartbeat: u32) -> Millis {
     Millis::from(heartbeat) * TICK
@@ -60,26 +60,26 @@
     Evidence { incarnation: 7, heartbeat }
 }
 
-impl Model for OneTable {
-    type State = Observed;
+impl Model for TableModel {
+    type State = TableState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<Observed> {
+    fn init_states(&self) -> Vec<TableState> {
         let mut table = MemberTable::new(5, OBSERVER, 0);
         table.handle_alive(SUBJECT, evidence(0), 0, 0);
         table.take_changes();
-        vec![Observed {
+        vec![TableState {
             table,
             now: 0,
             messages: 0,
-            cleared: 0,
-            died: false,
-            revived: false,
-            suspected: false,
+            refuted_at: 0,
+            ever_dead: false,
+            ever_revived: false,
+            ever_suspected: false,
         }]
     }
 
-    fn actions(&self, state: &Observed, actions: &mut Vec<Step>) {
+    fn actions(&self, state: &TableState, actions: &mut Vec<Step>) {
         if state.now < END {
             actions.push(Step::Tick);
         }
@@ -87,11 +87,11 @@
             return;
         }
         let newest = (state.now.min(LAST_HEARTBEAT) / TICK) as u32;
-        // The newest heartbeat, one that was overtaken, and an old one: any order is among these.
+        // The newest heartbeat, one reordered behind it, and an old one: these cover every relevant order.
         let mut heartbeats = vec![newest, newest.saturating_sub(1), 1.min(newest)];
         heartbeats.dedup();
         actions.extend(heartbeats.into_iter().map(Step::Heartbeat));
-        // An observer waits for its timeout, and can have lost any of the last heartbeats itself.
+        // Observers suspect only after their timeout, and may have lost any of the last heartbeats themselves.
         for by in OBSERVERS {
             let silent_for_long = |heartbeat: &u32| sent(*heartbeat) + SUSPECT_TIMEOUT <= state.now;
             let lasts = [newest, newest.saturating_sub(4)].into_iter().filter(silent_for_long);
@@ -99,7 +99,7 @@
         }
     }
 
-    fn next_state(&self, state: &Observed, step: Step) -> Option<Observed> {
+    fn next_state(&self, state: &TableState, step: Step) -> Option<TableState> {
         let mut next = state.clone();
         let now = next.now;
         next.messages += 1;
@@ -112,57 +112,60 @@
                 let before = next.table.latest(SUBJECT);
                 next.table.handle_alive(SUBJECT, evidence(heartbeat), now - sent(heartbeat), now);
                 if evidence(heartbeat) > before && next.table.state(SUBJECT) == MemberState::Alive {
-                    next.cleared = now;
+                    next.refuted_at = now;
                 }
             }
             Step::Suspicion(by, last) => {
-                next.suspected |= next.table.handle_suspicion(SUBJECT, &[by], evidence(last), now)
+                next.ever_suspected |= next.table.handle_suspicion(SUBJECT, &[by], evidence(last), now)
                     == SuspicionOutcome::Accepted;
             }
         }
         for change in next.table.take_changes() {
-            next.died |= change.to == MemberState::Dead;
-            next.revived |= change.from == MemberState::Dead && change.to == MemberState::Alive;
+            next.ever_dead |= change.to == MemberState::Dead;
+            next.ever_revived |= change.from == MemberState::Dead && change.to == MemberState::Alive;
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody is dead whom nobody suspected", |_, state: &Observed| {
-                !state.died || state.suspected
+            Property::always("no member is dead without a suspicion", |_, state: &TableState| {
+                !state.ever_dead || state.ever_suspected
             }),
-            Property::always("half a second to refute, from the last evidence on", |_, state: &Observed| {
-                !state.dead() || state.now - state.cleared >= 500
+            Property::always(
+                "a death takes at least 500 ms after the last evidence",
+                |_, state: &TableState| !state.is_dead() || state.now - state.refuted_at >= 500,
+            ),
+            Property::always(
+                "the latest evidence is no newer than the clock allows",
+                |_, state: &TableState| state.table.latest(SUBJECT).heartbeat <= (state.now / TICK) as u32,
+            ),
+            Property::always("old heartbeats revive no dead member", |_, state: &TableState| {
+                // The last heartbeat was sent before any suspicion for lack of a later one was possible, so it cannot
+                // revive a member that was declared dead for that.
+                !state.ever_revived || state.now < LAST_HEARTBEAT + SUSPECT_TIMEOUT + 500 + TICK
             }),
-            Property::always("the newest evidence is never lost", |_, state: &Observed| {
-                state.table.latest(SUBJECT).heartbeat <= (state.now / TICK) as u32
-            }),
-            Property::always("old heartbeats do not revive the dead", |_, state: &Observed| {
-                // The last heartbeat was sent before a suspicion for want of a later one was possible.
-                !state.revived || state.now < LAST_HEARTBEAT + SUSPECT_TIMEOUT + 500 + TICK
-            }),
-            Property::sometimes("a member can die", |_, state: &Observed| state.dead()),
-            Property::sometimes("a suspicion can be refuted", |_, state: &Observed| {
-                state.suspected && state.table.state(SUBJECT) == MemberState::Alive
+            Property::sometimes("a member can die", |_, state: &TableState| state.is_dead()),
+            Property::sometimes("a suspicion can be refuted", |_, state: &TableState| {
+                state.ever_suspected && state.table.state(SUBJECT) == MemberState::Alive
             }),
         ]
     }
 }
 
 #[test]
-fn every_order_of_messages_about_a_member_keeps_the_rules() {
-    let checker = OneTable.checker().threads(2).spawn_bfs().join();
+fn every_message_order_keeps_the_table_properties() {
+    let checker = TableModel.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
 }
 
-// ---- Whole members: every script of faults of a few steps. ----
+// ---- Whole members: every sequence of a few faults. ----
 
 const SIZE: u16 = 3;
-const STEPS: usize = 3;
-/// Milliseconds after each fault: longer than the timeout of a suspicion, shorter than a death takes to be known.
-const STEP: Millis = 1_300;
+const MAX_FAULTS: usize = 3;
+/// Time after each fault: longer than the suspicion timeout, shorter than the time until a death is known.
+const TIME_AFTER_FAULT: Millis = 1_300;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Fault {
@@ -175,7 +178,7 @@
     Resume,
 }
 
-struct Scripts;
+struct FaultSequences;
 
 impl Fault {
     fn apply(self, net: &mut Network<Member>) {
@@ -195,15 +198,15 @@
     }
 }
 
-/// Runs a script, heals the network, and tells whether all beliefs are true in the end.
-fn ends_well(script: &[Fault]) -> bool {
+/// Applies the faults, heals the network, and returns whether all running members end up with a correct view.
+fn converges_after(faults: &[Fault]) -> bool {
     let mut net =
         Network::new(SIZE, 1, |me, incarnation, now| Member::new(SIZE, me, incarnation, u64::from(me), now));
     (0..SIZE).for_each(|member| net.start(member));
     net.run_for(4_000);
-    for fault in script {
+    for fault in faults {
         fault.apply(&mut net);
-        net.run_for(STEP);
+        net.run_for(TIME_AFTER_FAULT);
     }
     Fault::Heal.apply(&mut net);
     net.run_for(partition_known_within(SIZE).max(recovery_known_within(SIZE)));
@@ -211,14 +214,14 @@
     running.iter().all(|by| {
         let others: Vec<u16> = (0..SIZE).filter(|of| of != by).collect();
         others.into_iter().all(|of| {
-            let (member, _) = net.member(*by).expect("it runs");
+            let (member, _) = net.member(*by).expect("member is running");
             let expected = if running.contains(&of) { MemberState::Alive } else { MemberState::Dead };
             member.fleet.table().state(of) == expected
         })
     })
 }
 
-impl Model for Scripts {
+impl Model for FaultSequences {
     type State = Vec<Fault>;
     type Action = Fault;
 
@@ -226,29 +229,29 @@
         vec![Vec::new()]
     }
 
-    fn actions(&self, script: &Vec<Fault>, actions: &mut Vec<Fault>) {
-        if script.len() < STEPS {
+    fn actions(&self, faults: &Vec<Fault>, actions: &mut Vec<Fault>) {
+        if faults.len() < MAX_FAULTS {
             use Fault::{Block, Heal, Kill, Partition, Pause, Resume, Start};
             actions.extend([Partition, Block, Heal, Kill, Start, Pause, Resume]);
         }
     }
 
-    fn next_state(&self, script: &Vec<Fault>, fault: Fault) -> Option<Vec<Fault>> {
-        let mut script = script.clone();
-        script.push(fault);
-        Some(script)
+    fn next_state(&self, faults: &Vec<Fault>, fault: Fault) -> Option<Vec<Fault>> {
+        let mut faults = faults.clone();
+        faults.push(fault);
+        Some(faults)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("after every script, beliefs become true", |_, script: &Vec<Fault>| {
-            ends_well(script)
+        vec![Property::always("views converge after every sequence of faults", |_, faults: &Vec<Fault>| {
+            converges_after(faults)
         })]
     }
 }
 
 #[test]
-fn beliefs_are_true_after_every_short_script_of_faults() {
-    let checker = Scripts.checker().threads(2).spawn_bfs().join();
+fn views_converge_after_every_short_fault_sequence() {
+    let checker = FaultSequences.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert_eq!(checker.unique_state_count(), 1 + 7 + 49 + 343);
 }
--- a/crates/fleet/tests/wire_format.rs
+++ b/crates/fleet/tests/wire_format.rs
@@ -1,17 +1,17 @@
-//! The datagram format on the network, pinned byte by byte: members of different versions must understand each other.
+//! Pins the datagram format byte by byte, so that members of different versions understand each other.
 
 use weirusher_fleet::{AGE_DEAD, Authenticator, CompactHeartbeat, Datagram, Header, Message};
 
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
 
-/// What members of every version send for [`datagram`].
+/// The bytes that members of every version send for [`datagram`], in hexadecimal.
 const EXPECTED: [&str; 3] = [
     "ac0207ab0280a0f1c2b134fba0f1c2b134f0a2049221010005000309e8070c01",
     "01a80202ffff034d050000ffff0302040b0d030102c801000300030102030401",
     "02ff000103478744c45fa05ff5aeea82efb8e558",
 ];
 
-/// A datagram that holds each kind of message, with its authentication tag.
+/// A datagram with each kind of message: its content, and its signed bytes.
 fn datagram() -> (Datagram, Vec<u8>) {
     let header = Header {
         fleet_size: 300,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_bytes_of_an_authenticated_datagram_stay_as_they_are() {
+fn bytes_of_an_authenticated_datagram_are_stable() {
     let (content, bytes) = datagram();
     let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(text, EXPECTED.concat());
