--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -26,6 +26,7 @@
     },
     /// The [fraction](Reachability::fraction) of the fleet that this member can reach fell below one half.
     Isolated(Reachability),
-    /// The fraction has been at least three quarters again, for long enough to rely on it.
+    /// The fraction has been at least three quarters again for
+    /// [`DEATH_KNOWN_WITHIN`](crate::DEATH_KNOWN_WITHIN).
     Reconnected(Reachability),
 }
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -70,7 +70,8 @@
 
     fn suspect_message(&self, member: u16, gossip: bool) -> Message {
         let Evidence { incarnation, heartbeat } = self.table.latest(member);
-        let suspectors = self.table.record(member).suspectors.iter().map(|one| one.number).collect();
+        let suspectors =
+            self.table.record(member).suspectors.iter().map(|suspector| suspector.number).collect();
         Message::Suspect { member, incarnation, heartbeat, suspectors, gossip }
     }
 
--- a/crates/fleet/src/membership/outbound.rs
+++ b/crates/fleet/src/membership/outbound.rs
@@ -34,8 +34,8 @@
             self.counters.deferred += 1;
             return;
         }
-        // Relayed heartbeats do not depend on the budget: they keep members from being declared dead by
-        // [`forget_timeout`](crate::forget_timeout).
+        // Relayed heartbeats do not depend on the budget: without them, members would be declared dead after
+        // the forget timeout.
         messages.push(self.next_relayed_heartbeats(now));
         let used: usize = messages.iter().map(Message::encoded_len).sum();
         let left = self
--- a/crates/fleet/src/membership/relay.rs
+++ b/crates/fleet/src/membership/relay.rs
@@ -73,8 +73,8 @@
         false
     }
 
-    /// Handles a report that a member is dead which is alive here: gossip did not reach either the sender or
-    /// this member. Returns `true` if the sender lacks later evidence.
+    /// Handles a report that a member is dead, although it is alive according to this member: gossip failed
+    /// to reach one of the two. Returns `true` if the sender lacks later evidence.
     ///
     /// Without later evidence the report counts as a suspicion, but only if a later heartbeat would have been
     /// relayed here by now: while a partition heals, members with older knowledge still report others as
--- a/crates/fleet/src/membership/schedule.rs
+++ b/crates/fleet/src/membership/schedule.rs
@@ -9,10 +9,11 @@
 const SLOT_INTERVAL: Millis = HEARTBEAT_INTERVAL / OBSERVERS as Millis;
 /// A slot that is late by this much shows that this process lacks CPU time, not that other members are dead.
 const LATE_TIMER_THRESHOLD: Millis = 100;
-/// Time after a late slot during which silence does not count, so that datagrams that arrived meanwhile are
-/// read first.
+/// Time after a late slot during which no member is suspected or declared dead, so that datagrams that
+/// arrived meanwhile are read first.
 const LATE_TIMER_GRACE: Millis = 2 * HEARTBEAT_INTERVAL;
-/// Number of heartbeats per round. Each round sends digests of shared state and probes an absent member.
+/// Number of heartbeats per round. Each round sends digests of shared state and probes one absent (dead or
+/// unknown) member.
 const HEARTBEATS_PER_ROUND: u32 = 4;
 /// A subject is asked for heartbeats if nothing was received from it for this long, and sent a confirmation
 /// that it is heard if nothing was sent to it for this long.
--- a/crates/fleet/src/membership/status.rs
+++ b/crates/fleet/src/membership/status.rs
@@ -11,9 +11,8 @@
 }
 
 impl Membership {
-    /// How much of the fleet receives this member's datagrams, and how much it receives from. Callers that
-    /// act on the result pass the current time, so that a process that was paused detects the pause here at
-    /// the latest.
+    /// How much of the fleet this member can reach, in both directions. Callers that act on the result pass
+    /// the current time, so that a process that was paused detects the pause here at the latest.
     pub fn reachability(&mut self, now: Millis) -> Reachability {
         self.detect_pause(now);
         let links = &self.links;
--- a/crates/fleet/src/reachability.rs
+++ b/crates/fleet/src/reachability.rs
@@ -9,8 +9,8 @@
 /// keeps a member whose fraction fluctuates around one threshold from being reported repeatedly.
 const RECONNECTED_FROM: f64 = 0.75;
 
-/// How much of the fleet receives this member's datagrams, and how much it receives from. The two differ if a
-/// link is broken in one direction.
+/// How much of the fleet receives datagrams from this member, and from how much of it this member receives
+/// datagrams. The two differ if a link is broken in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Reachability {
     /// Number of members besides this one.
--- a/crates/fleet/src/rings.rs
+++ b/crates/fleet/src/rings.rs
@@ -14,7 +14,7 @@
     /// The members in the order of each ring.
     order: Vec<Vec<u16>>,
     /// The position of each member on each ring.
-    place: Vec<Vec<u16>>,
+    positions: Vec<Vec<u16>>,
 }
 
 fn rank(ring: usize, member: u16) -> [u8; 8] {
@@ -29,18 +29,18 @@
     /// Creates the rings of a fleet of `size` members.
     pub fn new(size: u16) -> Self {
         let mut order = Vec::new();
-        let mut place = Vec::new();
+        let mut positions = Vec::new();
         for ring in 0..OBSERVERS {
             let mut members: Vec<u16> = (0..size).collect();
             members.sort_by_cached_key(|member| rank(ring, *member));
-            let mut places = vec![0; usize::from(size)];
+            let mut ring_positions = vec![0; usize::from(size)];
             for (at, member) in (0u16..).zip(&members) {
-                places[usize::from(*member)] = at;
+                ring_positions[usize::from(*member)] = at;
             }
             order.push(members);
-            place.push(places);
+            positions.push(ring_positions);
         }
-        Self { order, place }
+        Self { order, positions }
     }
 
     /// The members that a member sends heartbeats to.
@@ -67,8 +67,8 @@
             return first_live;
         }
         let mut chosen: Vec<u16> = Vec::with_capacity(OBSERVERS);
-        for (order, place) in self.order.iter().zip(&self.place) {
-            let mut at = usize::from(place[usize::from(of)]);
+        for (order, positions) in self.order.iter().zip(&self.positions) {
+            let mut at = usize::from(positions[usize::from(of)]);
             let next = std::iter::repeat_with(|| {
                 at = (at + step) % order.len();
                 order[at]
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -156,8 +156,8 @@
     assert_eq!(state_after_relayed_deaths(50), MemberState::Dead);
 }
 
-/// Sends a datagram from `incarnation` of member 1, addressed to `known_incarnation` of the recipient. Returns the header
-/// of the reply.
+/// Sends a datagram from `incarnation` of member 1, addressed to `known_incarnation` of the recipient. Returns the
+/// header of the reply.
 fn reply_to(
     membership: &mut Membership,
     incarnation: u64,
