--- a/crates/fault-shim/shim/apply.rs
+++ b/crates/fault-shim/shim/apply.rs
@@ -5,14 +5,14 @@
 use crate::rules::MatchedRule;
 use core::ffi::{c_int, c_long};
 
-/// For [`partial_len`]: half of the bytes.
+/// A limit for [`partial_len`] that stands for half of the bytes.
 const HALF: usize = usize::MAX;
 
-/// The result of a call, which is negative where the call failed.
+/// Result type of a call; a negative result means that the call failed.
 pub trait CallResult: Copy {
-    /// The result of a failed call.
+    /// Result of a failed call.
     const FAILED: Self;
-    /// Whether the call failed.
+    /// Returns whether the call failed.
     fn is_failure(self) -> bool;
 }
 
@@ -30,7 +30,8 @@
     }
 }
 
-/// Makes a call as `rule` says. `complete` makes the call; `partial` transfers at most so many bytes, see [`partial_len`].
+/// Makes a call and applies the action of `rule` to it. `complete` makes the whole call; `partial` makes one that
+/// transfers [`partial_len`] bytes for the limit that it is given.
 pub fn apply<T: CallResult>(
     rule: Option<MatchedRule>,
     complete: impl FnOnce() -> T,
@@ -68,17 +69,17 @@
     }
 }
 
-/// Makes a call that transfers no bytes as `rule` says.
+/// Applies the action of `rule` to a call that cannot be made in part: a partial call is made whole.
 pub fn apply_indivisible<T: CallResult>(rule: Option<MatchedRule>, complete: impl Fn() -> T) -> T {
     apply(rule, &complete, |_| complete())
 }
 
-/// How many of `len` bytes a partial call transfers: at most `limit`, or half of them for [`HALF`].
+/// Returns how many of `len` bytes a partial call transfers: at most `limit`, or half of them for [`HALF`].
 pub fn partial_len(len: usize, limit: usize) -> usize {
     if limit == HALF { len / 2 } else { len.min(limit) }
 }
 
-/// Blocks the thread for so many nanoseconds.
+/// Blocks the thread for this many nanoseconds.
 pub fn sleep(nanos: i64) {
     let time = Timespec { seconds: nanos / NANOS_PER_SECOND, nanos: (nanos % NANOS_PER_SECOND) as c_long };
     unsafe { nanosleep(&time, core::ptr::null_mut()) };
--- a/crates/fault-shim/shim/clock.rs
+++ b/crates/fault-shim/shim/clock.rs
@@ -1,4 +1,4 @@
-//! Readings of clocks.
+//! Interposes `clock_gettime`.
 
 use crate::apply::sleep;
 use crate::control::control;
@@ -10,7 +10,8 @@
 use core::ffi::{c_int, c_long};
 use core::sync::atomic::Ordering;
 
-/// Adds the offset to the wall clock; a rule may delay the caller after a reading of the monotonic clock.
+/// Adds the offset of the control file to the wall clock. A rule for [`call::CLOCK`] delays the caller after the
+/// monotonic clock was read, as if the thread had been descheduled then.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut Timespec) -> c_int {
     let result = unsafe { real_clock_gettime(clock, time) };
--- a/crates/fault-shim/shim/control.rs
+++ b/crates/fault-shim/shim/control.rs
@@ -1,18 +1,18 @@
-//! The control file, which the test writes and this process maps.
+//! The control file, which the test writes and the process under test maps into memory.
 
 use crate::layout::FILE_BYTES;
 use crate::libc::{MAP_SHARED, O_RDWR, PROT_READ_WRITE, abort, getenv, mmap, real_open};
 use core::sync::atomic::{AtomicI64, AtomicPtr, Ordering};
 
-/// The mapped control file; null without one.
+/// Address of the mapped control file; null where the environment names none.
 static CONTROL: AtomicPtr<AtomicI64> = AtomicPtr::new(core::ptr::null_mut());
 
-/// The loader runs this before `main`.
+/// The dynamic loader calls the functions of `.init_array` before `main`.
 #[used]
 #[unsafe(link_section = ".init_array")]
 static INITIALIZER: unsafe extern "C" fn() = map_control;
 
-/// Maps the file that the environment names; aborts the process where that fails.
+/// Maps the control file that the environment names; aborts the process if the file cannot be opened or mapped.
 unsafe extern "C" fn map_control() {
     unsafe {
         let path = getenv(c"FAULT_SHIM_CONTROL".as_ptr());
@@ -31,7 +31,7 @@
     }
 }
 
-/// The words of the control file; `None` without one.
+/// Returns the words of the control file; `None` where no file is mapped.
 pub fn control() -> Option<&'static [AtomicI64]> {
     let address = CONTROL.load(Ordering::Acquire);
     if address.is_null() {
--- a/crates/fault-shim/shim/files.rs
+++ b/crates/fault-shim/shim/files.rs
@@ -1,4 +1,4 @@
-//! Calls on files.
+//! Interposes calls on files, and `write`, which applies to sockets too.
 
 use crate::apply::{apply, apply_indivisible, partial_len};
 use crate::control::control;
@@ -10,7 +10,7 @@
 use crate::rules::{MatchedRule, NO_PEER, matching_rule};
 use core::ffi::{c_char, c_int, c_void};
 
-/// The type of a descriptor's file: the bits [`S_IFMT`] of `st_mode`; 0 where it is unknown.
+/// Returns the type of the file that a descriptor refers to (the bits [`S_IFMT`] of `st_mode`), or 0 if `fstat` fails.
 fn file_type(fd: c_int) -> u32 {
     let mut status = [0u32; STAT_WORDS];
     let is_known = unsafe { fstat(fd, status.as_mut_ptr().cast()) } == 0;
@@ -50,31 +50,36 @@
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn renameat(at: c_int, from: *const c_char, into: c_int, to: *const c_char) -> c_int {
+unsafe extern "C" fn renameat(
+    from_dir_fd: c_int,
+    from: *const c_char,
+    to_dir_fd: c_int,
+    to: *const c_char,
+) -> c_int {
     apply_indivisible(matching_rule(call::RENAME, -1, NO_PEER), || unsafe {
-        real_renameat(at, from, into, to)
+        real_renameat(from_dir_fd, from, to_dir_fd, to)
     })
 }
 
-/// The rule for an open with these flags: only opens for writing have one.
+/// Returns the rule that applies to an open with these flags. Rules apply only to opens for writing.
 fn open_rule(flags: c_int) -> Option<MatchedRule> {
     let is_for_writing = flags & O_ACCMODE != 0;
     if is_for_writing { matching_rule(call::OPEN, -1, NO_PEER) } else { None }
 }
 
-unsafe fn open_at(at: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int {
+unsafe fn open_at(dir_fd: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int {
     let rule = open_rule(flags);
-    apply_indivisible(rule, || unsafe { real_openat(at, path, flags, mode) })
+    apply_indivisible(rule, || unsafe { real_openat(dir_fd, path, flags, mode) })
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn openat(at: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int {
-    unsafe { open_at(at, path, flags, mode) }
+unsafe extern "C" fn openat(dir_fd: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int {
+    unsafe { open_at(dir_fd, path, flags, mode) }
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn openat64(at: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int {
-    unsafe { open_at(at, path, flags, mode) }
+unsafe extern "C" fn openat64(dir_fd: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int {
+    unsafe { open_at(dir_fd, path, flags, mode) }
 }
 
 #[unsafe(no_mangle)]
--- a/crates/fault-shim/shim/layout.rs
+++ b/crates/fault-shim/shim/layout.rs
@@ -1,38 +1,38 @@
-// The layout of the control file: a clock offset, then rules, all in 64-bit words. The preloaded library and the crate
-// both include this file.
+// Layout of the control file: the clock offset, then the rules, all in 64-bit words of native byte order. Both the
+// preloaded library and the crate that controls it include this file.
 
-/// The number of rules in a control file.
+/// Number of rules in a control file.
 pub const RULES: usize = 32;
-/// The length of a rule in words.
+/// Length of a rule in words.
 pub const RULE_WORDS: usize = 10;
-/// The word with the offset of the wall clock, in nanoseconds.
+/// Index of the word that holds the offset of the wall clock, in nanoseconds.
 pub const CLOCK_OFFSET: usize = 0;
-/// The number of words before the first rule.
+/// Number of words before the first rule.
 pub const HEADER_WORDS: usize = 1;
-/// The length of a control file in bytes.
+/// Length of a control file in bytes.
 pub const FILE_BYTES: usize = 8 * (HEADER_WORDS + RULES * RULE_WORDS);
 
-/// The words of a rule.
+/// Indexes of the words of a rule.
 pub mod word {
-    /// 1 while the rule is active; written last.
+    /// 1 while the rule is active. It is written last, so that an active rule is complete.
     pub const ACTIVE: usize = 0;
-    /// The calls that it applies to, one of [`super::call`].
+    /// Kind of calls that the rule applies to, one of [`super::call`].
     pub const CALL: usize = 1;
-    /// What happens to them, one of [`super::action`].
+    /// What happens to these calls, one of [`super::action`].
     pub const ACTION: usize = 2;
-    /// The action's parameter: an errno, a number of bytes, or nanoseconds.
+    /// Parameter of the action: an errno, a number of bytes, or a time in nanoseconds.
     pub const VALUE: usize = 3;
-    /// For a translation, the errno that is replaced.
+    /// For [`super::action::TRANSLATE`], the errno that is replaced.
     pub const REPLACED_ERRNO: usize = 4;
-    /// How many more calls it applies to; negative: no limit.
+    /// Number of calls that the rule still applies to; negative: no limit.
     pub const TIMES: usize = 5;
-    /// How many more calls it skips first.
+    /// Number of calls that still pass unchanged before the rule applies.
     pub const SKIP: usize = 6;
-    /// Only sockets whose peer has this port; 0: all.
+    /// Restricts the rule to sockets whose peer has this port; 0: all sockets.
     pub const PEER_PORT: usize = 7;
-    /// Only sockets whose own port is this; 0: all.
+    /// Restricts the rule to sockets with this local port; 0: all sockets.
     pub const LOCAL_PORT: usize = 8;
-    /// How many calls it has changed.
+    /// Number of calls that the rule has changed, counted by the library.
     pub const INJECTED: usize = 9;
 }
 
@@ -52,26 +52,26 @@
     /// `fsync` and `fdatasync`.
     pub const SYNC: u64 = 8;
     pub const RENAME: u64 = 9;
-    /// Opens of files for writing.
+    /// Opening a file for writing.
     pub const OPEN: u64 = 10;
-    /// Readings of the monotonic clock.
+    /// Reading the monotonic clock.
     pub const CLOCK: u64 = 11;
 }
 
 /// What happens to a call.
 pub mod action {
-    /// It fails with an errno, and does nothing.
+    /// Fails with an errno; the system call is not made.
     pub const FAIL: u64 = 1;
-    /// Where it fails with one errno, it returns another.
+    /// Makes the system call; where that fails with one errno, reports another instead.
     pub const TRANSLATE: u64 = 2;
-    /// It transfers so many bytes at most.
+    /// Transfers at most a number of bytes.
     pub const SHORT: u64 = 3;
-    /// It is delayed; a clock reading, after the clock was read.
+    /// Sleeps before the system call; for a clock reading, after it.
     pub const DELAY: u64 = 4;
-    /// The process is killed before the call.
+    /// Kills the process before the call.
     pub const KILL: u64 = 5;
-    /// The process is killed after half of a write.
+    /// Kills the process after half of the bytes of the call were transferred.
     pub const KILL_HALFWAY: u64 = 6;
-    /// The process is killed after the call.
+    /// Kills the process after the call.
     pub const KILL_AFTER: u64 = 7;
 }
--- a/crates/fault-shim/shim/lib.rs
+++ b/crates/fault-shim/shim/lib.rs
@@ -1,5 +1,6 @@
-//! A library that is preloaded into a process under test. It replaces the C library's wrappers of system calls, and applies
-//! the faults of the control file to them. It does without the standard library, which would call these functions itself.
+//! A library that is preloaded into a process under test. It interposes the C library's wrappers of system calls, and
+//! applies the rules of the control file to them. It is `no_std`, since the standard library would itself call the
+//! functions that are interposed here.
 #![no_std]
 #![allow(clippy::missing_safety_doc)]
 
@@ -18,6 +19,6 @@
     unsafe { libc::abort() }
 }
 
-/// The precompiled core library refers to this symbol. Nothing unwinds here, so it is never called.
+/// The precompiled `core` refers to this symbol. It is never called: the library is built with `panic=abort`.
 #[unsafe(no_mangle)]
 extern "C" fn rust_eh_personality() {}
--- a/crates/fault-shim/shim/libc.rs
+++ b/crates/fault-shim/shim/libc.rs
@@ -1,4 +1,4 @@
-//! The parts of the C library that the shim uses: constants, types, functions, and the functions that it replaces.
+//! Bindings to the C library: constants, types, functions, and the functions that the shim interposes (`real_*`).
 
 use core::ffi::{c_char, c_int, c_long, c_void};
 use core::sync::atomic::{AtomicUsize, Ordering};
@@ -19,12 +19,12 @@
 pub const S_IFMT: u32 = 0o170000;
 pub const S_IFREG: u32 = 0o100000;
 pub const S_IFSOCK: u32 = 0o140000;
-/// At least the length of `struct stat`, in 32-bit words.
+/// Length of the buffer for a `struct stat` in 32-bit words; at least the length of the struct.
 pub const STAT_WORDS: usize = 64;
-/// The position of `st_mode` among them.
+/// Index of `st_mode` in that buffer.
 #[cfg(target_arch = "x86_64")]
 pub const MODE_WORD: usize = 6;
-/// The position of `st_mode` among them.
+/// Index of `st_mode` in that buffer.
 #[cfg(not(target_arch = "x86_64"))]
 pub const MODE_WORD: usize = 4;
 pub const NANOS_PER_SECOND: i64 = 1_000_000_000;
@@ -64,7 +64,7 @@
     pub fn dlsym(handle: *mut c_void, name: *const c_char) -> *mut c_void;
     pub fn getenv(name: *const c_char) -> *const c_char;
     pub fn mmap(
-        at: *mut c_void,
+        address: *mut c_void,
         len: usize,
         prot: c_int,
         flags: c_int,
@@ -76,14 +76,15 @@
     pub fn pause() -> c_int;
     pub fn abort() -> !;
     pub fn fstat(fd: c_int, status: *mut c_void) -> c_int;
-    pub fn nanosleep(time: *const Timespec, left: *mut Timespec) -> c_int;
+    pub fn nanosleep(time: *const Timespec, remaining: *mut Timespec) -> c_int;
     pub fn getpeername(fd: c_int, address: *mut SocketAddress, len: *mut u32) -> c_int;
     pub fn getsockname(fd: c_int, address: *mut SocketAddress, len: *mut u32) -> c_int;
     #[link_name = "__errno_location"]
     pub fn errno_location() -> *mut c_int;
 }
 
-/// Declares a function that calls the C library's function `$name`, which the shim replaces.
+/// Declares `$wrapper`, which calls the C library's own `$name`. Since the shim interposes `$name`, `dlsym` looks up
+/// its next definition in the search order; the address is cached.
 macro_rules! real {
     ($wrapper:ident, $name:literal, ($($arg:ident: $type:ty),*) -> $result:ty) => {
         pub unsafe fn $wrapper($($arg: $type),*) -> $result {
@@ -100,9 +101,9 @@
 }
 
 real!(real_open, c"open64", (path: *const c_char, flags: c_int, mode: u32) -> c_int);
-real!(real_accept4, c"accept4", (fd: c_int, at: *mut SocketAddress, len: *mut u32, flags: c_int) -> c_int);
+real!(real_accept4, c"accept4", (fd: c_int, address: *mut SocketAddress, len: *mut u32, flags: c_int) -> c_int);
 real!(real_socket, c"socket", (domain: c_int, kind: c_int, protocol: c_int) -> c_int);
-real!(real_connect, c"connect", (fd: c_int, at: *const SocketAddress, len: u32) -> c_int);
+real!(real_connect, c"connect", (fd: c_int, address: *const SocketAddress, len: u32) -> c_int);
 real!(real_epoll_wait, c"epoll_wait", (fd: c_int, events: *mut c_void, max_events: c_int, millis: c_int) -> c_int);
 real!(real_recv, c"recv", (fd: c_int, buf: *mut c_void, len: usize, flags: c_int) -> isize);
 real!(real_send, c"send", (fd: c_int, buf: *const c_void, len: usize, flags: c_int) -> isize);
@@ -115,8 +116,9 @@
 real!(real_fsync, c"fsync", (fd: c_int) -> c_int);
 real!(real_fdatasync, c"fdatasync", (fd: c_int) -> c_int);
 real!(real_rename, c"rename", (from: *const c_char, to: *const c_char) -> c_int);
-real!(real_renameat, c"renameat", (at: c_int, from: *const c_char, into: c_int, to: *const c_char) -> c_int);
-real!(real_openat, c"openat64", (at: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int);
+real!(real_renameat, c"renameat",
+    (from_dir_fd: c_int, from: *const c_char, to_dir_fd: c_int, to: *const c_char) -> c_int);
+real!(real_openat, c"openat64", (dir_fd: c_int, path: *const c_char, flags: c_int, mode: u32) -> c_int);
 real!(real_clock_gettime, c"clock_gettime", (clock: c_int, time: *mut Timespec) -> c_int);
 real!(real_getsockopt, c"getsockopt",
     (fd: c_int, level: c_int, name: c_int, value: *mut c_int, len: *mut u32) -> c_int);
--- a/crates/fault-shim/shim/rules.rs
+++ b/crates/fault-shim/shim/rules.rs
@@ -1,4 +1,4 @@
-//! Which rule of the control file applies to a call.
+//! Selects the rule of the control file that applies to a call.
 
 use crate::control::control;
 use crate::layout::{HEADER_WORDS, RULE_WORDS, RULES, action, word};
@@ -7,7 +7,7 @@
 use core::ffi::c_int;
 use core::sync::atomic::{AtomicI64, Ordering};
 
-/// For calls that have no connected socket.
+/// Peer port of calls that have no connected socket.
 pub const NO_PEER: Option<u16> = Some(0);
 
 /// A rule that applies to a call.
@@ -15,9 +15,9 @@
 pub struct MatchedRule {
     /// One of [`action`].
     pub action: u64,
-    /// The action's parameter; see [`word::VALUE`].
+    /// Parameter of the action; see [`word::VALUE`].
     pub value: i64,
-    /// For a translation, the errno that is replaced.
+    /// For [`action::TRANSLATE`], the errno that is replaced.
     pub replaced_errno: i64,
     words: &'static [AtomicI64],
 }
@@ -29,16 +29,17 @@
     }
 }
 
-/// The first rule that applies to a call of kind `kind` (one of [`crate::layout::call`]) on `fd`. `peer` is the port of the
-/// socket's peer, where the caller knows it. The match is counted here, but for a translation, which may not occur.
+/// Returns the first rule that applies to a call of kind `kind` (one of [`crate::layout::call`]) on `fd`. `peer` is the
+/// port of the socket's peer, where the caller knows it. Counts the call for the rule, except for
+/// [`action::TRANSLATE`]: whether that changes the call is known only from its result, so the caller counts it.
 pub fn matching_rule(kind: u64, fd: c_int, peer: Option<u16>) -> Option<MatchedRule> {
     let words = control()?;
     let rules = words[HEADER_WORDS..].chunks_exact(RULE_WORDS).take(RULES);
-    rules.filter(|rule| selects(rule, kind, fd, peer)).find_map(take)
+    rules.filter(|rule| applies_to(rule, kind, fd, peer)).find_map(consume_call)
 }
 
-/// Whether a rule is active and for such calls.
-fn selects(rule: &[AtomicI64], kind: u64, fd: c_int, peer: Option<u16>) -> bool {
+/// Returns whether a rule is active and applies to calls of this kind, descriptor and peer.
+fn applies_to(rule: &[AtomicI64], kind: u64, fd: c_int, peer: Option<u16>) -> bool {
     let load = |index: usize| rule[index].load(Ordering::Relaxed);
     if rule[word::ACTIVE].load(Ordering::Acquire) != 1 || load(word::CALL) as u64 != kind {
         return false;
@@ -48,8 +49,9 @@
         && (wanted_local == 0 || port(fd, getsockname) == wanted_local)
 }
 
-/// Takes one call from a rule's limits; `None` while it skips calls, and when it has no calls left.
-fn take(words: &'static [AtomicI64]) -> Option<MatchedRule> {
+/// Consumes one call of a rule's limits and counts it. Returns `None` while the rule still skips calls, and once its
+/// number of calls is used up. Translations have no limits.
+fn consume_call(words: &'static [AtomicI64]) -> Option<MatchedRule> {
     let load = |index: usize| words[index].load(Ordering::Relaxed);
     let rule = MatchedRule {
         action: load(word::ACTION) as u64,
--- a/crates/fault-shim/shim/sockets.rs
+++ b/crates/fault-shim/shim/sockets.rs
@@ -1,4 +1,4 @@
-//! Calls on sockets, and waits for events.
+//! Interposes calls on sockets, and `epoll_wait`.
 
 use crate::apply::{apply, apply_indivisible, partial_len};
 use crate::layout::{action, call};
@@ -7,16 +7,16 @@
     real_epoll_wait, real_getsockopt, real_read, real_readv, real_recv, real_recvmsg, real_send,
     real_sendmsg, real_socket, real_write, real_writev,
 };
-use crate::ports::remember_peer;
+use crate::ports::store_peer_port;
 use crate::rules::{NO_PEER, matching_rule};
 use core::ffi::{c_int, c_void};
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn accept4(fd: c_int, at: *mut SocketAddress, len: *mut u32, flags: c_int) -> c_int {
+unsafe extern "C" fn accept4(fd: c_int, address: *mut SocketAddress, len: *mut u32, flags: c_int) -> c_int {
     let accepted = apply_indivisible(matching_rule(call::ACCEPT, fd, NO_PEER), || unsafe {
-        real_accept4(fd, at, len, flags)
+        real_accept4(fd, address, len, flags)
     });
-    remember_peer(accepted, 0);
+    store_peer_port(accepted, 0);
     accepted
 }
 
@@ -25,18 +25,20 @@
     let fd = apply_indivisible(matching_rule(call::SOCKET, -1, NO_PEER), || unsafe {
         real_socket(domain, kind, protocol)
     });
-    remember_peer(fd, 0);
+    store_peer_port(fd, 0);
     fd
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn connect(fd: c_int, at: *const SocketAddress, len: u32) -> c_int {
-    let port = if at.is_null() { 0 } else { u16::from_be_bytes(unsafe { (*at).port }) };
-    remember_peer(fd, port);
-    apply_indivisible(matching_rule(call::CONNECT, fd, Some(port)), || unsafe { real_connect(fd, at, len) })
+unsafe extern "C" fn connect(fd: c_int, address: *const SocketAddress, len: u32) -> c_int {
+    let port = if address.is_null() { 0 } else { u16::from_be_bytes(unsafe { (*address).port }) };
+    store_peer_port(fd, port);
+    apply_indivisible(matching_rule(call::CONNECT, fd, Some(port)), || unsafe {
+        real_connect(fd, address, len)
+    })
 }
 
-/// `SO_ERROR` reports why a non-blocking `connect` failed: translations apply to it too.
+/// `SO_ERROR` reports why a non-blocking `connect` failed, so translations for [`call::CONNECT`] apply to it too.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn getsockopt(
     fd: c_int,
@@ -82,7 +84,7 @@
     )
 }
 
-/// The first buffer that is not empty, shortened as [`partial_len`] says.
+/// Returns the first buffer that is not empty, shortened to [`partial_len`]; an empty one if there is none.
 unsafe fn first_buffer(iov: *const IoVec, iov_len: usize, limit: usize) -> IoVec {
     for index in 0..iov_len {
         let buffer = unsafe { *iov.add(index) };
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,8 +1,9 @@
-//! Faults for a process under test. A preloaded library (`shim/`) steps the process's wall clock and makes chosen system
-//! calls fail, transfer few bytes, take long, or kill the process.
+//! Fault injection for a process under test. A preloaded library (`shim/`) shifts the process's wall clock and makes
+//! selected system calls fail, transfer fewer bytes than requested, take longer, or kill the process.
 //!
-//! [`FaultShim`] controls the library in one process through a file, which the library maps. It reads the file in
-//! each call: a fault is active from [`FaultShim::inject`] to [`FaultShim::end`], which also returns how many calls it changed.
+//! [`FaultShim`] controls the library in one process through a control file, which the library maps into memory and
+//! reads in each call that it intercepts. A fault is active from [`FaultShim::inject`] to [`FaultShim::end`], which
+//! returns the number of calls that the fault changed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,21 +19,21 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// The path of the preloaded library, which the build script builds.
+/// Path of the preloaded library, set by the build script that builds it.
 const LIBRARY: &str = env!("FAULT_SHIM_LIBRARY");
 
-/// The calls that a fault applies to.
+/// A kind of calls that a fault applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     /// `accept4`.
     Accept,
     /// `socket`.
     Socket,
-    /// `connect`, and for [`Action::Translate`] the error that `SO_ERROR` reports later.
+    /// `connect`; for [`Action::Translate`] also the result of a non-blocking `connect` that `SO_ERROR` reports.
     Connect,
     /// `epoll_wait`.
     Wait,
-    /// Reads from sockets, without those with `MSG_PEEK`.
+    /// Reads from sockets, except those with `MSG_PEEK`.
     Receive,
     /// Writes to sockets.
     Send,
@@ -42,9 +43,9 @@
     Sync,
     /// `rename` and `renameat`.
     Rename,
-    /// Opens of files for writing.
+    /// Opening a file for writing.
     Open,
-    /// Readings of the monotonic clock.
+    /// Reading the monotonic clock.
     Clock,
 }
 
@@ -69,24 +70,24 @@
 /// What a fault does to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// It fails with this errno, and does nothing.
+    /// Fails with this errno; the system call is not made.
     Fail(Errno),
-    /// Where it fails with the first errno, it returns the second.
+    /// Makes the system call; where that fails with the first errno, reports the second instead.
     Translate(Errno, Errno),
-    /// It transfers so many bytes at most.
+    /// Transfers at most this many bytes.
     Short(usize),
-    /// It is delayed; a clock reading, after the clock was read.
+    /// Sleeps for this time before the system call; for a clock reading, after it.
     Delay(Duration),
-    /// The process is killed before the call.
+    /// Kills the process before the call.
     Kill,
-    /// The process is killed after half of a write.
+    /// Kills the process after half of the bytes of the call were transferred.
     KillHalfway,
-    /// The process is killed after the call.
+    /// Kills the process after the call.
     KillAfter,
 }
 
 impl Action {
-    /// The action as the control file has it.
+    /// Encodes the action for the control file.
     fn encode(self) -> EncodedAction {
         let (code, value, replaced_errno) = match self {
             Self::Fail(errno) => (action::FAIL, errno as i64, 0),
@@ -101,102 +102,102 @@
     }
 }
 
-/// The words of a rule for an action.
+/// The words of a rule that encode an action.
 struct EncodedAction {
     code: u64,
     value: i64,
     replaced_errno: i64,
 }
 
-/// A fault.
+/// A fault: which calls it applies to, and what it does to them. Without limits it applies to all calls of its kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
     /// The calls that it applies to.
     pub call: Call,
     /// What it does to them.
     pub action: Action,
-    /// How many calls it applies to; `None`: all while it is active.
+    /// Number of calls that it applies to; `None`: all calls while it is active.
     pub times: Option<u32>,
-    /// How many calls it skips first.
+    /// Number of matching calls that pass unchanged before it applies.
     pub skip: u32,
-    /// Only sockets whose peer has this port.
+    /// Restricts the fault to sockets whose peer has this port.
     pub peer_port: Option<u16>,
-    /// Only sockets whose local port is this.
+    /// Restricts the fault to sockets with this local port.
     pub local_port: Option<u16>,
 }
 
 impl Fault {
-    /// All calls of a kind, on every socket.
+    /// Creates a fault that applies to all calls of a kind, on every socket.
     pub fn new(call: Call, action: Action) -> Self {
         Self { call, action, times: None, skip: 0, peer_port: None, local_port: None }
     }
 
-    /// Applies to so many calls only.
+    /// Limits the fault to this number of calls.
     #[must_use]
     pub fn times(self, times: u32) -> Self {
         Self { times: Some(times), ..self }
     }
 
-    /// Skips so many calls first.
+    /// Lets this number of matching calls pass unchanged first.
     #[must_use]
     pub fn skip(self, skip: u32) -> Self {
         Self { skip, ..self }
     }
 
-    /// Applies only to sockets whose peer has this port.
+    /// Restricts the fault to sockets whose peer has this port.
     #[must_use]
     pub fn to(self, port: u16) -> Self {
         Self { peer_port: Some(port), ..self }
     }
 
-    /// Applies only to sockets whose local port is this: those that a listener there accepted.
+    /// Restricts the fault to sockets with this local port, that is, to connections accepted on that port.
     #[must_use]
     pub fn at(self, port: u16) -> Self {
         Self { local_port: Some(port), ..self }
     }
 }
 
-/// Identifies an active fault of a [`FaultShim`].
+/// Handle of an active fault of a [`FaultShim`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Injected(usize);
 
-/// The position of a word in the control file.
+/// Offset of a word in the control file, in bytes.
 fn byte_offset(word: usize) -> u64 {
     (size_of::<i64>() * word) as u64
 }
 
-/// The first word of a rule.
-fn rule_start(number: usize) -> usize {
-    HEADER_WORDS + number * RULE_WORDS
+/// Index of the first word of a rule.
+fn rule_start(rule: usize) -> usize {
+    HEADER_WORDS + rule * RULE_WORDS
 }
 
-/// The faults of one process.
+/// Controls the faults of one process.
 #[derive(Debug)]
 pub struct FaultShim {
     file: tempfile::NamedTempFile,
-    /// The rules of the file that are in use.
-    used: Mutex<[bool; RULES]>,
-    /// Calls that faults changed which have ended.
-    ended: Mutex<u64>,
+    /// Whether each rule of the control file holds an active fault.
+    rules_in_use: Mutex<[bool; RULES]>,
+    /// Number of calls that faults changed which are no longer active.
+    changed_by_ended_faults: Mutex<u64>,
 }
 
 impl FaultShim {
-    /// A control without faults, for a process that is started with [`FaultShim::environment`].
+    /// Creates a control file without faults, for a process that is started with [`FaultShim::environment`].
     ///
     /// # Errors
-    /// The control file cannot be created.
+    /// If the control file cannot be created.
     pub fn new() -> io::Result<Self> {
         let file = tempfile::NamedTempFile::new()?;
         file.as_file().set_len(FILE_BYTES as u64)?;
-        Ok(Self { file, used: Mutex::default(), ended: Mutex::default() })
+        Ok(Self { file, rules_in_use: Mutex::default(), changed_by_ended_faults: Mutex::default() })
     }
 
-    /// The environment variables that load the library into a process and name the control file.
+    /// Returns the environment variables that preload the library into a process and name its control file.
     pub fn environment(&self) -> [(&'static str, OsString); 2] {
         [("LD_PRELOAD", LIBRARY.into()), ("FAULT_SHIM_CONTROL", self.file.path().as_os_str().to_owned())]
     }
 
-    /// Sets the offset of the process's wall clock in nanoseconds; its monotonic clock is not changed.
+    /// Shifts the process's wall clock by an offset in nanoseconds; the monotonic clock does not change.
     pub fn set_clock_offset(&self, nanos: i64) {
         self.write(CLOCK_OFFSET, nanos);
     }
@@ -204,15 +205,15 @@
     /// Activates a fault.
     ///
     /// # Panics
-    /// More faults would be active than the control file has rules.
+    /// If all rules of the control file are in use, or if the control file cannot be written.
     pub fn inject(&self, fault: Fault) -> Injected {
-        let mut used = self.used.lock().expect("no thread panics while it has the lock");
-        let number = used.iter().position(|used| !used).expect("fewer active faults than rules");
-        used[number] = true;
-        let base = rule_start(number);
+        let mut rules_in_use = self.rules_in_use.lock().expect("no thread panics while it holds the lock");
+        let rule = rules_in_use.iter().position(|in_use| !in_use).expect("the control file has a free rule");
+        rules_in_use[rule] = true;
+        let base = rule_start(rule);
         let EncodedAction { code, value, replaced_errno } = fault.action.encode();
         let port = |port: Option<u16>| i64::from(port.unwrap_or(0));
-        // The rule is active once its last word is written.
+        // `ACTIVE` is written last, so that the library never applies a rule that is only partly written.
         for (word, value) in [
             (word::CALL, fault.call.code() as i64),
             (word::ACTION, code as i64),
@@ -227,34 +228,34 @@
         ] {
             self.write(base + word, value);
         }
-        Injected(number)
+        Injected(rule)
     }
 
-    /// How many calls an active fault has changed.
+    /// Returns the number of calls that an active fault has changed.
     pub fn injected(&self, fault: Injected) -> u64 {
         self.read(rule_start(fault.0) + word::INJECTED)
     }
 
-    /// How many calls all faults have changed, ended ones too.
+    /// Returns the number of calls that all faults have changed, including those that have ended.
     ///
     /// # Panics
-    /// If another thread has panicked while it held a lock of this.
+    /// If the control file cannot be read, or if another thread has panicked while it held a lock.
     pub fn total(&self) -> u64 {
-        let used = *self.used.lock().expect("no thread panics while it has the lock");
+        let rules_in_use = *self.rules_in_use.lock().expect("no thread panics while it holds the lock");
         let active: u64 =
-            (0..RULES).filter(|number| used[*number]).map(|number| self.injected(Injected(number))).sum();
-        active + *self.ended.lock().expect("no thread panics while it has the lock")
+            (0..RULES).filter(|rule| rules_in_use[*rule]).map(|rule| self.injected(Injected(rule))).sum();
+        active + *self.changed_by_ended_faults.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Ends a fault; returns how many calls it changed.
+    /// Ends a fault, and returns the number of calls that it changed.
     ///
     /// # Panics
-    /// If another thread has panicked while it held a lock of this.
+    /// If the control file cannot be read or written, or if another thread has panicked while it held a lock.
     pub fn end(&self, fault: Injected) -> u64 {
         self.write(rule_start(fault.0) + word::ACTIVE, 0);
         let changed = self.injected(fault);
-        *self.ended.lock().expect("no thread panics while it has the lock") += changed;
-        self.used.lock().expect("no thread panics while it has the lock")[fault.0] = false;
+        *self.changed_by_ended_faults.lock().expect("no thread panics while it holds the lock") += changed;
+        self.rules_in_use.lock().expect("no thread panics while it holds the lock")[fault.0] = false;
         changed
     }
 
@@ -262,7 +263,7 @@
         self.file
             .as_file()
             .write_all_at(&value.to_ne_bytes(), byte_offset(word))
-            .expect("the control file is writable");
+            .expect("the control file can be written");
     }
 
     fn read(&self, word: usize) -> u64 {
@@ -270,7 +271,7 @@
         self.file
             .as_file()
             .read_exact_at(&mut bytes, byte_offset(word))
-            .expect("the control file is readable");
+            .expect("the control file can be read");
         u64::from_ne_bytes(bytes)
     }
 }
