--- a/crates/fakes/src/audit_parameters.rs
+++ b/crates/fakes/src/audit_parameters.rs
@@ -1,4 +1,4 @@
-//! What an audit has to know of a run beside its traffic: the limits that the run was configured with.
+//! What an audit needs in addition to the traffic of a run: the limits that the run was configured with.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,31 +6,32 @@
 /// The limits that a run's traffic is audited against.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct AuditParameters {
-    /// Seconds after a gateway knows of a drain within which it may still send new work to the backend.
+    /// Seconds after a gateway has learned of a drain during which it may still send new requests to the backend.
     #[serde(rename = "drain_grace")]
     pub drain_grace_seconds: f64,
     /// Limits of each plan.
     pub plans: Vec<PlanLimits>,
     /// Plan of each customer, as an index into `plans`.
     pub customers: BTreeMap<String, usize>,
-    /// How each class of requests may be repeated: `safe`, `keyed` or `unsafe`.
+    /// Whether requests of each class may be repeated: `safe`, `keyed` (with an idempotency key) or `unsafe`.
     pub effects: Vec<String>,
-    /// Share of a ceiling's burst by which the ceiling may be exceeded; the largest request at least.
+    /// Share of a ceiling's burst by which the ceiling may be exceeded; at least the units of the largest request.
     #[serde(rename = "slack")]
     pub ceiling_slack: f64,
-    /// Gateways of the fleet; each of them carries every customer.
+    /// Number of gateways in the fleet. Each of them serves every customer.
     #[serde(rename = "gatekeepers")]
     pub gateways: usize,
-    /// The counter is available during the whole run: what is admitted must be counted, but for one burst a customer.
+    /// Whether the counter is available during the whole run. If so, the units admitted must be counted, except for one
+    /// burst per customer.
     #[serde(rename = "counted")]
     pub counter_available: bool,
     /// Largest request, in units.
     #[serde(rename = "max_units")]
     pub largest_request_units: f64,
-    /// Seconds for which a backend remembers the idempotency key of a request.
+    /// Seconds for which a backend stores the idempotency key of a request.
     #[serde(rename = "window")]
     pub idempotency_window_seconds: f64,
-    /// Load that a backend in slow start bears; absent where no backend starts slowly.
+    /// Load that a backend in slow start can take; absent if no backend has a slow start.
     #[serde(default, rename = "cold")]
     pub slow_start: Option<SlowStartLimits>,
 }
@@ -48,9 +49,9 @@
 /// A token bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RateLimit {
-    /// Units a second.
+    /// Units per second.
     pub units_per_second: f64,
-    /// Units that the full bucket holds.
+    /// Capacity of the bucket in units.
     pub burst_units: f64,
 }
 
@@ -69,25 +70,25 @@
     }
 }
 
-/// Load that a backend in slow start bears, in units of work.
+/// Load that a backend in slow start can take, in units of work.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct SlowStartLimits {
-    /// Units a second of a warmed-up backend.
+    /// Units per second that a backend executes after its slow start.
     #[serde(rename = "capacity")]
     pub capacity_units_per_second: f64,
     /// Share of its full capacity that a backend starts with.
     #[serde(rename = "from")]
     pub initial_share: f64,
-    /// Seconds until it has warmed up.
+    /// Seconds until the slow start ends.
     #[serde(rename = "seconds")]
     pub duration_seconds: f64,
-    /// Multiple of its present capacity that it bears ...
+    /// Multiple of its current capacity that it can take over `overload_window_seconds`.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
-    /// ... over a window of this many seconds.
+    /// Length in seconds of the window over which its load is measured.
     #[serde(rename = "fall")]
     pub overload_window_seconds: f64,
-    /// Units that it bears beside that: random arrivals come in bunches.
+    /// Units that it can take in addition, since random arrivals come in bursts.
     #[serde(rename = "chance")]
     pub allowance_units: f64,
 }
--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -1,4 +1,5 @@
-//! A fake backend: a number of cores, random service times, a slow start that can be overloaded, and admission by ticket.
+//! A fake backend: a number of cores, random service times, admission by ticket, and a slow start during which overload
+//! makes it fail.
 
 use crate::capture::{Admission, BackendState, CaptureEvent};
 use crate::connections;
@@ -16,40 +17,42 @@
 use weirusher_core::{ClockAnchor, Keyring, TicketRejection, TicketValidator};
 use weirusher_wire::http1::{Request, Response, ServerCodec};
 
-/// Used tickets that a backend remembers.
+/// Maximum number of used tickets that a backend stores to detect replays.
 const MAX_USED_TICKETS: usize = 100_000;
-/// Mean requests that a backend in slow start bears beside its limit: random arrivals come in bunches.
+/// Work that a backend in slow start can take beyond its limit, as a multiple of the mean service time of one unit:
+/// random arrivals come in bursts.
 pub const ARRIVAL_ALLOWANCE: f64 = 3.0;
-/// Window of the arrivals that a warmed-up backend remembers, in seconds.
+/// Seconds for which arrivals are stored by a backend without a slow start.
 const ARRIVAL_WINDOW_SECONDS: f64 = 1.0;
 
-/// A slow start, and the load that it does not bear.
+/// A slow start, and the load that makes the backend fail during it.
 #[derive(Debug, Clone, Copy)]
 pub struct SlowStart {
     /// Share of its full capacity that the backend starts with.
     pub initial_share: f64,
-    /// Seconds until it has warmed up.
+    /// Seconds until it has its full capacity.
     pub duration_seconds: f64,
-    /// It fails when it gets more than this multiple of its present capacity ...
+    /// The backend fails if more work than this multiple of its current capacity arrives within
+    /// `overload_window_seconds`.
     pub overload_multiple: f64,
-    /// ... over a window of this many seconds.
+    /// Length in seconds of the window over which arriving work is summed.
     pub overload_window_seconds: f64,
 }
 
 /// Capacity and admission of a backend.
 #[derive(Debug, Clone)]
 pub struct FakeBackendSpec {
-    /// Requests that it executes at once.
+    /// Number of requests that it executes concurrently.
     pub cores: usize,
-    /// Mean seconds of work for one unit.
+    /// Mean service time of one unit in seconds.
     pub service_seconds: f64,
-    /// Requests that may wait for a core; further ones are rejected before their ticket is verified.
+    /// Maximum number of requests that wait for a core; further ones are rejected before their tickets are verified.
     pub queue_limit: usize,
-    /// Its slow start; `None`: it starts with its full capacity, and never fails.
+    /// Its slow start; `None`: it starts with its full capacity and never fails.
     pub slow_start: Option<SlowStart>,
     /// Keys that verify tickets.
     pub keyring: Keyring,
-    /// The address that tickets name, where a link stands before the backend; empty: the one it listens on.
+    /// The address that tickets name if the backend is reached through a link; empty: the address that it listens on.
     pub advertised_address: String,
     /// Header that carries the ticket.
     pub ticket_header: String,
@@ -57,7 +60,7 @@
     pub units_header: String,
 }
 
-/// Work that arrived at a moment, both in seconds.
+/// Work that arrived: its time since the start of the backend, and its mean service time.
 struct Arrival {
     at_seconds: f64,
     work_seconds: f64,
@@ -72,24 +75,26 @@
     clock: ClockAnchor,
     /// Work that arrived within the overload window.
     arrivals: Mutex<VecDeque<Arrival>>,
+    /// Factor by which service times are multiplied.
     slowdown: Mutex<f64>,
+    /// Notified when the backend fails.
     overloaded: tokio::sync::Notify,
     rng: Mutex<fastrand::Rng>,
 }
 
-/// A backend's process. Dropping it kills it: its connections break, its work is lost.
+/// A backend. Dropping it closes its connections and loses its work, as killing its process does.
 pub struct FakeBackend {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _tasks: JoinSet<()>,
 }
 
 impl FakeBackend {
-    /// Starts a backend on `address`; port 0 chooses one. `seed` draws its service times.
+    /// Starts a backend on `address`; port 0 selects a free port. `seed` seeds its random service times.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// If it cannot listen on the address.
     pub async fn start(
         address: SocketAddr,
         spec: FakeBackendSpec,
@@ -126,7 +131,7 @@
         Ok(Self { address, shared, _tasks: tasks })
     }
 
-    /// Makes all work that begins from now on take `factor` times as long.
+    /// Multiplies the service time of requests that start executing from now on by `factor`.
     ///
     /// # Panics
     /// If another thread has panicked while it held the lock.
@@ -135,7 +140,7 @@
     }
 }
 
-/// Serves until the backend is overloaded; then it stays down.
+/// Accepts connections until the backend is overloaded. After that it stays down.
 async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     tokio::select! {
         () = connections::serve(listener, |stream| serve_connection(stream, shared.clone())) => {}
@@ -165,11 +170,11 @@
         self.started.elapsed().as_secs_f64()
     }
 
-    /// Share of its full capacity that the backend has now.
+    /// Returns the current share of the backend's full capacity.
     fn capacity_share(&self) -> f64 {
         let Some(slow_start) = self.spec.slow_start else { return 1.0 };
-        let warmed_up = self.age_seconds() / slow_start.duration_seconds.max(1e-3);
-        (slow_start.initial_share + (1.0 - slow_start.initial_share) * warmed_up).min(1.0)
+        let progress = self.age_seconds() / slow_start.duration_seconds.max(1e-3);
+        (slow_start.initial_share + (1.0 - slow_start.initial_share) * progress).min(1.0)
     }
 
     async fn respond(&self, http: &Request) -> Response {
@@ -208,13 +213,13 @@
         }
     }
 
-    /// Requests that wait for a core, estimated from the arrivals of the window.
+    /// Estimates the number of requests that wait for a core from the arrivals within the window.
     fn queue_length(&self) -> usize {
         let arrivals = lock(&self.arrivals);
         arrivals.len().saturating_sub(self.spec.cores)
     }
 
-    /// Works for a random time, once there is a core: between a half of the mean and 2.5 times it.
+    /// Waits for a core and executes a request for a random time between 0.5 and 2.5 times the mean.
     async fn execute(&self, units: f64) {
         let exponential = -lock(&self.rng).f64().max(1e-9).ln();
         let seconds = units * self.spec.service_seconds * (0.5 + 0.5 * exponential.min(4.0));
@@ -224,7 +229,8 @@
         tokio::time::sleep(Duration::from_secs_f64(seconds * slowdown / self.capacity_share())).await;
     }
 
-    /// Fails during its slow start once more work arrives within the window than the overload multiple allows.
+    /// Records arriving work. During a slow start the backend fails once the work within the window exceeds what the
+    /// overload multiple and the allowance permit.
     fn check_overload(&self, work_seconds: f64) {
         let slow_start = self.spec.slow_start;
         let window = slow_start.map_or(ARRIVAL_WINDOW_SECONDS, |s| s.overload_window_seconds);
--- a/crates/fakes/src/capture.rs
+++ b/crates/fakes/src/capture.rs
@@ -1,11 +1,12 @@
-//! The capture of a run: what passed on the sockets, on one clock, as lines of JSON.
+//! The capture of a run: the traffic on the sockets as lines of JSON, with times of one clock.
 //!
-//! The names in the JSON are those of the first version, so that stored captures stay readable; they are mapped here.
+//! The names in the JSON are those of the first version, so that stored captures stay readable. The attributes here map
+//! them to the names in the code.
 
 use crate::audit_parameters::AuditParameters;
 use serde::{Deserialize, Serialize};
 
-/// Answer to an authorisation check, as the load generator saw it.
+/// Outcome of an authorisation check, as the load generator saw it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CheckOutcome {
@@ -20,16 +21,16 @@
         /// Ticket that the backend admits the attempt with.
         ticket: String,
     },
-    /// Rejected; a retry does no harm.
+    /// The request was rejected and did not run, so a retry is safe.
     #[serde(rename = "refused")]
     Rejected {
         /// Seconds until the client may retry.
         #[serde(rename = "retry_after")]
         retry_after_seconds: f64,
     },
-    /// Failed; the request may have run.
+    /// The request failed and may have run.
     Failed,
-    /// The gateway answered that the check is malformed, or its answer is unreadable.
+    /// The gateway reported a malformed check, or its response was unreadable.
     #[serde(rename = "bad")]
     Invalid,
     /// The connection to the gateway broke.
@@ -37,14 +38,14 @@
     ConnectionLost,
 }
 
-/// What a backend's admission decided on a request.
+/// A backend's decision whether to admit a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Admission {
-    /// It runs.
+    /// The request is executed.
     #[serde(rename = "runs")]
     Admitted,
-    /// No ticket, or one that was forged or altered.
+    /// The ticket is missing, forged or altered.
     #[serde(rename = "invalid")]
     InvalidTicket,
     /// The ticket has expired.
@@ -56,13 +57,13 @@
     /// The ticket names another backend.
     #[serde(rename = "misdirected")]
     WrongBackend,
-    /// The queue is full.
+    /// The queue of the backend is full.
     #[serde(rename = "full")]
     QueueFull,
 }
 
 impl Admission {
-    /// The word for it in captures, in reports and in the `x-weirusher-turned-away` header.
+    /// Returns its name in captures, in reports and in the `x-weirusher-turned-away` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Admitted => "runs",
@@ -79,23 +80,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientOutcome {
-    /// With the backend's response.
+    /// The client got the backend's response.
     Served,
-    /// Rejected; a retry does no harm.
+    /// The request was rejected and did not run, so a retry is safe.
     #[serde(rename = "refused")]
     Rejected,
-    /// Failed; the request may have run.
+    /// The request failed and may have run.
     Failed,
-    /// The connection to the gateway broke: the client has to ask again.
+    /// The connection to the gateway broke, so the client has to send the request again.
     #[serde(rename = "broken")]
     ConnectionLost,
-    /// The client closed before there was a response.
+    /// The client closed the connection before a response arrived.
     #[serde(rename = "left")]
     ClientClosed,
 }
 
 impl ClientOutcome {
-    /// The word for it in captures and reports.
+    /// Returns its name in captures and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -107,11 +108,11 @@
     }
 }
 
-/// What happened to a backend's process.
+/// A change of a backend's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendState {
-    /// It started, and is in slow start.
+    /// It started, and is in its slow start.
     Started,
     /// It was killed.
     Killed,
@@ -127,22 +128,22 @@
     /// It arrived.
     #[serde(rename = "passed")]
     Delivered,
-    /// A duplicate of it arrived as well.
+    /// A duplicate of it arrived.
     #[serde(rename = "doubled")]
     Duplicated,
-    /// A copy of it arrived once more, later.
+    /// A copy of it arrived again later.
     Replayed,
     /// It was lost.
     Lost,
-    /// The network was partitioned between the two, or this direction was blocked.
+    /// It was dropped, as the network was partitioned between the two gateways or this direction was blocked.
     #[serde(rename = "cut")]
     Partitioned,
-    /// No gateway sent it.
+    /// It arrived although no gateway had sent it.
     Forged,
 }
 
 impl DatagramFate {
-    /// The word for it in captures and reports.
+    /// Returns its name in captures and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Delivered => "passed",
@@ -155,40 +156,41 @@
     }
 }
 
-/// A gateway's own view of the membership, as its admin page reports it.
+/// A gateway's view of the membership, as reported by its admin page.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MembershipReport {
-    /// Its incarnation.
+    /// Incarnation of the gateway.
     pub incarnation: u64,
-    /// Members that it reports alive.
+    /// Members that it reports as alive.
     pub alive: Vec<usize>,
-    /// Members that it reports dead.
+    /// Members that it reports as dead.
     #[serde(rename = "gone")]
     pub dead: Vec<usize>,
-    /// Share of the fleet that it reaches and is reached by.
+    /// Share of the fleet that it can reach and that can reach it.
     #[serde(rename = "share")]
     pub reachable_share: f64,
-    /// Members whose heartbeats it receives directly.
+    /// Number of members whose heartbeats it receives directly.
     #[serde(rename = "heard")]
     pub heard_directly: u16,
-    /// It reports that a later process has its number.
+    /// Whether it reports that a newer process runs under its number.
     pub superseded: bool,
 }
 
-/// One event of a run. `request`, `call` and `gateway` are the numbers of a client's request, of an authorisation check
-/// and of a gateway.
+/// One event of a run. The fields `request`, `call` and `gateway` identify a client's request, an authorisation check
+/// and a gateway by their numbers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-#[allow(missing_docs)] // The variants say what happened, the fields what it carried.
+#[allow(missing_docs)] // Their names and the comments of the variants describe the fields.
 pub enum CaptureEvent {
-    /// The run begins; the first line of a capture.
+    /// A run begins. This is the first line of a capture.
     #[serde(rename = "day")]
     RunStarted {
         name: String,
         #[serde(rename = "rules")]
         parameters: AuditParameters,
     },
-    /// A client's request reaches the load generator. `closes_early`: its client closes before its deadline.
+    /// The load generator starts a client's request. `closes_early`: the client may close the connection before the
+    /// deadline.
     #[serde(rename = "begin")]
     RequestStarted {
         #[serde(rename = "req")]
@@ -201,7 +203,7 @@
         #[serde(rename = "leaves")]
         closes_early: bool,
     },
-    /// The load generator sends an authorisation check; `retry`: with the ticket of an earlier attempt.
+    /// The load generator sends an authorisation check. `retry`: the check has the ticket of an earlier attempt.
     #[serde(rename = "ask")]
     CheckSent {
         #[serde(rename = "req")]
@@ -212,7 +214,7 @@
         #[serde(rename = "further")]
         retry: bool,
     },
-    /// The gateway's answer to a check arrives.
+    /// The response of a gateway to a check arrives.
     #[serde(rename = "answer")]
     CheckCompleted {
         #[serde(rename = "req")]
@@ -241,7 +243,7 @@
         backend: String,
         ticket: String,
     },
-    /// A backend received an attempt, and admitted it or not.
+    /// A backend has received an attempt, and decided whether to admit it.
     #[serde(rename = "got")]
     AttemptReceived {
         #[serde(rename = "req")]
@@ -260,7 +262,7 @@
         #[serde(rename = "server")]
         backend: String,
     },
-    /// The client's request ends.
+    /// A client's request ends.
     #[serde(rename = "final")]
     RequestFinished {
         #[serde(rename = "req")]
@@ -277,13 +279,14 @@
         gateway: usize,
         ticket: String,
     },
-    /// The counter adds.
+    /// The counter adds an amount to a key, whose value is `total` afterwards.
     #[serde(rename = "added")]
     CounterAdded { key: String, amount: f64, total: f64 },
-    /// The counter loses all its counts.
+    /// The counter loses all counts.
     #[serde(rename = "emptied")]
     CounterCleared,
-    /// An endpoint list is sent to a gateway, with these backends as draining or removed: it may be used from now on.
+    /// An endpoint list is sent to a gateway, which may use it from now on. `stopped_backends` are draining or removed
+    /// in it.
     #[serde(rename = "told")]
     ListSent {
         #[serde(rename = "gk")]
@@ -291,7 +294,7 @@
         #[serde(rename = "stopped")]
         stopped_backends: Vec<String>,
     },
-    /// A gateway acknowledges an endpoint list: it knows that these backends are draining or removed.
+    /// A gateway acknowledges an endpoint list, and so knows that `stopped_backends` are draining or removed.
     #[serde(rename = "knows")]
     ListAcknowledged {
         #[serde(rename = "gk")]
@@ -306,20 +309,20 @@
         backend: String,
         state: BackendState,
     },
-    /// A gateway's process starts, is killed or ends.
+    /// A gateway's process starts, is killed or exits.
     #[serde(rename = "gatekeeper")]
     GatewayRunning {
         #[serde(rename = "gk")]
         gateway: usize,
         running: bool,
     },
-    /// A gateway begins its graceful shutdown: a check that is sent from now on may find it closed.
+    /// A gateway begins its graceful shutdown. Checks that are sent from now on may find its listener closed.
     #[serde(rename = "stopping")]
     GatewayStopping {
         #[serde(rename = "gk")]
         gateway: usize,
     },
-    /// The network between the load generator and a gateway works, or does not.
+    /// The network between the load generator and a gateway fails or recovers.
     #[serde(rename = "way")]
     GatewayReachable {
         #[serde(rename = "gk")]
@@ -332,23 +335,24 @@
         #[serde(rename = "text")]
         description: String,
     },
-    /// All gateways of a fleet with membership were started; `outsiders` have another key or another fleet size, and
-    /// are no members.
+    /// All gateways of a fleet with membership have started. `outsiders` have another key or another fleet size, and
+    /// are not members.
     #[serde(rename = "peers")]
     FleetStarted {
         size: usize,
         #[serde(rename = "strangers")]
         outsiders: Vec<usize>,
     },
-    /// A datagram was sent from one gateway to another.
+    /// A datagram from one gateway to another was delivered, lost or dropped.
     Datagram { from: usize, to: usize, bytes: usize, fate: DatagramFate },
-    /// The network between gateways is partitioned: the group of each gateway. Groups do not reach each other.
+    /// The network between gateways is partitioned. `groups` holds the group of each gateway; gateways in different
+    /// groups cannot reach each other.
     #[serde(rename = "groups")]
     NetworkPartitioned { groups: Vec<usize> },
     /// One direction between two gateways is blocked or unblocked.
     #[serde(rename = "blocked")]
     DirectionBlocked { from: usize, to: usize, blocked: bool },
-    /// A gateway's process is suspended by SIGSTOP, or continues.
+    /// A gateway's process is suspended by `SIGSTOP`, or resumed.
     #[serde(rename = "paused")]
     GatewayPaused {
         #[serde(rename = "gk")]
@@ -361,8 +365,8 @@
         #[serde(rename = "gk")]
         gateway: usize,
     },
-    /// A gateway reports its view of the membership; `duplicate`: the second process under its number. The report was
-    /// requested at `requested_at_seconds`.
+    /// A gateway reports its view of the membership. `duplicate`: the report is from the second process under its
+    /// number. `requested_at_seconds` is when the report was requested.
     #[serde(rename = "states")]
     MembershipReported {
         #[serde(rename = "gk")]
@@ -382,7 +386,7 @@
     /// Seconds since the run began.
     #[serde(rename = "t")]
     pub time_seconds: f64,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: CaptureEvent,
 }
--- a/crates/fakes/src/client_request.rs
+++ b/crates/fakes/src/client_request.rs
@@ -1,61 +1,61 @@
-//! One client's request as the load generator plays it, what goes wrong with it, and how it ended.
+//! A client's request as the load generator sends it, the faults that are injected into it, and its outcome.
 
 use crate::capture::ClientOutcome;
 
-/// What a client or a proxy does wrong with one request. Times are in seconds.
+/// What a client or a proxy does wrong with one request; the default is nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct BehaviourProfile {
-    /// The client closes this long after it sent its request.
+    /// The client closes the connection this many seconds after it sent the request.
     pub closes_after_seconds: Option<f64>,
-    /// The client closes this long after an attempt was sent to the backend.
+    /// The client closes the connection this many seconds after an attempt was sent to the backend.
     pub closes_during_attempt_after_seconds: Option<f64>,
-    /// Reports on attempts are lost.
+    /// Reports on attempts are not sent.
     pub report_lost: bool,
     /// Reports are sent twice.
     pub report_duplicated: bool,
-    /// Reports are this late.
+    /// Reports are sent this many seconds late.
     pub report_delay_seconds: f64,
-    /// Reports go to the next gateway.
+    /// Reports are sent to the next gateway by index, not to the one that allowed the attempt.
     pub report_misdirected: bool,
-    /// The ticket is altered on its way to the backend.
+    /// The ticket that is sent to the backend is altered.
     pub ticket_altered: bool,
-    /// The ticket is used a second time.
+    /// The ticket is sent to the backend a second time.
     pub ticket_replayed: bool,
 }
 
 /// One client's request.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
-    /// The customer that it counts for.
+    /// The customer whose quota it counts against.
     pub customer: String,
     /// Index of its class.
     pub class: usize,
-    /// Its path, by which gateways recognise the class.
+    /// Path of the request, by which gateways classify it.
     pub path: String,
-    /// Its units.
+    /// The units that it costs.
     pub units: f64,
     /// Seconds until the client gives up.
     pub deadline_seconds: f64,
-    /// Number of the gateway that is asked.
+    /// Index of the gateway that its checks are sent to.
     pub gateway: usize,
-    /// What goes wrong.
+    /// What the client or the proxy does wrong.
     pub behaviour: BehaviourProfile,
 }
 
 /// How an attempt at a backend ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// With a response of this status.
+    /// The backend responded with this status.
     Responded(u16),
-    /// Rejected before execution.
+    /// The backend rejected it before execution.
     Rejected,
-    /// No connection came up.
+    /// No connection to the backend could be opened.
     NoConnection,
     /// The connection broke.
     ConnectionLost,
-    /// There was no response in time.
+    /// No response arrived in time.
     Timeout,
-    /// The client closed.
+    /// The client closed the connection first.
     ClientClosed,
 }
 
--- a/crates/fakes/src/counter.rs
+++ b/crates/fakes/src/counter.rs
@@ -1,4 +1,4 @@
-//! A fake counter: the commands of a RESP server that gateways use, in memory.
+//! A fake counter: an in-memory RESP server with the commands that gateways use.
 
 use crate::capture::CaptureEvent;
 use crate::connections;
@@ -17,28 +17,28 @@
 use tokio_util::codec::Framed;
 use weirusher_wire::resp::{self, Frame, RespCodec};
 
-/// Names that it holds at most; a further one is an error.
-const MAX_NAMES: usize = 1_000_000;
+/// Maximum number of keys; `SET` of a further one fails.
+const MAX_KEYS: usize = 1_000_000;
 
-/// What is wrong with the counter.
+/// A fault of the counter.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum CounterFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It executes commands, and answers nothing.
+    /// Executes commands and does not reply.
     Silent,
-    /// It answers the first byte of a frame, and no more until the fault ends; then it closes the connection.
+    /// Sends only the first byte of a reply, and closes the connection when the fault ends.
     PartialReply,
-    /// It executes a command and closes the connection instead of answering.
+    /// Executes a command and closes the connection instead of replying.
     ConnectionReset,
-    /// It answers with a frame of another type.
+    /// Replies with a frame of another type than the command's.
     WrongType,
-    /// It answers this many seconds late.
+    /// Replies this many seconds late.
     Delayed(f64),
 }
 
-/// A count, and when it expires.
+/// A total, and when it expires.
 #[derive(Debug, Clone, Copy)]
 struct Count {
     total: f64,
@@ -57,19 +57,19 @@
     fault: watch::Sender<CounterFault>,
 }
 
-/// A counter's process. Dropping it kills it.
+/// A counter. Dropping it closes its listener and connections, as killing its process does.
 pub struct Counter {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _tasks: JoinSet<()>,
 }
 
 impl Counter {
-    /// Starts a counter on `address`; port 0 chooses one.
+    /// Starts a counter on `address`; port 0 selects a free port.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// If it cannot listen on the address.
     pub async fn start(address: SocketAddr, recorder: Recorder) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -82,12 +82,12 @@
         Ok(Self { address, shared, _tasks: tasks })
     }
 
-    /// Sets what is wrong with it.
+    /// Sets the fault that applies from now on.
     pub fn set_fault(&self, fault: CounterFault) {
         self.shared.fault.send_replace(fault);
     }
 
-    /// Loses all counts, as a restart without persistence does.
+    /// Deletes all counts, as a restart without persistence does.
     ///
     /// # Panics
     /// If another thread has panicked while it held the lock.
@@ -106,7 +106,7 @@
             CounterFault::None => framed.send(reply).await.is_ok(),
             CounterFault::Silent => true,
             CounterFault::PartialReply => {
-                framed.get_mut().write_all(b"$").await.is_ok() && stall(&shared).await
+                framed.get_mut().write_all(b"$").await.is_ok() && wait_for_fault_end(&shared).await
             }
             CounterFault::ConnectionReset => false,
             CounterFault::WrongType => framed.send(Frame::Array(vec![Frame::Null])).await.is_ok(),
@@ -121,18 +121,19 @@
     }
 }
 
-/// Waits until the fault ends; the connection is closed then.
-async fn stall(shared: &Shared) -> bool {
+/// Waits until the fault ends. Returns `false`: the connection is to be closed.
+async fn wait_for_fault_end(shared: &Shared) -> bool {
     let mut fault = shared.fault.subscribe();
-    let _ = fault.wait_for(|f| *f != CounterFault::PartialReply).await; // An error means that the counter ends, and the connection with it.
+    // It cannot fail: `shared` holds the sender. Dropping the counter ends this task and closes the connection.
+    let _ = fault.wait_for(|f| *f != CounterFault::PartialReply).await;
     false
 }
 
 impl Shared {
     fn execute(&self, command: &Frame) -> Frame {
         let error = |text: &str| Frame::Error(text.to_string().into());
-        let Some(words) = resp::words(command) else { return error("ERR a command is an array of texts") };
-        match words[..] {
+        let Some(args) = resp::words(command) else { return error("ERR a command is an array of texts") };
+        match args[..] {
             ["SET", key, value, "PX", millis, "NX"] => match (value.parse(), millis.parse()) {
                 (Ok(value), Ok(millis)) => self.set(key, value, Duration::from_millis(millis)),
                 _ => error("ERR value is not a number"),
@@ -141,7 +142,7 @@
                 Ok(amount) if amount.is_finite() => self.add(key, amount),
                 _ => error("ERR value is not a valid float"),
             },
-            ["GET", key] => self.get(key).map_or(Frame::Null, bulk),
+            ["GET", key] => self.get(key).map_or(Frame::Null, bulk_string),
             ["PING"] => Frame::SimpleString(Bytes::from_static(b"PONG")),
             _ => error("ERR unknown command"),
         }
@@ -158,10 +159,10 @@
         }
         let mut counts = lock(&self.counts);
         let now = Instant::now();
-        if counts.len() >= MAX_NAMES {
+        if counts.len() >= MAX_KEYS {
             counts.retain(|_, count| count.is_live(now));
         }
-        if counts.len() >= MAX_NAMES {
+        if counts.len() >= MAX_KEYS {
             return Frame::Error("ERR out of names".to_string().into());
         }
         counts.insert(key.to_string(), Count { total, expires: Some(now + ttl) });
@@ -169,21 +170,21 @@
     }
 
     fn add(&self, key: &str, amount: f64) -> Frame {
-        const NEW: Count = Count { total: 0.0, expires: None };
+        const ZERO: Count = Count { total: 0.0, expires: None };
         let exists = self.get(key).is_some();
         let mut counts = lock(&self.counts);
-        let count = counts.entry(key.to_string()).or_insert(NEW);
+        let count = counts.entry(key.to_string()).or_insert(ZERO);
         if !exists {
-            *count = NEW; // It may have expired.
+            *count = ZERO; // The key may hold an expired count.
         }
         count.total += amount;
         let total = count.total;
         drop(counts);
         self.recorder.record(CaptureEvent::CounterAdded { key: key.to_string(), amount, total });
-        bulk(total)
+        bulk_string(total)
     }
 }
 
-fn bulk(total: f64) -> Frame {
+fn bulk_string(total: f64) -> Frame {
     Frame::BulkString(total.to_string().into())
 }
--- a/crates/fakes/src/discovery.rs
+++ b/crates/fakes/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery service: pushes the endpoint list over EDS, with a delay or not at all.
+//! A fake discovery service: pushes the endpoint list over EDS after a delay, and can stop pushing it.
 
 use crate::capture::CaptureEvent;
 use crate::recorder::Recorder;
@@ -26,22 +26,23 @@
 
 /// Name of the cluster that it serves.
 const CLUSTER: &str = "checkers";
-/// Lists that may wait for a gateway that reads slowly.
+/// Maximum number of lists that wait for a gateway that reads slowly.
 const LIST_QUEUE: usize = 4;
-/// Lists of one stream that may be unacknowledged; the acknowledgement of a further one is not recorded.
+/// Maximum number of lists of one stream whose acknowledgement is awaited; the acknowledgements of further lists are
+/// not recorded.
 const MAX_UNACKNOWLEDGED: usize = 64;
 
 #[derive(Clone, Default)]
 struct State {
     version: u64,
     endpoints: Arc<Vec<Endpoint>>,
-    /// No list is sent.
+    /// Whether sending lists is suspended.
     frozen: bool,
 }
 
-/// A discovery service. Dropping it kills it.
+/// A discovery service. Dropping it stops the service and ends its streams.
 pub struct Discovery {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     state: watch::Sender<State>,
     _tasks: JoinSet<()>,
@@ -55,26 +56,26 @@
 }
 
 impl Discovery {
-    /// Starts on `address`; each list is sent `delay` after it was set.
+    /// Starts a discovery service on `address`. Each list is sent `delay` after it was set.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// If it cannot listen on the address.
     pub async fn start(address: SocketAddr, delay: Duration, recorder: Recorder) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let (state, watched) = watch::channel(State::default());
-        let service = EndpointDiscoveryServiceServer::new(Service { state: watched, delay, recorder });
+        let (state, state_updates) = watch::channel(State::default());
+        let service = EndpointDiscoveryServiceServer::new(Service { state: state_updates, delay, recorder });
         let mut tasks = JoinSet::new();
         tasks.spawn(async move {
             let server = tonic::transport::Server::builder().add_service(service);
             if let Err(error) = server.serve_with_incoming(TcpListenerStream::new(listener)).await {
-                tracing::error!(%error, "discovery ended");
+                tracing::error!(%error, "discovery service stopped");
             }
         });
         Ok(Self { address, state, _tasks: tasks })
     }
 
-    /// Replaces the list.
+    /// Replaces the endpoint list.
     pub fn set(&self, endpoints: Vec<Endpoint>) {
         self.state.send_modify(|state| {
             state.version += 1;
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Stops sending lists, or sends the present one and goes on.
+    /// Suspends sending lists, or resumes it with the current list.
     pub fn freeze(&self, frozen: bool) {
         self.state.send_modify(|state| state.frozen = frozen);
     }
@@ -118,18 +119,18 @@
 }
 
 impl Service {
-    /// Sends each new list on a stream, and records which lists the gateway acknowledges.
+    /// Sends each new list on a stream, and records the lists that were sent and acknowledged.
     async fn serve_stream(
         mut self,
         mut requests: Streaming<DiscoveryRequest>,
         lists: mpsc::Sender<Result<DiscoveryResponse, Status>>,
     ) {
-        // The first request names the gateway.
+        // The first request of a stream names the gateway, in its node id.
         let mut gateway: Option<usize> = None;
         let mut unacknowledged: HashMap<String, Vec<String>> = HashMap::new();
         let mut sent_version = 0;
         loop {
-            let newer = move |state: &State| !state.frozen && state.version > sent_version;
+            let is_newer = move |state: &State| !state.frozen && state.version > sent_version;
             tokio::select! {
                 request = requests.message() => {
                     let Ok(Some(request)) = request else { return };
@@ -142,15 +143,15 @@
                         self.recorder.record(CaptureEvent::ListAcknowledged { gateway, stopped_backends });
                     }
                 }
-                changed = async { self.state.wait_for(newer).await.is_ok() }, if gateway.is_some() => {
+                changed = async { self.state.wait_for(is_newer).await.is_ok() }, if gateway.is_some() => {
                     if !changed {
                         return;
                     }
                     let state = self.state.borrow().clone();
                     sent_version = state.version;
                     tokio::time::sleep(self.delay).await;
-                    let (response, stopped_backends) = (response(&state), stopped(&state.endpoints));
-                    // Before it is sent: a gateway may act on it before it acknowledges it.
+                    let (response, stopped_backends) = (response(&state), stopped_backends(&state.endpoints));
+                    // Recorded before it is sent, since a gateway may use a list before it acknowledges it.
                     let sent = CaptureEvent::ListSent {
                         gateway: gateway.unwrap_or(0),
                         stopped_backends: stopped_backends.clone(),
@@ -168,13 +169,13 @@
     }
 }
 
-/// The number at the end of a gateway's node id; 0 where there is none.
+/// Returns the number at the end of a gateway's node id, or 0 if there is none.
 fn gateway_number(node_id: &str) -> usize {
     node_id.rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-/// Addresses of the backends that are draining or removed.
-fn stopped(endpoints: &[Endpoint]) -> Vec<String> {
+/// Returns the addresses of the backends that are draining or removed.
+fn stopped_backends(endpoints: &[Endpoint]) -> Vec<String> {
     let stopped = endpoints.iter().filter(|endpoint| endpoint.lifecycle != Lifecycle::Running);
     stopped.map(|endpoint| endpoint.id.to_string()).collect()
 }
--- a/crates/fakes/src/discovery_agent.rs
+++ b/crates/fakes/src/discovery_agent.rs
@@ -1,20 +1,21 @@
-//! The platform's discovery agent beside a gateway: answers polls of its endpoint list, and can stop answering.
+//! A fake of the platform's discovery agent, which runs beside a gateway: it responds to polls for its endpoint list,
+//! and can stop responding.
 
 use crate::endpoint_list::EndpointList;
 use crate::scripted_server::{ReceivedRequest, Reply, ScriptedServer};
 use std::net::SocketAddr;
 
-/// A discovery agent. Dropping it kills it.
+/// A discovery agent. Dropping it closes its listener and connections.
 pub struct DiscoveryAgent {
     server: ScriptedServer,
     list: EndpointList,
 }
 
 impl DiscoveryAgent {
-    /// Starts an agent on `address` that holds the complete `list`, in discovery's JSON form, as version `index`.
+    /// Starts an agent on `address` with the complete `list`, in the JSON form of discovery, as version `index`.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// If it cannot listen on the address.
     pub async fn start(address: SocketAddr, index: u64, list: String) -> std::io::Result<Self> {
         let list = EndpointList::new(index, list);
         let polled = list.clone();
@@ -23,27 +24,28 @@
         Ok(Self { server, list })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Replaces the list, and notifies those that watch it.
+    /// Replaces the list, which completes the polls that wait for a newer version.
     pub fn set_list(&self, index: u64, list: String) {
         self.list.set(index, list);
     }
 
-    /// Answers nothing from now on. Polls that are pending, and those that come meanwhile, are never answered.
+    /// Stops responding. Polls that are pending, and those received until [`Self::resume_answering`], never get a
+    /// response.
     pub fn stop_answering(&self) {
         self.list.stop_answering();
     }
 
-    /// Answers the polls that come from now on.
+    /// Responds to the polls that are received from now on.
     pub fn resume_answering(&self) {
         self.list.resume_answering();
     }
 
-    /// The polls received so far.
+    /// Returns the polls received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.server.received()
     }
@@ -53,7 +55,7 @@
         self.server.wait_for_requests(count).await;
     }
 
-    /// Waits until somebody polls for what is newer than version `index`, and therefore has that version.
+    /// Waits until a client polls for versions newer than `index`, which shows that it has received that version.
     pub async fn wait_until_list_received(&self, index: u64) {
         let since = format!("since={index}&");
         let mut count = 0;
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Fakes of what surrounds a gateway, written from the public specifications: backends, the counter, discovery, a load
-//! generator that plays proxies and clients, and networks that fail.
+//! Fakes of the systems that surround a gateway, written from the public specifications: backends, the counter,
+//! discovery, a load generator that acts as proxies and clients, and networks with faults.
 //!
-//! Each fake records what passes on its sockets ([`Recorder`]); faults are set from outside while it runs.
+//! Each fake records the traffic on its sockets with a [`Recorder`]. Its methods inject faults while it runs.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/fakes/src/load_generator.rs
+++ b/crates/fakes/src/load_generator.rs
@@ -1,8 +1,9 @@
-//! The load generator: plays Envoy proxies and the clients behind them.
+//! The load generator: acts as Envoy proxies and as the clients behind them.
 //!
-//! It asks a gateway by external authorisation, sends what is allowed to the backend that the answer names, reports the
-//! end of each attempt on an access log stream, and asks again with the ticket after an attempt that failed.
-//! [`BehaviourProfile`](crate::BehaviourProfile) says what proxies and clients do wrong.
+//! For each request it sends an external authorisation check to a gateway, sends an allowed request to the backend that
+//! the response names, and reports the end of each attempt on an access log stream. After a failed attempt it sends a
+//! further check with the ticket of that attempt. [`BehaviourProfile`](crate::BehaviourProfile) selects what proxies
+//! and clients do wrong.
 
 mod backend_connections;
 mod envoy;
@@ -25,24 +26,25 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use tonic::transport::{Channel, Endpoint};
 
-/// Limit for a connection to a gateway.
+/// Time limit for connecting to a gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Reports that may wait for a stream; further ones are lost, as the specification allows.
+/// Number of reports that may wait for the stream to a gateway. Further reports are dropped: the specification allows
+/// reports to be lost.
 const REPORT_QUEUE: usize = 4096;
-/// Attempts of one request at most: a guard against a gateway that allows retries for ever.
+/// Maximum number of attempts of one request, in case a gateway allows retries without end.
 const MAX_ATTEMPTS: usize = 10;
-/// No retry is asked for with less time than this before the deadline.
+/// Minimum time left for a retry: with less, the request ends after a failed attempt.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(60);
-/// Limit for the second use of a ticket.
+/// Time limit for the attempt that replays a ticket.
 const REPLAY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The clients of one gateway.
+/// The check client and the report queue of one gateway.
 struct Gateway {
     check: AuthorizationClient<Channel>,
     reports: mpsc::Sender<HttpAccessLogEntry>,
 }
 
-/// Plays clients' requests against gateways and backends.
+/// Sends clients' requests to gateways and backends.
 pub struct LoadGenerator {
     gateways: Vec<Gateway>,
     recorder: Recorder,
@@ -53,16 +55,16 @@
     _report_streams: JoinSet<()>,
 }
 
-/// When a request ends at the latest.
+/// The times by which a request ends.
 #[derive(Clone, Copy)]
 struct Deadlines {
-    /// The deadline that gateways are notified of.
+    /// The deadline that checks state to the gateway.
     announced: Instant,
-    /// When the client closes, which no gateway is notified of.
-    closes: Instant,
+    /// When the client closes the connection, which may be earlier and is not stated to the gateway.
+    client_closes: Instant,
 }
 
-/// An attempt at a backend.
+/// An attempt that is sent to a backend.
 struct Attempt<'a> {
     request: u64,
     backend: &'a str,
@@ -70,10 +72,10 @@
 }
 
 impl LoadGenerator {
-    /// A load generator for these gateways; it connects with the first request.
+    /// Creates a load generator for these gateways. It does not wait for a connection to them.
     ///
     /// # Errors
-    /// An address makes no URL.
+    /// If the URL of a gateway is invalid.
     pub fn new(gateways: &[SocketAddr], recorder: Recorder) -> Result<Arc<Self>, tonic::transport::Error> {
         let mut report_streams = JoinSet::new();
         let connect = |address: &SocketAddr| {
@@ -97,10 +99,10 @@
         }))
     }
 
-    /// Plays one client's request to its end.
+    /// Sends one client's request, with its checks and attempts, and returns how it ended.
     pub async fn send_request(&self, client: &ClientRequest) -> RequestOutcome {
         let request = self.next_request.fetch_add(1, Relaxed);
-        let began = Instant::now();
+        let started = Instant::now();
         let behaviour = client.behaviour;
         self.recorder.record(CaptureEvent::RequestStarted {
             request,
@@ -111,21 +113,23 @@
             closes_early: behaviour.closes_after_seconds.is_some()
                 || behaviour.closes_during_attempt_after_seconds.is_some(),
         });
-        let announced = began + Duration::from_secs_f64(client.deadline_seconds);
-        let closes = behaviour.closes_after_seconds.map(|after| began + Duration::from_secs_f64(after));
-        let closes = closes.map_or(announced, |closes| closes.min(announced));
+        let announced = started + Duration::from_secs_f64(client.deadline_seconds);
+        let closes_early =
+            behaviour.closes_after_seconds.map(|after| started + Duration::from_secs_f64(after));
+        let client_closes = closes_early.map_or(announced, |closes| closes.min(announced));
         let (outcome, retry_after_seconds) =
-            self.run_attempts(request, client, Deadlines { announced, closes }).await;
+            self.run_attempts(request, client, Deadlines { announced, client_closes }).await;
         self.recorder.record(CaptureEvent::RequestFinished { request, outcome });
         RequestOutcome {
             request,
             outcome,
             retry_after_seconds,
-            latency_seconds: began.elapsed().as_secs_f64(),
+            latency_seconds: started.elapsed().as_secs_f64(),
         }
     }
 
-    /// Asks and attempts until the request ends: how, and the advised wait in seconds.
+    /// Sends checks and attempts until the request ends. Returns its outcome, and the wait in seconds that the gateway
+    /// advised before a retry.
     async fn run_attempts(
         &self,
         request: u64,
@@ -137,7 +141,8 @@
             let remaining = deadlines.announced.saturating_duration_since(Instant::now());
             let check = envoy::check_request(client, last_ticket.as_deref(), remaining);
             let retry = last_ticket.is_some();
-            let Some(outcome) = self.check(request, client.gateway, check, retry, deadlines.closes).await
+            let Some(outcome) =
+                self.check(request, client.gateway, check, retry, deadlines.client_closes).await
             else {
                 return (ClientOutcome::ClientClosed, 0.0);
             };
@@ -152,10 +157,11 @@
                 CheckOutcome::ConnectionLost => return (ClientOutcome::ConnectionLost, 0.0),
             };
             let sent = Instant::now();
-            let limit = (sent + Duration::from_secs_f64(timeout_seconds.max(0.0))).min(deadlines.closes);
+            let limit =
+                (sent + Duration::from_secs_f64(timeout_seconds.max(0.0))).min(deadlines.client_closes);
             let attempt = Attempt { request, backend: &backend, ticket: &ticket };
-            let ended = self.send_attempt(&attempt, client, limit, deadlines.closes).await;
-            let remaining = deadlines.closes.saturating_duration_since(Instant::now());
+            let ended = self.send_attempt(&attempt, client, limit, deadlines.client_closes).await;
+            let remaining = deadlines.client_closes.saturating_duration_since(Instant::now());
             let final_outcome = match ended {
                 AttemptOutcome::Responded(200..=299) => Some(ClientOutcome::Served),
                 AttemptOutcome::ClientClosed => Some(ClientOutcome::ClientClosed),
@@ -172,19 +178,20 @@
         (ClientOutcome::Failed, 0.0)
     }
 
-    /// Asks a gateway for a decision; `None` when the client closed first, which cancels the call.
+    /// Sends a check to a gateway. Returns `None` if the client closes before the response arrives, which cancels the
+    /// call.
     async fn check(
         &self,
         request: u64,
         gateway: usize,
         check: CheckRequest,
         retry: bool,
-        closes: Instant,
+        client_closes: Instant,
     ) -> Option<CheckOutcome> {
         let call = self.next_call.fetch_add(1, Relaxed);
         self.recorder.record(CaptureEvent::CheckSent { request, call, gateway, retry });
         let mut client = self.gateways[gateway].check.clone();
-        match timeout_at(closes, client.check(check)).await {
+        match timeout_at(client_closes, client.check(check)).await {
             Ok(response) => {
                 let outcome = response.map_or(CheckOutcome::ConnectionLost, |response| {
                     envoy::check_outcome(response.into_inner())
@@ -205,13 +212,14 @@
         }
     }
 
-    /// Sends an attempt, and waits for its end until `limit` at most.
+    /// Sends an attempt and waits for its end, until `limit` at the latest. `client_closes` tells whether reaching the
+    /// limit means that the client closed or that the attempt timed out.
     async fn send_attempt(
         &self,
         attempt: &Attempt<'_>,
         client: &ClientRequest,
         limit: Instant,
-        closes: Instant,
+        client_closes: Instant,
     ) -> AttemptOutcome {
         let behaviour = client.behaviour;
         let sent_ticket = if behaviour.ticket_altered {
@@ -227,7 +235,9 @@
         let until = closes_during_attempt.map_or(limit, |closes| closes.min(limit));
         let outcome = match timeout_at(until, self.backends.exchange(&attempt, client)).await {
             Ok(outcome) => outcome,
-            Err(_) if closes_during_attempt.is_some_and(|closes| closes <= limit) || limit >= closes => {
+            Err(_)
+                if closes_during_attempt.is_some_and(|closes| closes <= limit) || limit >= client_closes =>
+            {
                 AttemptOutcome::ClientClosed
             }
             Err(_) => AttemptOutcome::Timeout,
@@ -235,7 +245,7 @@
         if behaviour.ticket_replayed {
             self.record_attempt(&attempt);
             let replay = self.backends.exchange(&attempt, client);
-            let _ = timeout(REPLAY_TIMEOUT, replay).await; // The capture shows what the backend made of it.
+            let _ = timeout(REPLAY_TIMEOUT, replay).await; // The capture shows whether the backend admitted it.
         }
         outcome
     }
@@ -248,7 +258,7 @@
         });
     }
 
-    /// Reports the end of an attempt, as the behaviour profile has it.
+    /// Reports the end of an attempt, with the faults of the behaviour profile.
     fn report(&self, attempt: &Attempt<'_>, client: &ClientRequest, entry: HttpAccessLogEntry) {
         let behaviour = client.behaviour;
         if behaviour.report_lost {
@@ -262,7 +272,7 @@
         let send = move || {
             for _ in 0..copies {
                 recorder.record(CaptureEvent::ReportSent { request, gateway, ticket: ticket.clone() });
-                let _ = reports.try_send(entry.clone()); // A gateway has to bear lost reports.
+                let _ = reports.try_send(entry.clone()); // Gateways have to tolerate lost reports.
             }
         };
         if behaviour.report_delay_seconds > 0.0 {
@@ -277,12 +287,12 @@
     }
 }
 
-/// The ticket with one character of its fields changed; another one for each request, since any of them may be the one
-/// that is not verified.
+/// Returns the ticket with one character between its second and its last dot replaced. Which character depends on the
+/// request, so that a gap in the verification of any of them is found.
 fn alter_ticket(ticket: &str, request: u64) -> String {
-    let fields = ticket.find('.').and_then(|at| ticket[at + 1..].find('.').map(|more| at + more + 2));
-    let (first, last) = (fields.unwrap_or(0), ticket.rfind('.').unwrap_or(ticket.len()));
-    let at = first + request as usize % (last - first).max(1);
-    let other = if ticket.as_bytes()[at] == b'A' { "B" } else { "A" };
-    format!("{}{other}{}", &ticket[..at], &ticket[at + 1..])
+    let fields = ticket.find('.').and_then(|dot| ticket[dot + 1..].find('.').map(|len| dot + len + 2));
+    let (start, end) = (fields.unwrap_or(0), ticket.rfind('.').unwrap_or(ticket.len()));
+    let position = start + request as usize % (end - start).max(1);
+    let other = if ticket.as_bytes()[position] == b'A' { "B" } else { "A" };
+    format!("{}{other}{}", &ticket[..position], &ticket[position + 1..])
 }
--- a/crates/fakes/src/load_generator/backend_connections.rs
+++ b/crates/fakes/src/load_generator/backend_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to backends, kept alive between attempts.
+//! Keep-alive connections to backends.
 
 use super::Attempt;
 use crate::client_request::{AttemptOutcome, ClientRequest};
@@ -11,14 +11,14 @@
 use tokio_util::codec::Framed;
 use weirusher_wire::http1::{ClientCodec, Headers, Request, Response};
 
-/// Idle connections, by address of the backend.
+/// Idle connections by backend address.
 #[derive(Default)]
 pub(super) struct BackendConnections {
     idle: Mutex<HashMap<SocketAddr, Vec<Framed<TcpStream, ClientCodec>>>>,
 }
 
 impl BackendConnections {
-    /// Sends an attempt to its backend over an idle connection or a new one, and reads the response.
+    /// Sends an attempt to its backend over an idle connection or a new one, and waits for the response.
     pub async fn exchange(&self, attempt: &Attempt<'_>, client: &ClientRequest) -> AttemptOutcome {
         let Ok(address) = attempt.backend.parse::<SocketAddr>() else { return AttemptOutcome::NoConnection };
         let idle = lock(&self.idle).get_mut(&address).and_then(Vec::pop);
--- a/crates/fakes/src/load_generator/envoy.rs
+++ b/crates/fakes/src/load_generator/envoy.rs
@@ -1,4 +1,4 @@
-//! The messages of Envoy's external authorisation and access log services.
+//! Builds and reads the messages of Envoy's external authorisation and access log services.
 
 use crate::capture::CheckOutcome;
 use crate::client_request::{AttemptOutcome, ClientRequest};
@@ -17,10 +17,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Status code of a check response that allows (`google.rpc.Code.OK`).
+/// Status code of a check response that allows the request (`google.rpc.Code.OK`).
 const RPC_OK: i32 = 0;
 
-/// A check for a request, with the ticket of its last attempt and the time until its deadline.
+/// Builds the check for a request, with the ticket of its last attempt and the time until its deadline.
 pub(super) fn check_request(
     client: &ClientRequest,
     ticket: Option<&str>,
@@ -39,17 +39,17 @@
     CheckRequest { attributes: Some(AttributeContext { request, ..AttributeContext::default() }) }
 }
 
-/// What a check response says.
+/// Reads the outcome of a check from the response.
 pub(super) fn check_outcome(response: CheckResponse) -> CheckOutcome {
     let code = response.status.as_ref().map(|status| status.code);
     match response.http_response {
-        Some(HttpResponse::OkResponse(ok)) if code == Some(RPC_OK) => allowed(&ok),
+        Some(HttpResponse::OkResponse(ok)) if code == Some(RPC_OK) => allowed_outcome(&ok),
         Some(HttpResponse::DeniedResponse(denied)) => denied_outcome(&denied),
         _ => CheckOutcome::Invalid,
     }
 }
 
-fn allowed(ok: &OkHttpResponse) -> CheckOutcome {
+fn allowed_outcome(ok: &OkHttpResponse) -> CheckOutcome {
     let value = |name: &str| {
         let mut headers = ok.headers.iter().filter_map(|option| option.header.as_ref());
         headers.find(|header| header.key == name).map_or_else(String::new, |header| header.value.clone())
@@ -74,7 +74,7 @@
     }
 }
 
-/// The access log entry of an attempt that took `duration`; `request_ended`: no retry follows.
+/// Builds the access log entry of an attempt that took `duration`; `request_ended`: no retry follows.
 pub(super) fn log_entry(
     ticket: &str,
     outcome: AttemptOutcome,
--- a/crates/fakes/src/load_generator/reports.rs
+++ b/crates/fakes/src/load_generator/reports.rs
@@ -1,4 +1,4 @@
-//! The access log stream on which attempts are reported to one gateway.
+//! The access log stream that reports attempts to one gateway.
 
 use envoy_types::pb::envoy::data::accesslog::v3::HttpAccessLogEntry;
 use envoy_types::pb::envoy::service::accesslog::v3::access_log_service_client::AccessLogServiceClient;
@@ -11,28 +11,29 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::Channel;
 
-/// Reports in one message at most.
-const BATCH: usize = 64;
-/// Pause before a broken stream is opened again.
+/// Maximum number of reports in one message, and of messages that wait for the stream.
+const MAX_BATCH: usize = 64;
+/// Delay before a broken stream is opened again.
 const REOPEN_DELAY: Duration = Duration::from_millis(50);
 
-/// Keeps a stream open and sends the entries on it. Entries that a broken stream had taken are lost.
+/// Keeps a stream open and sends the entries on it. Entries that were handed to a stream before it broke are lost.
 pub(super) async fn stream_forever(channel: Channel, mut entries: mpsc::Receiver<HttpAccessLogEntry>) {
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH);
     loop {
-        let (messages, stream) = mpsc::channel(BATCH);
+        let (messages, stream) = mpsc::channel(MAX_BATCH);
         let mut client = AccessLogServiceClient::new(channel.clone());
         let mut call = std::pin::pin!(client.stream_access_logs(ReceiverStream::new(stream)));
         loop {
             tokio::select! {
                 _ = &mut call => break,
-                taken = entries.recv_many(&mut batch, BATCH) => {
-                    if taken == 0 {
+                received = entries.recv_many(&mut batch, MAX_BATCH) => {
+                    if received == 0 {
                         return;
                     }
                     let logs = HttpAccessLogEntries { log_entry: std::mem::take(&mut batch) };
                     let log_entries = Some(LogEntries::HttpLogs(logs));
-                    // A stream that takes nothing stops here, and the queue above drops what exceeds it.
+                    // While the stream accepts nothing, this waits; the sender drops reports once the queue of entries
+                    // is full.
                     tokio::select! {
                         _ = &mut call => break,
                         _ = messages.send(StreamAccessLogsMessage { identifier: None, log_entries }) => {}
--- a/crates/fakes/src/peer_network.rs
+++ b/crates/fakes/src/peer_network.rs
@@ -1,8 +1,8 @@
-//! The network between gateways: every datagram from one to another passes here, and may be lost, duplicated, delayed,
-//! blocked, replayed or forged.
+//! The network between gateways: a UDP proxy that forwards every datagram from one gateway to another, and can lose,
+//! duplicate, delay, block, replay or forge datagrams.
 //!
-//! Each gateway has a port here, which is its address in the others' member lists. What it sends reaches the others from
-//! that port, so that they see the address they know.
+//! The proxy has a socket for each gateway, whose address the other gateways have in their member lists. A gateway's
+//! datagrams are forwarded from its socket, so that the others see them come from the address that they know.
 
 use crate::capture::{CaptureEvent, DatagramFate};
 use crate::lock::lock;
@@ -18,23 +18,23 @@
 use tokio::net::UdpSocket;
 use tokio::task::JoinSet;
 
-/// Largest datagram that is forwarded.
+/// Size of the largest datagram that is forwarded.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Size of a forged datagram.
 const FORGED_BYTES: usize = 80;
 
-/// What happens to every datagram. Each probability is drawn for each datagram.
+/// What happens to datagrams. Each probability applies to each datagram independently.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NetworkConditions {
-    /// Probability that it is lost.
+    /// Probability that a datagram is lost.
     pub loss_probability: f64,
-    /// Probability that it arrives twice.
+    /// Probability that a datagram is delivered twice.
     pub duplicate_probability: f64,
-    /// Seconds of delay, uniformly distributed.
+    /// Delay in seconds, uniformly distributed over this range.
     pub delay_seconds: RangeInclusive<f64>,
-    /// Probability that it is sent once more, `replay_after_seconds` later.
+    /// Probability that a datagram is delivered again after `replay_after_seconds`.
     pub replay_probability: f64,
-    /// See `replay_probability`.
+    /// Seconds after which a datagram is replayed.
     pub replay_after_seconds: f64,
 }
 
@@ -50,13 +50,13 @@
     }
 }
 
-/// What a flood consists of.
+/// The datagrams that a flood consists of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Flood {
-    /// Random bytes that no gateway sent.
+    /// Random bytes.
     Forged,
-    /// The last authentic datagram, over and over.
+    /// Copies of the last authentic datagram.
     Replayed,
     /// The first half of the last authentic datagram.
     #[serde(rename = "cut")]
@@ -73,26 +73,27 @@
 
 struct State {
     conditions: NetworkConditions,
-    /// The group of each gateway: groups do not reach each other.
+    /// The group of each gateway. Gateways in different groups cannot reach each other.
     groups: Vec<usize>,
-    /// Directions that are blocked: from, to.
+    /// Blocked directions, as pairs of sender and recipient.
     blocked: HashSet<(usize, usize)>,
-    /// The gateway at each address.
+    /// The gateway that sends from each address.
     gateways: HashMap<SocketAddr, usize>,
-    /// The addresses of each gateway: two where a duplicate runs under its number.
+    /// The addresses of each gateway: two if a duplicate process runs under its number.
     addresses: Vec<Vec<SocketAddr>>,
-    /// The last datagram from one to another, which floods are made of.
-    last: HashMap<(usize, usize), Vec<u8>>,
+    /// The last authentic datagram from each sender to each recipient, of which floods are made.
+    last_datagrams: HashMap<(usize, usize), Vec<u8>>,
     rng: Rng,
 }
 
 struct Shared {
-    ports: Vec<UdpSocket>,
+    /// The socket of each gateway.
+    sockets: Vec<UdpSocket>,
     state: Mutex<State>,
     recorder: Recorder,
 }
 
-/// The network. Dropping it ends all forwarding.
+/// The network. Dropping it stops all forwarding.
 pub struct PeerNetwork {
     /// The address of each gateway in the others' member lists.
     pub addresses: Vec<SocketAddr>,
@@ -101,16 +102,16 @@
 }
 
 impl PeerNetwork {
-    /// A network of `size` gateways; `seed` draws what happens to datagrams.
+    /// Starts a network for `size` gateways. `seed` seeds the random choices of what happens to datagrams.
     ///
     /// # Errors
-    /// There are not enough free ports.
+    /// If a socket cannot be bound.
     pub async fn start(size: usize, seed: u64, recorder: Recorder) -> io::Result<Self> {
-        let (mut ports, mut addresses) = (Vec::with_capacity(size), Vec::with_capacity(size));
+        let (mut sockets, mut addresses) = (Vec::with_capacity(size), Vec::with_capacity(size));
         for _ in 0..size {
-            let port = UdpSocket::bind("127.0.0.1:0").await?;
-            addresses.push(port.local_addr()?);
-            ports.push(port);
+            let socket = UdpSocket::bind("127.0.0.1:0").await?;
+            addresses.push(socket.local_addr()?);
+            sockets.push(socket);
         }
         let state = State {
             conditions: NetworkConditions::default(),
@@ -118,10 +119,10 @@
             blocked: HashSet::new(),
             gateways: HashMap::new(),
             addresses: vec![Vec::new(); size],
-            last: HashMap::new(),
+            last_datagrams: HashMap::new(),
             rng: Rng::with_seed(seed),
         };
-        let shared = Arc::new(Shared { ports, state: Mutex::new(state), recorder });
+        let shared = Arc::new(Shared { sockets, state: Mutex::new(state), recorder });
         let mut tasks = JoinSet::new();
         for to in 0..size {
             tasks.spawn(forward_datagrams(shared.clone(), to));
@@ -133,7 +134,7 @@
         change(&mut lock(&self.shared.state));
     }
 
-    /// Sets where a gateway receives datagrams; each of them goes to all of its addresses.
+    /// Sets the addresses of a gateway. Each datagram to the gateway is delivered to all of them.
     pub fn set_addresses(&self, gateway: usize, addresses: Vec<SocketAddr>) {
         self.change(|state| {
             state.gateways.retain(|_, known| *known != gateway);
@@ -142,12 +143,12 @@
         });
     }
 
-    /// Changes what happens to every datagram.
+    /// Changes what happens to datagrams from now on.
     pub fn set_conditions(&self, conditions: NetworkConditions) {
         self.change(|state| state.conditions = conditions);
     }
 
-    /// Partitions the network: the group of each gateway.
+    /// Partitions the network; `groups` holds the group of each gateway.
     pub fn partition(&self, groups: Vec<usize>) {
         self.change(|state| state.groups = groups);
     }
@@ -163,7 +164,7 @@
         });
     }
 
-    /// Floods gateway `to` for some seconds with datagrams that seem to come from `from`.
+    /// Floods gateway `to` for `seconds` with `per_second` datagrams per second that seem to come from gateway `from`.
     pub fn flood(&mut self, from: usize, to: usize, per_second: f64, seconds: f64, flood: Flood) {
         let shared = self.shared.clone();
         self.tasks.spawn(async move {
@@ -185,7 +186,7 @@
 impl Shared {
     fn flood_datagram(&self, from: usize, to: usize, flood: Flood) -> Vec<u8> {
         let mut state = lock(&self.state);
-        let mut bytes = state.last.get(&(from, to)).cloned().unwrap_or_default();
+        let mut bytes = state.last_datagrams.get(&(from, to)).cloned().unwrap_or_default();
         match flood {
             Flood::Forged => bytes = (0..FORGED_BYTES).map(|_| state.rng.u8(..)).collect(),
             Flood::Replayed => {}
@@ -199,14 +200,14 @@
         let addresses = lock(&self.state).addresses[to].clone();
         self.recorder.record(CaptureEvent::Datagram { from, to, bytes: bytes.len(), fate });
         for address in addresses {
-            let _ = self.ports[from].send_to(bytes, address).await; // The process there may have died.
+            let _ = self.sockets[from].send_to(bytes, address).await; // It fails if the process there has ended.
         }
     }
 
-    /// What happens to a datagram: its fate, and the copies of it that arrive.
-    fn decide(&self, from: usize, to: usize, bytes: &[u8]) -> (DatagramFate, Vec<DatagramCopy>) {
+    /// Draws what happens to a datagram: its fate, and the copies of it to deliver.
+    fn draw_fate(&self, from: usize, to: usize, bytes: &[u8]) -> (DatagramFate, Vec<DatagramCopy>) {
         let state = &mut *lock(&self.state);
-        state.last.insert((from, to), bytes.to_vec());
+        state.last_datagrams.insert((from, to), bytes.to_vec());
         if state.groups[from] != state.groups[to] || state.blocked.contains(&(from, to)) {
             return (DatagramFate::Partitioned, Vec::new());
         }
@@ -214,8 +215,8 @@
         if rng.f64() < conditions.loss_probability {
             return (DatagramFate::Lost, Vec::new());
         }
-        let (shortest, longest) = (conditions.delay_seconds.start(), conditions.delay_seconds.end());
-        let mut delay = || shortest + rng.f64() * (longest - shortest);
+        let (min_delay, max_delay) = (conditions.delay_seconds.start(), conditions.delay_seconds.end());
+        let mut delay = || min_delay + rng.f64() * (max_delay - min_delay);
         let (first_delay, duplicate_delay) = (delay(), delay());
         let duplicated = rng.f64() < conditions.duplicate_probability;
         let replayed = rng.f64() < conditions.replay_probability;
@@ -231,15 +232,15 @@
     }
 }
 
-/// Forwards the datagrams that arrive at the port of gateway `to`.
+/// Forwards the datagrams that arrive at the socket of gateway `to`.
 async fn forward_datagrams(shared: Arc<Shared>, to: usize) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((size, source)) = shared.ports[to].recv_from(&mut buffer).await else { continue };
+        let Ok((size, source)) = shared.sockets[to].recv_from(&mut buffer).await else { continue };
         let from = lock(&shared.state).gateways.get(&source).copied();
         let Some(from) = from.filter(|from| *from != to) else { continue };
         let bytes = &buffer[..size];
-        let (fate, copies) = shared.decide(from, to, bytes);
+        let (fate, copies) = shared.draw_fate(from, to, bytes);
         if fate != DatagramFate::Delivered {
             shared.recorder.record(CaptureEvent::Datagram { from, to, bytes: size, fate });
         }
--- a/crates/fakes/src/recorder.rs
+++ b/crates/fakes/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes a capture: one JSON line for each event.
+//! Writes a capture: one line of JSON for each event.
 
 use crate::capture::{CaptureEvent, CaptureRecord};
 use crate::lock::lock;
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Where a capture is written to.
+/// The destination of a capture.
 type Sink = Box<dyn Write + Send>;
 
-/// Records the events of all fakes of a run; clones write to the same capture.
+/// Records the events of all fakes of a run. Clones write to the same capture.
 #[derive(Clone)]
 pub struct Recorder {
     origin: Instant,
@@ -17,17 +17,17 @@
 }
 
 impl Recorder {
-    /// A recorder that writes to `sink`; without one, events are dropped.
+    /// Creates a recorder that writes to `sink`; without one, events are dropped.
     pub fn new(sink: Option<Sink>) -> Self {
         Self { origin: Instant::now(), sink: Arc::new(Mutex::new(sink.map(BufWriter::new))) }
     }
 
-    /// Seconds since the recorder was made.
+    /// Returns the seconds since the recorder was created.
     pub fn now(&self) -> f64 {
         self.origin.elapsed().as_secs_f64()
     }
 
-    /// Records an event. Its time is taken under the lock, so that lines are in the order of their times.
+    /// Records an event. The time is read under the lock, so that the lines of a capture are in order of time.
     ///
     /// # Panics
     /// If another thread has panicked while it held the lock.
@@ -37,18 +37,18 @@
         if let Some(sink) = sink.as_mut() {
             let text = serde_json::to_string(&record).map_err(io::Error::from);
             if let Err(error) = text.and_then(|text| writeln!(sink, "{text}")) {
-                tracing::error!(%error, "the capture cannot be written"); // The audit finds that lines are missing.
+                tracing::error!(%error, "cannot write an event to the capture"); // The audit reports missing lines.
             }
         }
     }
 
-    /// Writes out what is buffered.
+    /// Flushes buffered lines.
     ///
     /// # Panics
     /// If another thread has panicked while it held the lock.
     pub fn flush(&self) {
         if let Some(sink) = lock(&self.sink).as_mut() {
-            let _ = sink.flush(); // A truncated capture fails its audit.
+            let _ = sink.flush(); // The audit of a truncated capture fails.
         }
     }
 }
--- a/crates/fakes/src/scripted_server.rs
+++ b/crates/fakes/src/scripted_server.rs
@@ -1,4 +1,5 @@
-//! An HTTP/1.1 server whose script decides each response, well-formed, malformed or none; it keeps what it received.
+//! An HTTP/1.1 server that lets a script decide the reply to each request (well-formed, malformed or none) and stores
+//! the requests that it received.
 
 use crate::connections;
 use crate::endpoint_list::PendingPoll;
@@ -17,38 +18,40 @@
 use tokio_util::codec::Decoder;
 use weirusher_wire::http1::{Request, ServerCodec};
 
-/// Requests that are kept; later ones are answered and not kept.
-const MAX_KEPT_REQUESTS: usize = 100_000;
+/// Maximum number of requests that are stored; later ones are answered but not stored.
+const MAX_STORED_REQUESTS: usize = 100_000;
 
-/// What a script answers to a request.
+/// The reply of a script to a request.
+///
+/// The connection stays open unless the variant says otherwise.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// These bytes, well-formed or not; the connection stays open.
+    /// Sends these bytes, well-formed or not.
     Bytes(Bytes),
-    /// These bytes after a delay.
+    /// Sends these bytes after a delay.
     Delayed(Duration, Bytes),
-    /// These bytes, one by one, with a delay between two.
+    /// Sends these bytes one by one, with a delay after each.
     Trickle(Duration, Bytes),
-    /// These bytes, and once more after a delay.
+    /// Sends these bytes, and sends them again after a delay.
     Duplicate(Duration, Bytes),
-    /// These bytes, once the gate is `true`.
+    /// Sends these bytes once the gate is `true`.
     Gated(watch::Receiver<bool>, Bytes),
-    /// The first bytes at once, and the rest once the gate is `true`.
+    /// Sends the first bytes at once, and the rest once the gate is `true`.
     GatedRest(Bytes, watch::Receiver<bool>, Bytes),
-    /// A discovery agent's endpoint list, at once or when there is a newer one.
+    /// Sends a discovery agent's endpoint list, at once or when there is a newer one.
     EndpointList(PendingPoll),
-    /// Nothing; the connection stays open.
+    /// Sends nothing.
     NoReply,
-    /// Nothing; the connection is closed.
+    /// Closes the connection without a reply.
     Close,
-    /// These bytes, and then the connection is closed.
+    /// Sends these bytes and closes the connection.
     BytesThenClose(Bytes),
-    /// These bytes, and then, once they have arrived, the connection is reset.
+    /// Sends these bytes and resets the connection once they have arrived.
     BytesThenReset(Bytes),
 }
 
 impl Reply {
-    /// A well-framed response of status 200.
+    /// Returns a well-formed response with status 200.
     pub fn ok(body: &str) -> Self {
         Self::Bytes(frame(200, "", body))
     }
@@ -57,38 +60,38 @@
 /// A request as the server received it.
 #[derive(Debug, Clone)]
 pub struct ReceivedRequest {
-    /// The number of its connection, from 1.
+    /// Number of its connection, counted from 1.
     pub connection: u64,
-    /// When it was complete.
+    /// When it was completely received.
     pub received_at: Instant,
     /// The request.
     pub request: Request,
 }
 
-/// Decides the reply to a request.
+/// The function that decides the reply to each request.
 pub type Script = dyn Fn(&Request) -> Reply + Send + Sync;
 
 struct Shared {
     script: Mutex<Arc<Script>>,
     received: Mutex<Vec<ReceivedRequest>>,
-    /// Length of `received`.
+    /// Length of `received`, which [`ScriptedServer::wait_for_requests`] watches.
     count: watch::Sender<usize>,
     connections: AtomicU64,
 }
 
-/// A scripted server. Dropping it kills it.
+/// A server that runs a script. Dropping it closes its listener and connections.
 pub struct ScriptedServer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _tasks: JoinSet<()>,
 }
 
 impl ScriptedServer {
-    /// Starts a server on `address`; port 0 chooses one.
+    /// Starts a server on `address`; port 0 selects a free port.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// If it cannot listen on the address.
     pub async fn start(
         address: SocketAddr,
         script: impl Fn(&Request) -> Reply + Send + Sync + 'static,
@@ -110,7 +113,7 @@
         Ok(Self { address, shared, _tasks: tasks })
     }
 
-    /// Replaces the script for the requests that come from now on.
+    /// Replaces the script for the requests that are received from now on.
     ///
     /// # Panics
     /// If another thread has panicked while it held the lock.
@@ -118,7 +121,7 @@
         *lock(&self.shared.script) = Arc::new(script);
     }
 
-    /// The requests received so far.
+    /// Returns the requests received so far.
     ///
     /// # Panics
     /// If another thread has panicked while it held the lock.
@@ -129,10 +132,10 @@
     /// Waits until `count` requests have been received.
     pub async fn wait_for_requests(&self, count: usize) {
         let mut received = self.shared.count.subscribe();
-        let _ = received.wait_for(|received| *received >= count).await; // The sender lives as long as this.
+        let _ = received.wait_for(|received| *received >= count).await; // It cannot fail: `self` holds the sender.
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.shared.connections.load(Ordering::Relaxed)
     }
@@ -147,7 +150,7 @@
             let reply = script(&request);
             let count = {
                 let mut received = lock(&shared.received);
-                if received.len() < MAX_KEPT_REQUESTS {
+                if received.len() < MAX_STORED_REQUESTS {
                     received.push(ReceivedRequest { connection, received_at: Instant::now(), request });
                 }
                 received.len()
@@ -163,7 +166,7 @@
     }
 }
 
-/// Writes a reply; `false`: the connection is to be closed.
+/// Writes a reply. Returns `false` if the connection is to be closed.
 async fn write_reply(stream: &mut TcpStream, reply: Reply) -> bool {
     match reply {
         Reply::Bytes(bytes) => stream.write_all(&bytes).await.is_ok(),
@@ -181,18 +184,18 @@
             true
         }
         Reply::Duplicate(pause, bytes) => {
-            let once = stream.write_all(&bytes).await.is_ok();
+            let sent = stream.write_all(&bytes).await.is_ok();
             tokio::time::sleep(pause).await;
-            once && stream.write_all(&bytes).await.is_ok()
+            sent && stream.write_all(&bytes).await.is_ok()
         }
         Reply::Gated(mut gate, bytes) => {
             let opened = gate.wait_for(|open| *open).await.is_ok();
             opened && stream.write_all(&bytes).await.is_ok()
         }
         Reply::GatedRest(first, mut gate, rest) => {
-            let begun = stream.write_all(&first).await.is_ok();
+            let sent = stream.write_all(&first).await.is_ok();
             let opened = gate.wait_for(|open| *open).await.is_ok();
-            begun && opened && stream.write_all(&rest).await.is_ok()
+            sent && opened && stream.write_all(&rest).await.is_ok()
         }
         Reply::EndpointList(poll) => match poll.response().await {
             Some(bytes) => stream.write_all(&bytes).await.is_ok(),
@@ -206,15 +209,15 @@
         }
         Reply::BytesThenReset(bytes) => {
             let _ = stream.write_all(&bytes).await; // The connection is closed in any case.
-            // On loopback, bytes that were written have arrived.
+            // Closing with zero linger resets the connection. On loopback, bytes that were written have arrived by now.
             let _ = stream.set_zero_linger();
             false
         }
     }
 }
 
-/// The script of the platform's counter: adds the query parameter `delta` to the total of the path, and answers the
-/// total; 400 without a valid `delta`.
+/// Returns a script that acts as the platform's counter: adds the query parameter `delta` to the total of the path and
+/// replies with the total, or with status 400 without a valid `delta`.
 ///
 /// # Panics
 /// If another thread has panicked while it held the lock.
--- a/crates/fakes/tests/stored_captures.rs
+++ b/crates/fakes/tests/stored_captures.rs
@@ -1,5 +1,5 @@
-//! Captures that earlier versions stored stay readable: a line of each kind, as version 0.1 wrote it, is read and written
-//! back unchanged.
+//! Guards against renames that make captures stored by earlier versions unreadable: a line of each kind, as version 0.1
+//! wrote it, is read and written back unchanged.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -7,7 +7,7 @@
 
 const STORED: &str = include_str!("captures/stored.jsonl");
 
-/// Kinds of lines that a capture may have.
+/// The kinds of lines that a capture may have.
 const KINDS: [&str; 26] = [
     "added",
     "answer",
@@ -38,7 +38,7 @@
 ];
 
 #[test]
-fn a_stored_line_of_each_kind_is_read_and_written_back_unchanged() {
+fn stored_lines_are_read_and_written_back_unchanged() {
     let mut kinds = BTreeSet::new();
     for (index, line) in STORED.lines().enumerate() {
         let record: CaptureRecord =
@@ -50,33 +50,34 @@
     assert!(KINDS.iter().all(|kind| kinds.contains(*kind)), "{kinds:?}");
 }
 
-/// Words of the stored enumerations that no line of the file has.
+/// Covers the enumeration values that no line of the stored file contains.
 #[test]
-fn each_word_of_a_stored_outcome_is_read() {
-    let line = |text: &str| serde_json::from_str::<CaptureRecord>(text).is_ok_and(|r| r.time_seconds == 1.0);
+fn each_stored_enumeration_value_is_read() {
+    let is_read =
+        |text: &str| serde_json::from_str::<CaptureRecord>(text).is_ok_and(|r| r.time_seconds == 1.0);
     for end in ["served", "refused", "failed", "broken", "left"] {
-        assert!(line(&format!(r#"{{"t":1.0,"what":"final","req":1,"end":"{end}"}}"#)), "{end}");
+        assert!(is_read(&format!(r#"{{"t":1.0,"what":"final","req":1,"end":"{end}"}}"#)), "{end}");
     }
     for door in ["runs", "invalid", "expired", "replayed", "misdirected", "full"] {
         let text = format!(r#"{{"t":1.0,"what":"got","req":1,"server":"a","ticket":"","door":"{door}"}}"#);
-        assert!(line(&text), "{door}");
+        assert!(is_read(&text), "{door}");
     }
     for verdict in ["failed", "bad", "broken"] {
         let text = format!(r#"{{"t":1.0,"what":"answer","req":1,"call":1,"gk":0,"verdict":"{verdict}"}}"#);
-        assert!(line(&text), "{verdict}");
+        assert!(is_read(&text), "{verdict}");
     }
     for state in ["started", "killed", "fell"] {
         let text = format!(r#"{{"t":1.0,"what":"server","server":"a","state":"{state}"}}"#);
-        assert!(line(&text), "{state}");
+        assert!(is_read(&text), "{state}");
     }
     for fate in ["passed", "doubled", "replayed", "lost", "cut", "forged"] {
         let text = format!(r#"{{"t":1.0,"what":"datagram","from":0,"to":1,"bytes":9,"fate":"{fate}"}}"#);
-        assert!(line(&text), "{fate}");
+        assert!(is_read(&text), "{fate}");
     }
 }
 
 #[test]
-fn stored_fields_come_under_their_names() {
+fn stored_fields_are_read_into_their_fields() {
     let first: CaptureRecord = serde_json::from_str(STORED.lines().next().unwrap()).unwrap();
     let CaptureEvent::RunStarted { name, parameters } = first.event else { panic!("{first:?}") };
     assert_eq!((name.as_str(), parameters.gateways), ("all-kinds", 3));
