--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -1,4 +1,4 @@
-//! The auditor: checks the rules against a capture alone, and names the lines that show a violation.
+//! The auditor: checks the rules against a capture alone, and reports which of its lines show each violation.
 
 mod auditor;
 mod drains;
@@ -18,47 +18,47 @@
 use std::io::BufRead;
 use weirusher_fakes::{CaptureEvent, CaptureRecord};
 
-/// Seconds by which an event may be late: timers and sockets of a busy machine.
+/// Seconds by which an event may be late, because timers and sockets are delayed on a busy machine.
 const LATENESS_ALLOWANCE_SECONDS: f64 = 0.1;
 
-/// A capture that cannot be audited.
+/// Why a capture cannot be audited.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CaptureError {
     /// A line cannot be read.
     #[error("line {line}: {error}")]
     Read {
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the reader returned.
+        /// Error of the reader.
         error: std::io::Error,
     },
-    /// A line is no event.
-    #[error("line {line} is not an event of a capture: {error}")]
-    Form {
-        /// Number of the line, from 1.
+    /// A line is not an event.
+    #[error("line {line} is not a capture event: {error}")]
+    InvalidEvent {
+        /// Line number, from 1.
         line: usize,
-        /// What the parser expected.
+        /// Error of the parser.
         error: serde_json::Error,
     },
-    /// The first line does not say which limits apply.
-    #[error("the capture does not begin with its scenario (an event `day`)")]
-    NoStart,
+    /// The first line is not the start of a run, which holds the limits to audit against.
+    #[error("the capture does not begin with its scenario (a `day` event)")]
+    MissingRunStart,
 }
 
-/// A place in the capture.
+/// Time and line of an event in the capture.
 #[derive(Debug, Clone, Copy, Default)]
-struct Moment {
-    /// Seconds since the run began.
+struct CapturePosition {
+    /// Seconds since the start of the run.
     time_seconds: f64,
-    /// Number of the line, from 1.
+    /// Line number, from 1.
     line: usize,
 }
 
 /// Audits a capture.
 ///
 /// # Errors
-/// A line cannot be read or is no event, or the capture does not begin with its scenario.
+/// A line cannot be read or is not an event, or the capture does not begin with the start of a run.
 pub fn audit(capture: impl BufRead) -> Result<AuditReport, CaptureError> {
     let mut auditor = Auditor::default();
     let mut started = false;
@@ -66,15 +66,15 @@
         let line = index + 1;
         let text = text.map_err(|error| CaptureError::Read { line, error })?;
         let record: CaptureRecord =
-            serde_json::from_str(&text).map_err(|error| CaptureError::Form { line, error })?;
+            serde_json::from_str(&text).map_err(|error| CaptureError::InvalidEvent { line, error })?;
         started |= matches!(record.event, CaptureEvent::RunStarted { .. });
         if !started {
-            return Err(CaptureError::NoStart);
+            return Err(CaptureError::MissingRunStart);
         }
-        auditor.handle_event(Moment { time_seconds: record.time_seconds, line }, record.event);
+        auditor.handle_event(CapturePosition { time_seconds: record.time_seconds, line }, record.event);
     }
     if !started {
-        return Err(CaptureError::NoStart);
+        return Err(CaptureError::MissingRunStart);
     }
     Ok(auditor.finish())
 }
--- a/crates/scenarios/src/audit/auditor.rs
+++ b/crates/scenarios/src/audit/auditor.rs
@@ -1,4 +1,4 @@
-//! Hands each event of a capture to the rules that it concerns.
+//! Dispatches each event of a capture to the checks that it affects.
 
 use super::drains::Drains;
 use super::effects::{self, Tickets};
@@ -8,10 +8,10 @@
 use super::report::{AuditReport, Rule};
 use super::requests::{Check, Request, Requests};
 use super::slow_start::SlowStarts;
-use super::{Moment, responses};
+use super::{CapturePosition, responses};
 use weirusher_fakes::{Admission, AuditParameters, CaptureEvent, CheckOutcome};
 
-/// An audit on its way through a capture.
+/// State of an audit while it reads a capture.
 #[derive(Default)]
 pub(super) struct Auditor {
     parameters: AuditParameters,
@@ -28,7 +28,7 @@
 }
 
 impl Auditor {
-    pub fn handle_event(&mut self, at: Moment, event: CaptureEvent) {
+    pub fn handle_event(&mut self, at: CapturePosition, event: CaptureEvent) {
         (self.report.lines, self.ended_seconds) = (at.line, at.time_seconds);
         match event {
             CaptureEvent::RunStarted { name, parameters } => {
@@ -71,7 +71,7 @@
         }
     }
 
-    fn handle_request_event(&mut self, at: Moment, event: CaptureEvent) {
+    fn handle_request_event(&mut self, at: CapturePosition, event: CaptureEvent) {
         match event {
             CaptureEvent::RequestStarted {
                 request,
@@ -116,11 +116,11 @@
                 *self.report.outcomes.entry(outcome).or_default() += 1;
                 self.requests.request(request).outcomes.push((at, outcome));
             }
-            _ => unreachable!("not an event of a request"),
+            _ => unreachable!("not a request event"),
         }
     }
 
-    fn handle_check_completed(&mut self, at: Moment, call: u64, outcome: CheckOutcome) {
+    fn handle_check_completed(&mut self, at: CapturePosition, call: u64, outcome: CheckOutcome) {
         let report = &mut self.report;
         let Some(check) = responses::match_answer(at, call, &mut self.requests, report) else { return };
         responses::audit_answer(at, check, &outcome, &self.outages, report);
@@ -136,8 +136,8 @@
         }
     }
 
-    /// A backend admitted an attempt.
-    fn handle_execution(&mut self, at: Moment, number: u64, backend: &str, ticket: &str) {
+    /// Handles an attempt that a backend admitted.
+    fn handle_execution(&mut self, at: CapturePosition, number: u64, backend: &str, ticket: &str) {
         let report = &mut self.report;
         self.tickets.audit_execution(at, number, backend, ticket, report);
         let request = self.requests.request(number);
@@ -146,12 +146,12 @@
         self.slow_starts.audit_execution(at, number, request.units, backend, limits, report);
     }
 
-    fn handle_gateway_event(&mut self, at: Moment, event: CaptureEvent) {
+    fn handle_gateway_event(&mut self, at: CapturePosition, event: CaptureEvent) {
         let now = at.time_seconds;
         match event {
-            CaptureEvent::GatewayStopping { gateway } => self.outages.shutdown_begins(gateway, now),
+            CaptureEvent::GatewayStopping { gateway } => self.outages.begin_shutdown(gateway, now),
             CaptureEvent::GatewayRunning { gateway, running } => {
-                // The first start loses no state.
+                // Only a restart loses state; the first start of a gateway has none to lose.
                 if running && self.outages.knows(gateway) {
                     self.quotas.gateway_restarted();
                 }
@@ -162,15 +162,15 @@
                 self.outages.set_reachable(gateway, reachable, now);
             }
             CaptureEvent::GatewayPaused { gateway, paused } => {
-                // A suspended process answers late, or not at all.
+                // A suspended process answers late or not at all, like one that cannot be reached.
                 self.outages.set_reachable(gateway, !paused, now);
                 self.membership.set_paused(gateway, paused, now);
             }
-            _ => unreachable!("not an event of a gateway's process"),
+            _ => unreachable!("not a gateway process event"),
         }
     }
 
-    fn handle_membership_event(&mut self, at: Moment, event: CaptureEvent) {
+    fn handle_membership_event(&mut self, at: CapturePosition, event: CaptureEvent) {
         let now = at.time_seconds;
         match event {
             CaptureEvent::FleetStarted { size, outsiders } => self.membership.start(size, outsiders, now),
@@ -184,17 +184,17 @@
                 let found = self.membership.audit_report(gateway, duplicate, requested_at_seconds, &report);
                 self.add_membership_violations(found, at.line);
             }
-            _ => unreachable!("not an event of the membership"),
+            _ => unreachable!("not a membership event"),
         }
     }
 
     fn add_membership_violations(&mut self, found: Vec<MembershipViolation>, line: usize) {
         for MembershipViolation { rule, since_seconds, description } in found {
-            self.report.violation(Rule::Membership(rule), None, since_seconds, vec![line], description);
+            self.report.add_violation(Rule::Membership(rule), None, since_seconds, vec![line], description);
         }
     }
 
-    /// Checks what only a complete capture shows.
+    /// Runs the checks that need the complete capture, and returns the report.
     pub fn finish(mut self) -> AuditReport {
         for (number, request) in self.requests.iter() {
             responses::audit_request(number, request, &self.requests, &self.outages, &mut self.report);
--- a/crates/scenarios/src/audit/drains.rs
+++ b/crates/scenarios/src/audit/drains.rs
@@ -1,48 +1,49 @@
-//! Rule 3: a gateway sends nothing to a backend after the grace of its drain.
+//! Rule 3: a gateway sends no attempt to a draining backend after the grace period.
 //!
-//! A gateway knows of a drain once it acknowledged a list that has it. A newer list that was sent to it already says
-//! otherwise may be used before it is acknowledged.
+//! A gateway knows of a drain once it has acknowledged a list that contains it. If a newer list without the drain has
+//! already been sent, the gateway may use that one before it acknowledges it.
 
-use super::Moment;
+use super::CapturePosition;
 use super::report::{AuditReport, Rule};
 use super::requests::Check;
 use std::collections::{HashMap, HashSet};
 
-/// What gateways know of draining and removed backends.
+/// Draining and removed ("stopped") backends, as each gateway knows them.
 #[derive(Default)]
 pub(super) struct Drains {
-    /// When a gateway came to know of a backend's drain, by gateway and backend.
-    known_since: HashMap<(usize, String), Moment>,
-    /// The stopped backends of the newest list that was sent to a gateway.
-    newest: HashMap<usize, HashSet<String>>,
+    /// When a gateway learned that a backend has stopped, by gateway and backend.
+    known_since: HashMap<(usize, String), CapturePosition>,
+    /// Stopped backends in the newest list that was sent to each gateway.
+    newest_sent: HashMap<usize, HashSet<String>>,
 }
 
 impl Drains {
     pub fn list_sent(&mut self, gateway: usize, stopped_backends: Vec<String>) {
         let stopped: HashSet<String> = stopped_backends.into_iter().collect();
-        self.forget_others(gateway, &stopped);
-        self.newest.insert(gateway, stopped);
+        self.retain_stopped(gateway, &stopped);
+        self.newest_sent.insert(gateway, stopped);
     }
 
-    pub fn list_acknowledged(&mut self, at: Moment, gateway: usize, stopped_backends: Vec<String>) {
+    pub fn list_acknowledged(&mut self, at: CapturePosition, gateway: usize, stopped_backends: Vec<String>) {
         let stopped: HashSet<String> = stopped_backends.into_iter().collect();
-        self.forget_others(gateway, &stopped);
-        let newest = self.newest.get(&gateway);
+        self.retain_stopped(gateway, &stopped);
+        let newest = self.newest_sent.get(&gateway);
         let in_newest = |backend: &String| newest.is_none_or(|newest| newest.contains(backend));
         for backend in stopped.into_iter().filter(in_newest) {
             self.known_since.entry((gateway, backend)).or_insert(at);
         }
     }
 
-    /// Drops what a gateway knows of backends that are not in its list of stopped ones any more.
-    fn forget_others(&mut self, gateway: usize, stopped: &HashSet<String>) {
+    /// Removes backends that are no longer in the gateway's list of stopped ones.
+    fn retain_stopped(&mut self, gateway: usize, stopped: &HashSet<String>) {
         self.known_since.retain(|(known, backend), _| *known != gateway || stopped.contains(backend));
     }
 
-    /// Checks the backend that a check was allowed for. A check that was sent after the grace was decided after it.
+    /// Checks the backend that was selected for a check. The time of sending counts: a check that was sent after the
+    /// grace period was also decided after it.
     pub fn audit_allowed(
         &self,
-        at: Moment,
+        at: CapturePosition,
         check: &Check,
         backend: &str,
         grace_seconds: f64,
@@ -54,11 +55,11 @@
             return;
         }
         let description = format!(
-            "allowed for {backend}, {:.3} s after gateway {} knew that it stops",
+            "{backend} was selected {:.3} s after gateway {} knew that it was draining or removed",
             sent - known.time_seconds,
             check.gateway
         );
         let lines = vec![known.line, check.sent.line, at.line];
-        report.violation(Rule::DrainsRespected, Some(check.request), at.time_seconds, lines, description);
+        report.add_violation(Rule::DrainsRespected, Some(check.request), at.time_seconds, lines, description);
     }
 }
--- a/crates/scenarios/src/audit/membership.rs
+++ b/crates/scenarios/src/audit/membership.rs
@@ -1,5 +1,5 @@
-//! What gateways report of each other, checked against what the run did to them: which processes ran, which were
-//! suspended, and which directions of the network were open.
+//! Checks the gateways' membership reports against the actual state of the fleet: which processes were running, which
+//! were suspended, and which directions of the network were open.
 
 mod figures;
 mod network;
@@ -15,75 +15,76 @@
     HEARTBEAT_INTERVAL, PAUSE_THRESHOLD, SUSPECT_TIMEOUT, partition_known_within, recovery_known_within,
 };
 
-/// Milliseconds, in which the fleet's constants are given, in a second.
+/// Milliseconds in a second; the constants of the membership protocol are in milliseconds.
 const MS_PER_SECOND: f64 = 1000.0;
-/// Seconds that a busy machine may add to any bound, including the time that a report takes. A process that is delayed
-/// for longer has been away, and reports so.
+/// Seconds by which delays on a busy machine may extend any bound, including the time to fetch a report. A process that
+/// is delayed for longer counts itself as paused, and reports a new incarnation.
 const BUSY_ALLOWANCE_SECONDS: f64 = PAUSE_THRESHOLD as f64 / MS_PER_SECOND;
-/// Seconds for which a running gateway may report nothing: what is not reported cannot be checked.
+/// Seconds for which a running gateway may return no report. Limited because nothing can be checked without reports.
 const MAX_SILENCE_SECONDS: f64 = 3.0;
-/// Seconds for which a new process may take a later incarnation of its number for that of an earlier process.
-const START_SECONDS: f64 = 3.0;
+/// Seconds after its start for which a process may mistake a later incarnation of its number, which another process
+/// has, for that of an earlier process.
+const START_GRACE_SECONDS: f64 = 3.0;
 
-/// What is checked of gateways with a membership.
+/// The rules for membership reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MembershipRule {
-    /// A member that cannot be reached is not reported alive for longer than the bound.
+    /// An unreachable member is no longer reported alive after the detection bound.
     #[serde(rename = "gone-known")]
     DeathDetected,
-    /// A member that can be reached is reported alive after the bound, and not reported dead.
+    /// A reachable member is reported alive after the recovery bound, and not reported dead from then on.
     #[serde(rename = "life-known")]
     AliveDetected,
-    /// A gateway that nobody reaches, or that reaches nobody, reports that it reaches no part of the fleet.
+    /// A gateway that is reached by no other, or reaches no other, reports a reachable share of 0.
     #[serde(rename = "hearing-true")]
     ReachabilityTrue,
-    /// A gateway that was suspended reports a new incarnation.
+    /// A gateway reports a new incarnation after it was suspended.
     #[serde(rename = "begun-anew")]
     NewIncarnation,
-    /// Of two processes under one number, the later one takes part and the earlier one reports that it is superseded.
+    /// Of two processes with the same number, the earlier one reports that it is superseded, the later one does not.
     #[serde(rename = "one-of-two")]
     DuplicateSuperseded,
-    /// A gateway that runs reports its view.
+    /// A running gateway returns reports.
     #[serde(rename = "states")]
     Responds,
 }
 
-/// A report that is not true.
+/// A violation of a membership rule.
 pub(super) struct MembershipViolation {
     pub rule: MembershipRule,
     pub since_seconds: f64,
     pub description: String,
 }
 
-/// Whether one gateway can be reached by another, and what was reported of it.
+/// Whether a member's messages reach a gateway, and what the gateway has reported since that last changed.
 #[derive(Clone, Copy, Default)]
 struct Pair {
     reached: bool,
     since_seconds: f64,
-    /// Whether the opposite was reported since, as it is at first: earlier reports still stand, and a suspicion that
-    /// was under way may still be confirmed.
-    opposite_reported: bool,
-    /// Whether the truth was reported after that.
-    truth_reported: bool,
+    /// Whether a report since then had the previous state. That is expected at first: the gateway has not noticed the
+    /// change yet, or a suspicion raised before it is still confirmed.
+    previous_reported: bool,
+    /// Whether a later report had the current state.
+    current_reported: bool,
 }
 
-/// Keeps what the run did, and checks the reports against it.
+/// Tracks the actual state of the fleet, and checks the membership reports against it.
 #[derive(Default)]
 pub(super) struct MembershipAuditor {
     network: Network,
-    /// By reporting gateway, then by member: whether the member's messages reach the gateway, directly or passed on.
+    /// By reporting gateway, then by member: whether the member's messages reach the gateway, directly or relayed.
     pairs: Vec<Vec<Pair>>,
-    /// Since when a gateway is reached by nobody directly, by gateway.
+    /// When a gateway stopped being reached directly by any other, by gateway; `None` if it is reached.
     unreached_since: Vec<Option<f64>>,
-    /// Since when a gateway reaches nobody directly, by gateway.
+    /// When a gateway stopped reaching any other directly, by gateway; `None` if it reaches one.
     reaching_none_since: Vec<Option<f64>>,
     traffic: Traffic,
     figures: MembershipFigures,
 }
 
 impl MembershipAuditor {
-    /// All gateways were started; `outsiders` are no members.
+    /// Records that all gateways were started. `outsiders` have another key or fleet size, and are not members.
     pub fn start(&mut self, size: usize, outsiders: Vec<usize>, now: f64) {
         self.network.start(size, outsiders, now);
         self.pairs = vec![vec![Pair { since_seconds: now, ..Pair::default() }; size]; size];
@@ -92,7 +93,7 @@
         self.update_pairs(now);
     }
 
-    /// Whether the run has gateways with a membership.
+    /// Whether the gateways of this run have a membership.
     pub fn is_started(&self) -> bool {
         self.network.size > 0
     }
@@ -134,19 +135,19 @@
 
     pub fn datagram(&mut self, bytes: usize, fate: DatagramFate, now: f64) {
         *self.figures.datagrams.entry(fate.as_str().to_string()).or_default() += 1;
-        // Duplicates, replays and forgeries were not sent by a gateway.
+        // Duplicates, replays and forgeries were made by the network, so they are not traffic of a gateway.
         if matches!(fate, DatagramFate::Delivered | DatagramFate::Lost | DatagramFate::Partitioned) {
             self.figures.bytes_per_second = self.traffic.add(bytes, now, self.network.size);
         }
     }
 
-    /// Finds out who reaches whom after a change.
+    /// Recomputes which gateways reach each other, after a change.
     fn update_pairs(&mut self, now: f64) {
         for gateway in 0..self.network.size {
-            let reached = self.network.reaching(gateway);
+            let reached = self.network.senders_reaching(gateway);
             let unreached = !self.network.is_reached_directly(gateway);
             let reaching_none = !self.network.reaches_any_directly(gateway);
-            let since = |began: Option<f64>| began.unwrap_or(now);
+            let since = |start: Option<f64>| start.unwrap_or(now);
             self.unreached_since[gateway] = unreached.then(|| since(self.unreached_since[gateway]));
             self.reaching_none_since[gateway] =
                 reaching_none.then(|| since(self.reaching_none_since[gateway]));
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Checks a report that was requested at `requested`; `duplicate`: by the second process under the number.
+    /// Checks a report that was requested at `requested`. `duplicate` is set if it is of the second process with the
+    /// gateway's number.
     pub fn audit_report(
         &mut self,
         gateway: usize,
@@ -184,7 +186,7 @@
         found
     }
 
-    /// The run ended at `now`.
+    /// Checks at the end of the run that no running gateway stopped reporting.
     pub fn finish(&self, now: f64) -> Vec<MembershipViolation> {
         (0..self.network.size).filter_map(|gateway| self.check_responds(gateway, now)).collect()
     }
@@ -196,11 +198,13 @@
     fn check_responds(&self, gateway: usize, now: f64) -> Option<MembershipViolation> {
         let process = &self.network.processes[gateway];
         let since_seconds = process.last_report_seconds.max(process.since_seconds);
-        let silent = now - since_seconds;
+        let silent_seconds = now - since_seconds;
         (process.is_up() && now > since_seconds + MAX_SILENCE_SECONDS).then(|| MembershipViolation {
             rule: MembershipRule::Responds,
             since_seconds,
-            description: format!("gateway {gateway} runs, and reports nothing for {silent:.2} s"),
+            description: format!(
+                "gateway {gateway} is running, but returned no report for {silent_seconds:.2} s"
+            ),
         })
     }
 
@@ -213,15 +217,15 @@
         report: &MembershipReport,
     ) -> Option<MembershipViolation> {
         let detected = recovery_known_within(self.network.size as u16) as f64 / MS_PER_SECOND;
-        let settled = requested > since_seconds + START_SECONDS + detected + BUSY_ALLOWANCE_SECONDS;
-        // The later process holds the number.
+        let settled = requested > since_seconds + START_GRACE_SECONDS + detected + BUSY_ALLOWANCE_SECONDS;
+        // The later process owns the number, so the earlier one must report that it is superseded.
         let correct = report.superseded != duplicate;
         let which = if duplicate { "the later" } else { "the earlier" };
         (settled && !correct).then(|| MembershipViolation {
             rule: MembershipRule::DuplicateSuperseded,
             since_seconds,
             description: format!(
-                "{which} of two gateways {gateway} reports superseded: {}",
+                "{which} of two processes with gateway number {gateway} reports superseded: {}",
                 report.superseded
             ),
         })
@@ -241,7 +245,7 @@
             rule: MembershipRule::NewIncarnation,
             since_seconds,
             description: format!(
-                "gateway {gateway} was suspended, and still reports incarnation {}",
+                "gateway {gateway} still reports incarnation {} after it was suspended",
                 report.incarnation
             ),
         })
@@ -262,10 +266,10 @@
         let unreached = overdue(self.unreached_since[gateway], silence).filter(|_| heard > 0 || share > 0.0);
         let reaching_none = overdue(self.reaching_none_since[gateway], 2.0 * silence).filter(|_| share > 0.0);
         let (since_seconds, what) = unreached
-            .map(|since| (since, "is reached by nobody"))
-            .or(reaching_none.map(|since| (since, "reaches nobody")))?;
+            .map(|since| (since, "is reached by no other gateway"))
+            .or(reaching_none.map(|since| (since, "reaches no other gateway")))?;
         let description = format!(
-            "gateway {gateway} {what} for {:.2} s, and reports a reachable share of {share:.2}, hearing {heard}",
+            "gateway {gateway} {what} for {:.2} s, but reports a reachable share of {share:.2}, hearing {heard}",
             requested - since_seconds
         );
         Some(MembershipViolation { rule: MembershipRule::ReachabilityTrue, since_seconds, description })
@@ -289,25 +293,26 @@
             let (elapsed, since_seconds) = (requested - pair.since_seconds.max(up_since), pair.since_seconds);
             let reported_alive = alive.contains(&member);
             if elapsed > 0.0 && reported_alive != pair.reached {
-                pair.opposite_reported = true;
-            } else if elapsed > 0.0 && pair.opposite_reported && !pair.truth_reported {
-                pair.truth_reported = true;
+                pair.previous_reported = true;
+            } else if elapsed > 0.0 && pair.previous_reported && !pair.current_reported {
+                pair.current_reported = true;
                 self.figures.detected(pair.reached, requested - since_seconds);
             }
             let mut violation = |rule, what: &str| {
-                let description = format!("gateway {gateway} reports {member} {what} after {elapsed:.2} s");
+                let description =
+                    format!("gateway {gateway} reports member {member} {what} after {elapsed:.2} s");
                 found.push(MembershipViolation { rule, since_seconds, description });
             };
             if pair.reached && elapsed > alive_bound && !reported_alive {
-                violation(MembershipRule::AliveDetected, "not alive, which it reaches,");
+                violation(MembershipRule::AliveDetected, "as not alive, although it is reachable,");
             }
             if !pair.reached && elapsed > death_bound && reported_alive {
-                violation(MembershipRule::DeathDetected, "alive, which it cannot reach,");
+                violation(MembershipRule::DeathDetected, "as alive, although it is unreachable,");
             }
-            if pair.reached && pair.truth_reported && dead.contains(&member) {
+            if pair.reached && pair.current_reported && dead.contains(&member) {
                 self.figures.false_positives += 1;
                 if elapsed <= alive_bound {
-                    violation(MembershipRule::AliveDetected, "dead again, which it reaches,");
+                    violation(MembershipRule::AliveDetected, "as dead again, although it is reachable,");
                 }
             }
         }
--- a/crates/scenarios/src/audit/membership/network.rs
+++ b/crates/scenarios/src/audit/membership/network.rs
@@ -1,4 +1,4 @@
-//! Which gateways run, and whose messages reach whom.
+//! Actual state of the gateways' processes and of the network between them.
 
 use std::collections::HashSet;
 
@@ -7,14 +7,14 @@
 pub(super) struct Process {
     pub running: bool,
     pub paused: bool,
-    /// When it last started, or continued after a pause.
+    /// When the process last started or resumed.
     pub since_seconds: f64,
-    /// The last incarnation that it reported.
+    /// The highest incarnation that it has reported.
     pub incarnation: u64,
-    /// The one that it reported before its last long pause; 0: there was none.
+    /// The highest incarnation reported before its last long pause; 0 if there was none.
     pub incarnation_before_pause: u64,
     pub paused_at_seconds: f64,
-    /// When a second process was started under its number.
+    /// When a second process was started with its number.
     pub duplicate_since_seconds: Option<f64>,
     /// When its last report was requested.
     pub last_report_seconds: f64,
@@ -31,16 +31,16 @@
 pub(super) struct Network {
     pub size: usize,
     pub processes: Vec<Process>,
-    /// The group of each gateway: groups do not reach each other.
+    /// Partition group of each gateway; gateways in different groups cannot reach each other.
     pub groups: Vec<usize>,
-    /// Gateways with another key or another fleet size, which take no part.
+    /// Gateways with another key or another fleet size, whose messages the others ignore.
     outsiders: HashSet<usize>,
-    /// Directions that are blocked: from, to.
+    /// Blocked directions, as (from, to).
     blocked: HashSet<(usize, usize)>,
 }
 
 impl Network {
-    /// There are `size` gateways, which all run since `now`, in one group. Directions that are blocked stay so.
+    /// Sets up `size` gateways that all run since `now`, in one group. Blocked directions stay blocked.
     pub fn start(&mut self, size: usize, outsiders: Vec<usize>, now: f64) {
         let process = Process { running: true, since_seconds: now, ..Process::default() };
         self.size = size;
@@ -62,10 +62,10 @@
     }
 
     fn reaches_directly(&self, from: usize, to: usize) -> bool {
-        let takes_part = |gateway: usize| self.processes[gateway].is_up() && !self.is_outsider(gateway);
+        let is_active_member = |gateway: usize| self.processes[gateway].is_up() && !self.is_outsider(gateway);
         from != to
-            && takes_part(from)
-            && takes_part(to)
+            && is_active_member(from)
+            && is_active_member(to)
             && self.groups.get(from) == self.groups.get(to)
             && !self.blocked.contains(&(from, to))
     }
@@ -78,10 +78,10 @@
         (0..self.size).any(|to| self.reaches_directly(gateway, to))
     }
 
-    /// Whose messages reach a gateway, by sender: gateways pass messages on, so any chain of open directions counts.
-    pub fn reaching(&self, to: usize) -> Vec<bool> {
+    /// Whether each gateway's messages reach `to`. Gateways relay messages, so any chain of open directions counts.
+    pub fn senders_reaching(&self, to: usize) -> Vec<bool> {
         let mut reached: Vec<bool> = (0..self.size).map(|from| self.reaches_directly(from, to)).collect();
-        // Without a blocked direction, whoever reaches a member of a group reaches all of it directly.
+        // If no direction is blocked, every member of a group reaches all others of the group directly.
         let mut hops: Vec<usize> =
             (0..self.size).filter(|from| !self.blocked.is_empty() && reached[*from]).collect();
         while let Some(hop) = hops.pop() {
--- a/crates/scenarios/src/audit/outages.rs
+++ b/crates/scenarios/src/audit/outages.rs
@@ -1,13 +1,13 @@
-//! When gateways could not be reached: nothing is expected of a gateway meanwhile.
+//! Times at which gateways could not be reached, during which nothing is expected of them.
 
 use super::LATENESS_ALLOWANCE_SECONDS;
 use std::collections::HashMap;
 
-/// A span in which a gateway could not be reached; `to` is infinite while it lasts. In seconds.
+/// A time span, in seconds, in which a gateway could not be reached. `to` is infinite while the outage lasts.
 struct Outage {
     from: f64,
     to: f64,
-    /// It is a graceful shutdown: checks that were sent before it must be answered.
+    /// The outage is a graceful shutdown, so checks sent before it must still be answered.
     graceful: bool,
 }
 
@@ -18,12 +18,12 @@
 }
 
 impl Outages {
-    /// A gateway begins its graceful shutdown.
-    pub fn shutdown_begins(&mut self, gateway: usize, time_seconds: f64) {
+    /// Records that a gateway begins its graceful shutdown.
+    pub fn begin_shutdown(&mut self, gateway: usize, time_seconds: f64) {
         self.begin(gateway, time_seconds, true);
     }
 
-    /// A gateway can be reached from now on, or cannot.
+    /// Records that a gateway has become reachable or unreachable.
     pub fn set_reachable(&mut self, gateway: usize, reachable: bool, time_seconds: f64) {
         if !reachable {
             return self.begin(gateway, time_seconds, false);
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Whether the capture has shown this gateway's process or network before.
+    /// Whether an earlier event concerned this gateway's reachability.
     pub fn knows(&self, gateway: usize) -> bool {
         self.by_gateway.contains_key(&gateway)
     }
 
-    /// Whether a check that was sent and ended at these times may have met an outage of its gateway.
+    /// Whether a check that was sent and ended at these times may have been affected by an outage of its gateway.
     pub fn affect(&self, gateway: usize, sent_seconds: f64, ended_seconds: f64) -> bool {
         let affects = |outage: &Outage| {
             let reference = if outage.graceful { sent_seconds } else { ended_seconds };
--- a/crates/scenarios/src/audit/quotas.rs
+++ b/crates/scenarios/src/audit/quotas.rs
@@ -1,43 +1,44 @@
-//! Rule 5: no customer exceeds its ceiling; and no quota is exceeded by more than the bound on overshoot, which grows
-//! with restarts of gateways and losses of the counter. Where the counter is available throughout, what is admitted is
-//! counted.
+//! Rule 5: no customer exceeds its ceiling. In addition, no quota is exceeded by more than the overshoot bound, which
+//! grows with gateway restarts and losses of the counter; and if the counter is available throughout, admitted units
+//! are counted.
 
-use super::Moment;
+use super::CapturePosition;
 use super::report::{AuditReport, Overrun, Rule};
 use std::collections::HashMap;
 use weirusher_core::OvershootBound;
 use weirusher_fakes::{AuditParameters, PlanLimits, RateLimit};
 
-/// Rounding that a bound allows for, in units.
+/// Tolerance for rounding errors, in units.
 const ROUNDING_UNITS: f64 = 1e-6;
 
-/// Events so far by which the fleet lost knowledge of what was admitted.
+/// Number of events so far in which the fleet lost state about admitted units.
 #[derive(Clone, Copy, Default)]
-struct LossesOfState {
+struct StateLosses {
     gateway_restarts: u32,
     counter_losses: u32,
 }
 
-/// Which limit of a plan a bucket is for.
+/// The limit of a plan that a bucket enforces.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum Limit {
     Quota,
     Ceiling,
 }
 
-/// A customer's token bucket as the auditor keeps it; its level is negative beyond the limit.
+/// The auditor's own token bucket for a customer. A negative level is the excess over the limit.
 struct Bucket {
     level_units: f64,
     at_seconds: f64,
-    /// The losses when it was last full: what was admitted before was repaid by then.
-    losses_when_full: LossesOfState,
+    /// Losses at the time the bucket was last full: earlier losses no longer matter, since all excess was made up by
+    /// then.
+    losses_when_full: StateLosses,
 }
 
-/// The buckets of all customers.
+/// Token buckets of all customers.
 #[derive(Default)]
 pub(super) struct Quotas {
     buckets: HashMap<(String, Limit), Bucket>,
-    losses: LossesOfState,
+    losses: StateLosses,
 }
 
 impl Quotas {
@@ -49,10 +50,11 @@
         self.losses.counter_losses += 1;
     }
 
-    /// A first attempt takes its units from the customer's quota and ceiling; both are checked.
+    /// Takes the units of an admitted request from the customer's quota and ceiling, and checks both. Not called for
+    /// retries, which take no units.
     pub fn audit_admission(
         &mut self,
-        at: Moment,
+        at: CapturePosition,
         request: u64,
         customer: &str,
         units: f64,
@@ -62,12 +64,12 @@
         let plan = parameters.customers.get(customer).and_then(|plan| parameters.plans.get(*plan));
         let Some(PlanLimits { quota, ceiling }) = plan.copied() else { return };
         report.units.admitted += units;
-        let largest = parameters.largest_request_units;
-        if let Some((excess, losses)) = self.draw(at, customer, Limit::Quota, quota, units) {
+        let largest_units = parameters.largest_request_units;
+        if let Some((excess, losses)) = self.take_units(at, customer, Limit::Quota, quota, units) {
             let bound = OvershootBound {
                 burst: quota.burst_units,
                 instances: parameters.gateways as f64,
-                largest_request: largest,
+                largest_request: largest_units,
             };
             let allowed_units = bound.max_excess(losses.gateway_restarts, losses.counter_losses);
             if excess > report.overrun.units {
@@ -75,21 +77,22 @@
             }
             check_excess(Rule::QuotasRespected, at, request, customer, excess, allowed_units, report);
         }
-        if let Some((excess, _)) = self.draw(at, customer, Limit::Ceiling, ceiling, units) {
-            let allowed_units = (parameters.ceiling_slack * ceiling.burst_units).max(largest);
+        if let Some((excess, _)) = self.take_units(at, customer, Limit::Ceiling, ceiling, units) {
+            let allowed_units = (parameters.ceiling_slack * ceiling.burst_units).max(largest_units);
             check_excess(Rule::CeilingsRespected, at, request, customer, excess, allowed_units, report);
         }
     }
 
-    /// Takes units from a bucket: the units beyond it, and the losses since it was full. `None` without such a limit.
-    fn draw(
+    /// Takes units from a bucket. Returns the excess over the limit (negative while units are left) and the losses
+    /// since the bucket was last full; `None` if the plan does not have this limit.
+    fn take_units(
         &mut self,
-        at: Moment,
+        at: CapturePosition,
         customer: &str,
         which: Limit,
         limit: RateLimit,
         units: f64,
-    ) -> Option<(f64, LossesOfState)> {
+    ) -> Option<(f64, StateLosses)> {
         if limit.units_per_second <= 0.0 {
             return None;
         }
@@ -102,7 +105,7 @@
             bucket.losses_when_full = losses;
         }
         (bucket.level_units, bucket.at_seconds) = (bucket.level_units - units, now);
-        let since_full = LossesOfState {
+        let since_full = StateLosses {
             gateway_restarts: losses.gateway_restarts - bucket.losses_when_full.gateway_restarts,
             counter_losses: losses.counter_losses - bucket.losses_when_full.counter_losses,
         };
@@ -112,7 +115,7 @@
 
 fn check_excess(
     rule: Rule,
-    at: Moment,
+    at: CapturePosition,
     request: u64,
     customer: &str,
     excess: f64,
@@ -120,20 +123,21 @@
     report: &mut AuditReport,
 ) {
     if excess > allowed + ROUNDING_UNITS {
-        let description = format!("{customer} is {excess:.2} units beyond, {allowed:.2} are allowed");
-        report.violation(rule, Some(request), at.time_seconds, vec![at.line], description);
+        let description = format!("{customer} is {excess:.2} units over its limit, {allowed:.2} allowed");
+        report.add_violation(rule, Some(request), at.time_seconds, vec![at.line], description);
     }
 }
 
-/// Checks that what was admitted is counted, once the capture is complete. One burst a customer may be missing: units
-/// are counted in leases, and the last one may be uncounted.
+/// Checks on the complete capture that admitted units were counted. One burst per customer may be missing: units are
+/// counted in leases, and the last lease may not be counted yet.
 pub(super) fn audit_counts(parameters: &AuditParameters, report: &mut AuditReport) {
     let (admitted, counted) = (report.units.admitted, report.units.counted);
     let plans = parameters.customers.values().filter_map(|plan| parameters.plans.get(*plan));
     let bursts: f64 = plans.map(|plan| plan.quota.burst_units).sum();
     if admitted > counted + bursts {
-        let description =
-            format!("{admitted} units were admitted, {counted:.1} counted, {bursts} may be missing");
-        report.violation(Rule::AdmittedIsCounted, None, 0.0, vec![1], description);
+        let description = format!(
+            "{admitted} units were admitted, but only {counted:.1} counted; at most {bursts} may be missing"
+        );
+        report.add_violation(Rule::AdmittedIsCounted, None, 0.0, vec![1], description);
     }
 }
--- a/crates/scenarios/src/audit/report.rs
+++ b/crates/scenarios/src/audit/report.rs
@@ -1,4 +1,4 @@
-//! What an audit found. The names in its JSON are those of the first version.
+//! The audit report. Its JSON keeps the names of the first version, so that existing readers work.
 
 use super::membership::{MembershipFigures, MembershipRule};
 use serde::Serialize;
@@ -6,19 +6,19 @@
 use std::fmt::Write as _;
 use weirusher_fakes::ClientOutcome;
 
-/// Violations that a report lists; further ones are only counted.
+/// Maximum violations that a report lists; further ones are only counted.
 const MAX_LISTED_VIOLATIONS: usize = 50;
 
-/// The five rules of the specification, and three claims of this project beside them.
+/// The rules that are audited: the five of the specification, followed by three further guarantees of this project.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Rule 1: each request gets one response, in time, and nothing is sent after it.
+    /// Rule 1: each request gets exactly one response within its deadline, and no attempt is sent after it.
     NoRequestLost,
-    /// Rule 2: no effect happens twice.
+    /// Rule 2: no request takes effect twice.
     #[serde(rename = "no-effect-twice")]
     NoDuplicateEffect,
-    /// Rule 3: nothing is sent to a backend after the grace of its drain.
+    /// Rule 3: no attempt is sent to a draining backend after the grace period.
     #[serde(rename = "drains-kept")]
     DrainsRespected,
     /// Rule 4: backends are not overloaded during their slow start.
@@ -27,13 +27,13 @@
     /// Rule 5: no customer exceeds its ceiling.
     #[serde(rename = "ceilings-kept")]
     CeilingsRespected,
-    /// No customer exceeds its quota by more than the bound on overshoot.
+    /// No customer exceeds its quota by more than the overshoot bound.
     #[serde(rename = "quotas-kept")]
     QuotasRespected,
-    /// What is admitted is counted at the counter, but for one burst a customer.
+    /// All admitted units are counted at the counter, except for at most one burst per customer.
     #[serde(rename = "counted")]
     AdmittedIsCounted,
-    /// What gateways report of each other is true.
+    /// The membership reports of the gateways are correct.
     #[serde(rename = "beliefs")]
     Membership(MembershipRule),
 }
@@ -41,36 +41,36 @@
 /// A violation of a rule.
 #[derive(Debug, Clone, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// Number of the request, where one shows it.
+    /// Number of the request, if the violation concerns one.
     #[serde(rename = "req")]
     pub request: Option<u64>,
-    /// When, in seconds since the run began.
+    /// Time of the violation, in seconds since the start of the run.
     #[serde(rename = "t")]
     pub time_seconds: f64,
-    /// Lines of the capture that show it, from 1.
+    /// Lines of the capture that show the violation, counted from 1.
     pub lines: Vec<usize>,
-    /// What happened.
+    /// Description of what happened.
     #[serde(rename = "text")]
     pub description: String,
 }
 
-/// What an audit found.
+/// Result of an audit.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct AuditReport {
     /// Name of the scenario.
     #[serde(rename = "day")]
     pub scenario: String,
-    /// Lines read.
+    /// Lines of the capture.
     pub lines: usize,
-    /// Clients' requests.
+    /// Client requests.
     #[serde(rename = "tries")]
     pub requests: usize,
-    /// Clients' requests by how they ended.
+    /// Client requests, by outcome.
     #[serde(rename = "finals")]
     pub outcomes: BTreeMap<ClientOutcome, usize>,
-    /// Attempts by what the backends' admission decided.
+    /// Attempts, by the backend's admission decision.
     #[serde(rename = "doors")]
     pub admissions: BTreeMap<String, usize>,
     /// Authorisation checks.
@@ -80,21 +80,21 @@
     pub counter_calls: usize,
     /// Units admitted and counted.
     pub units: UnitCounts,
-    /// The furthest that a customer exceeded its quota.
+    /// The largest overrun of a quota by any customer.
     #[serde(rename = "beyond")]
     pub overrun: Overrun,
-    /// What gateways reported of each other, where they have a membership.
+    /// Statistics of the membership, if the run had one.
     #[serde(rename = "fleet", skip_serializing_if = "Option::is_none")]
     pub membership: Option<MembershipFigures>,
-    /// The first violations, by rule and line.
+    /// The first violations, ordered by rule and line.
     #[serde(rename = "breaks")]
     pub violations: Vec<Violation>,
-    /// Violations in all.
+    /// Total number of violations.
     #[serde(rename = "broken")]
     pub violation_count: usize,
 }
 
-/// Authorisation checks; in JSON a pair.
+/// Authorisation checks; serialized as a pair.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct CheckCounts {
@@ -110,13 +110,13 @@
     }
 }
 
-/// Units of a run; in JSON a pair.
+/// Units of a run; serialized as a pair.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct UnitCounts {
-    /// Units of first attempts that were allowed.
+    /// Units of requests that were admitted, without retries.
     pub admitted: f64,
-    /// Units added at the counter, less those given back.
+    /// Units added at the counter, minus those returned.
     pub counted: f64,
 }
 
@@ -126,13 +126,13 @@
     }
 }
 
-/// Units beyond a quota; in JSON a pair.
+/// Units over a quota; serialized as a pair.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Overrun {
-    /// Units beyond the bucket.
+    /// Units over the quota's token bucket.
     pub units: f64,
-    /// Units that the bound allowed at that moment.
+    /// Overrun that the overshoot bound allowed at that time, in units.
     pub allowed_units: f64,
 }
 
@@ -143,8 +143,8 @@
 }
 
 impl AuditReport {
-    /// Adds a violation.
-    pub(super) fn violation(
+    /// Counts a violation, and lists it if there is room.
+    pub(super) fn add_violation(
         &mut self,
         rule: Rule,
         request: Option<u64>,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The result of the audit for people: that all rules were kept, or the violations.
+    /// The result as human-readable text: that all rules were kept, or the violations.
     pub fn summary(&self) -> String {
         if self.violation_count == 0 {
             return format!("  rules      all kept, over {} lines\n", self.lines);
--- a/crates/scenarios/src/audit/requests.rs
+++ b/crates/scenarios/src/audit/requests.rs
@@ -1,25 +1,25 @@
-//! What the capture shows of each client's request and of each authorisation check.
+//! Client requests and authorisation checks, as reconstructed from the capture.
 
-use super::Moment;
+use super::CapturePosition;
 use std::collections::{BTreeMap, HashMap};
 use weirusher_fakes::ClientOutcome;
 
 /// A client's request.
 #[derive(Default)]
 pub(super) struct Request {
-    pub started: Moment,
+    pub started: CapturePosition,
     pub customer: String,
     pub class: usize,
     pub units: f64,
     pub deadline_seconds: f64,
-    /// The client closes before its deadline.
+    /// The client is configured to close before its deadline.
     pub closes_early: bool,
-    pub outcomes: Vec<(Moment, ClientOutcome)>,
-    /// When backends admitted an attempt of it.
-    pub executions: Vec<Moment>,
-    /// When the load generator sent an attempt of it.
-    pub attempts: Vec<Moment>,
-    /// Numbers of its checks.
+    pub outcomes: Vec<(CapturePosition, ClientOutcome)>,
+    /// Attempts that backends admitted.
+    pub executions: Vec<CapturePosition>,
+    /// Attempts that the load generator sent.
+    pub attempts: Vec<CapturePosition>,
+    /// Numbers of its authorisation checks.
     pub checks: Vec<u64>,
 }
 
@@ -27,10 +27,10 @@
 pub(super) struct Check {
     pub request: u64,
     pub gateway: usize,
-    pub sent: Moment,
-    /// It carries the ticket of an earlier attempt.
+    pub sent: CapturePosition,
+    /// The check is for a retry: it carries the ticket of an earlier attempt.
     pub retry: bool,
-    /// It was answered or cancelled.
+    /// The check was answered or cancelled.
     pub ended: bool,
 }
 
@@ -46,7 +46,7 @@
         self.by_number.insert(number, request);
     }
 
-    /// A request; an empty one where the capture does not show its start.
+    /// Returns a request; an empty one if the capture does not have its start.
     pub fn request(&mut self, number: u64) -> &mut Request {
         self.by_number.entry(number).or_default()
     }
@@ -60,12 +60,12 @@
         self.checks.get_mut(&call)
     }
 
-    /// All requests, in the order of their numbers.
+    /// All requests, ordered by number.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &Request)> {
         self.by_number.iter().map(|(number, request)| (*number, request))
     }
 
-    /// The checks of a request, in the order in which they were sent.
+    /// The checks of a request, in sending order.
     pub fn checks_of<'a>(&'a self, request: &'a Request) -> impl Iterator<Item = &'a Check> {
         request.checks.iter().filter_map(|call| self.checks.get(call))
     }
--- a/crates/scenarios/src/audit/slow_start.rs
+++ b/crates/scenarios/src/audit/slow_start.rs
@@ -1,14 +1,14 @@
-//! Rule 4: backends are not overloaded during their slow start: over a window no more work is sent to one than a multiple
-//! of its present capacity.
+//! Rule 4: backends are not overloaded during their slow start. Within a window, a backend may get at most a multiple
+//! of its current capacity.
 
-use super::Moment;
+use super::CapturePosition;
 use super::report::{AuditReport, Rule};
 use std::collections::{HashMap, VecDeque};
 use weirusher_fakes::{BackendState, SlowStartLimits};
 
 const RULE: Rule = Rule::ColdBackendsNotOverloaded;
 
-/// Units that were admitted at a moment.
+/// An attempt that a backend admitted.
 struct Arrival {
     at_seconds: f64,
     units: f64,
@@ -16,12 +16,12 @@
 
 /// A backend in slow start.
 struct StartingBackend {
-    started: Moment,
-    /// What it admitted within the window.
+    started: CapturePosition,
+    /// Attempts admitted within the window.
     arrivals: VecDeque<Arrival>,
 }
 
-/// The backends that are in slow start.
+/// All backends in slow start.
 #[derive(Default)]
 pub(super) struct SlowStarts {
     by_backend: HashMap<String, StartingBackend>,
@@ -30,7 +30,7 @@
 impl SlowStarts {
     pub fn backend_changed(
         &mut self,
-        at: Moment,
+        at: CapturePosition,
         backend: String,
         state: BackendState,
         report: &mut AuditReport,
@@ -42,16 +42,16 @@
             }
             BackendState::Killed => drop(self.by_backend.remove(&backend)),
             BackendState::Overloaded => {
-                let description = format!("backend {backend} was overloaded, and failed");
-                report.violation(RULE, None, at.time_seconds, vec![at.line], description);
+                let description = format!("backend {backend} failed because of overload");
+                report.add_violation(RULE, None, at.time_seconds, vec![at.line], description);
             }
         }
     }
 
-    /// Checks an attempt that a backend admitted: its units and those before it, against the backend's capacity.
+    /// Checks the units that a backend admitted within the window, including this attempt, against its capacity.
     pub fn audit_execution(
         &mut self,
-        at: Moment,
+        at: CapturePosition,
         request: u64,
         units: f64,
         backend: &str,
@@ -60,8 +60,8 @@
     ) {
         let now = at.time_seconds;
         let (Some(limits), Some(starting)) = (limits, self.by_backend.get_mut(backend)) else { return };
-        let warmed_up = (now - starting.started.time_seconds) / limits.duration_seconds.max(1e-3);
-        let capacity_share = limits.initial_share + (1.0 - limits.initial_share) * warmed_up;
+        let elapsed_share = (now - starting.started.time_seconds) / limits.duration_seconds.max(1e-3);
+        let capacity_share = limits.initial_share + (1.0 - limits.initial_share) * elapsed_share;
         if capacity_share >= 1.0 {
             self.by_backend.remove(backend);
             return;
@@ -74,13 +74,13 @@
         }
         let arrived: f64 = arrivals.iter().map(|arrival| arrival.units).sum();
         let capacity = limits.capacity_units_per_second * capacity_share * window;
-        let bearable = limits.overload_multiple * capacity + limits.allowance_units;
-        if arrived > bearable {
+        let max_units = limits.overload_multiple * capacity + limits.allowance_units;
+        if arrived > max_units {
             let description = format!(
-                "{backend}, in slow start, got {arrived:.1} units in {window} s, and bears {bearable:.1}"
+                "backend {backend} in slow start got {arrived:.1} units in {window} s, of at most {max_units:.1}"
             );
             let lines = vec![starting.started.line, at.line];
-            report.violation(RULE, Some(request), now, lines, description);
+            report.add_violation(RULE, Some(request), now, lines, description);
         }
     }
 }
--- a/crates/scenarios/src/clients.rs
+++ b/crates/scenarios/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a run: open arrivals by customer, retries, and what clients and proxies do wrong.
+//! The clients of a run: open-loop arrivals for each customer, retries, and faults of clients and proxies.
 
 use crate::scenario::{ClientSpec, ProxyFaults, Scenario};
 use fastrand::Rng;
@@ -10,22 +10,22 @@
 use tokio::time::Instant;
 use weirusher_fakes::{BehaviourProfile, ClientOutcome, ClientRequest, LoadGenerator, RequestOutcome};
 
-/// Clients at once; further requests are not sent, and counted.
+/// Maximum concurrent clients; requests beyond it are not sent, only counted.
 const MAX_CLIENTS: usize = 4096;
-/// A client that closes early does so within this many seconds.
+/// A client that closes early does so within this many seconds of sending its request.
 const EARLY_CLOSE_SECONDS: f64 = 0.004;
-/// A client that closes during an attempt does so within this many seconds of it.
+/// A client that closes during an attempt does so within this many seconds of the start of the attempt.
 const CLOSE_DURING_ATTEMPT_SECONDS: f64 = 0.03;
-/// Mean pause before a retry without advice, in seconds; it is drawn from a half to one and a half of this.
+/// Mean pause in seconds before a retry, on top of any `Retry-After`; drawn uniformly from 50 % to 150 % of this.
 const RETRY_PAUSE_SECONDS: f64 = 0.3;
-/// Seconds after which a customer without demand looks again: its plan may have a surge.
+/// Seconds after which a customer without demand checks its rate again, since a fault may have raised it.
 const IDLE_SECONDS: f64 = 0.5;
 
-/// The clients of a run.
+/// All clients of a run.
 pub(crate) struct ClientPopulation {
     scenario: Scenario,
     load_generator: Arc<LoadGenerator>,
-    /// By plan, how many times as much its customers demand.
+    /// Factor on the demand of each plan's customers, by plan.
     demand_factors: watch::Receiver<Vec<f64>>,
     slots: Arc<Semaphore>,
     not_sent: AtomicU64,
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Plays all customers until `end`, and waits until each request has ended.
+    /// Generates the load of all customers until `end`, and waits until each request has ended.
     pub async fn run(self: &Arc<Self>, end: Instant) {
         let mut customers = JoinSet::new();
         let mut rng = Rng::with_seed(self.scenario.seed);
@@ -60,17 +60,17 @@
         while customers.join_next().await.is_some() {}
     }
 
-    /// Requests that have ended so far.
+    /// Number of requests that have ended so far.
     pub fn ended(&self) -> usize {
         self.outcomes.lock().expect("no holder panics").len()
     }
 
-    /// How each request ended.
+    /// Removes and returns the outcomes of all ended requests.
     pub fn take_outcomes(&self) -> Vec<RequestOutcome> {
         std::mem::take(&mut self.outcomes.lock().expect("no holder panics"))
     }
 
-    /// Requests that were not sent because there were too many clients.
+    /// Number of requests that were not sent because too many clients were active.
     pub fn not_sent(&self) -> u64 {
         self.not_sent.load(Relaxed)
     }
@@ -103,7 +103,7 @@
         while clients.join_next().await.is_some() {}
     }
 
-    /// One client: its request, and its retries.
+    /// Sends one client's request and its retries.
     async fn run_client(&self, customer: String, mut rng: Rng) {
         let Scenario { clients, proxy_faults, fleet, .. } = &self.scenario;
         let class = self.draw_class(&mut rng);
@@ -120,7 +120,7 @@
             };
             let outcome = self.load_generator.send_request(&request).await;
             self.outcomes.lock().expect("no holder panics").push(outcome);
-            // A failed request may have run: only an idempotent one is retried.
+            // A failed request may have been executed, so only an idempotent one is retried.
             let may_retry = match outcome.outcome {
                 ClientOutcome::Rejected => true,
                 ClientOutcome::Failed | ClientOutcome::ConnectionLost => spec.effect == "safe",
@@ -136,7 +136,7 @@
         }
     }
 
-    /// A class, by the weights.
+    /// Draws a class at random, by weight.
     fn draw_class(&self, rng: &mut Rng) -> usize {
         let total: f64 = self.scenario.classes.iter().map(|class| class.weight).sum();
         let mut drawn = rng.f64() * total;
@@ -148,7 +148,7 @@
     }
 }
 
-/// Seconds until the next arrival: exponentially distributed, within a bound so that a surge soon has its effect.
+/// Seconds until the next arrival, exponentially distributed and capped so that a demand surge takes effect soon.
 fn arrival_gap_seconds(rate: f64, rng: &mut Rng) -> f64 {
     if rate <= 0.0 {
         return IDLE_SECONDS;
--- a/crates/scenarios/src/faults.rs
+++ b/crates/scenarios/src/faults.rs
@@ -1,4 +1,4 @@
-//! Injects a scenario's faults into the fleet, each at its time.
+//! Injects a scenario's faults into the fleet at their scheduled times.
 
 use crate::fleet::{Fleet, FleetError};
 use crate::scenario::{CounterFaultKind, Fault, FaultKind, LinkEnds};
@@ -18,10 +18,11 @@
     begins: bool,
 }
 
-/// Injects all faults, counted from `start`; whether every gateway that was stopped ended well.
+/// Injects all faults, scheduled relative to `start`. Returns whether every gateway that was stopped exited in time and
+/// without error.
 ///
 /// # Errors
-/// A gateway or a backend does not start again.
+/// A gateway or a backend cannot be restarted.
 pub(crate) async fn inject(
     fleet: &mut Fleet,
     demand_factors: &watch::Sender<Vec<f64>>,
@@ -35,25 +36,25 @@
         steps.push(Step { at_seconds: end_seconds, fault: index, begins: false });
     }
     steps.sort_by(|a, b| a.at_seconds.total_cmp(&b.at_seconds));
-    let mut ended_well = true;
+    let mut exited_gracefully = true;
     for step in steps {
         tokio::time::sleep_until(start + Duration::from_secs_f64(step.at_seconds)).await;
         let fault = &faults[step.fault];
-        let what = if step.begins { "begins:" } else { "over:" };
-        let description = format!("{what} {:?}", fault.kind);
+        let prefix = if step.begins { "begins:" } else { "over:" };
+        let description = format!("{prefix} {:?}", fault.kind);
         fleet.recorder.record(CaptureEvent::Fault { description });
         if fault.kind.needs_membership() {
             inject_between_peers(fleet, fault, step.begins).await?;
         } else if step.begins {
-            ended_well &= begin(fleet, &fault.kind, demand_factors).await;
+            exited_gracefully &= begin(fleet, &fault.kind, demand_factors).await;
         } else {
             end(fleet, &fault.kind, demand_factors).await?;
         }
     }
-    Ok(ended_well)
+    Ok(exited_gracefully)
 }
 
-/// Begins a fault; whether the gateways that it stops ended well.
+/// Begins a fault. Returns whether the gateways that it stops exited in time and without error.
 async fn begin(fleet: &mut Fleet, kind: &FaultKind, demand_factors: &watch::Sender<Vec<f64>>) -> bool {
     match kind {
         FaultKind::KillGateways { which, .. } => fleet.kill_gateways(which).await,
@@ -77,13 +78,13 @@
             which.iter().for_each(|backend| fleet.kill_backend(*backend));
             fleet.publish_endpoints();
         }
-        FaultKind::SlowBackends { which, factor } => slow_down(fleet, which, *factor),
+        FaultKind::SlowBackends { which, factor } => set_slowdown(fleet, which, *factor),
         FaultKind::ListFrozen => fleet.discovery.freeze(true),
         FaultKind::Link { ends, which, .. } => {
             for number in which {
                 record_reachable(fleet, *ends, *number, false);
                 if let Some(link) = link(fleet, *ends, *number) {
-                    fail_link(link, kind);
+                    apply_link_fault(link, kind);
                 }
             }
         }
@@ -105,7 +106,7 @@
         }
         FaultKind::StopGateways { which } => fleet.start_gateways(which, 0.0).await?,
         FaultKind::PauseGateways { which } => {
-            which.iter().for_each(|gateway| fleet.continue_gateway(*gateway));
+            which.iter().for_each(|gateway| fleet.resume_gateway(*gateway));
         }
         FaultKind::Counter { .. } => fleet.counter.set_fault(CounterFault::None),
         FaultKind::CounterCleared => {}
@@ -126,7 +127,7 @@
             }
             fleet.publish_endpoints();
         }
-        FaultKind::SlowBackends { which, .. } => slow_down(fleet, which, 1.0),
+        FaultKind::SlowBackends { which, .. } => set_slowdown(fleet, which, 1.0),
         FaultKind::ListFrozen => fleet.discovery.freeze(false),
         FaultKind::Link { ends, which, .. } => {
             for number in which {
@@ -142,7 +143,7 @@
     Ok(())
 }
 
-/// Begins or ends a fault of the membership or the network between gateways.
+/// Begins or ends a fault of the membership or of the network between gateways.
 async fn inject_between_peers(fleet: &mut Fleet, fault: &Fault, begins: bool) -> Result<(), FleetError> {
     if let FaultKind::DuplicateGateway { which } = &fault.kind {
         for gateway in which {
@@ -182,18 +183,18 @@
         FaultKind::PeerFlood { from, to, per_second, flood } if begins => {
             peers.network.flood(*from, *to, *per_second, fault.duration_seconds, *flood);
         }
-        // A flood ends by itself.
+        // A flood ends by itself, after the duration given at its start.
         _ => {}
     }
     Ok(())
 }
 
-/// The conditions that a fault of the kind `PeerConditions` describes.
+/// Network conditions of a `PeerConditions` fault.
 fn conditions(kind: &FaultKind) -> NetworkConditions {
     let FaultKind::PeerConditions {
         loss_probability,
         duplicate_probability,
-        delay_ms: [least, most],
+        delay_ms: [min_delay, max_delay],
         replay_probability,
         replay_after_seconds,
     } = kind
@@ -203,13 +204,13 @@
     NetworkConditions {
         loss_probability: *loss_probability,
         duplicate_probability: *duplicate_probability,
-        delay_seconds: least / MS_PER_SECOND..=most / MS_PER_SECOND,
+        delay_seconds: min_delay / MS_PER_SECOND..=max_delay / MS_PER_SECOND,
         replay_probability: *replay_probability,
         replay_after_seconds: *replay_after_seconds,
     }
 }
 
-/// Blocks or unblocks directions, given as from and to.
+/// Blocks or unblocks directions between gateways, given as (from, to).
 fn set_blocked(
     network: &PeerNetwork,
     recorder: &Recorder,
@@ -232,7 +233,7 @@
     }
 }
 
-fn slow_down(fleet: &Fleet, which: &[usize], factor: f64) {
+fn set_slowdown(fleet: &Fleet, which: &[usize], factor: f64) {
     let processes = which.iter().filter_map(|backend| fleet.backends[*backend].process.as_ref());
     processes.for_each(|process| process.slow_down(factor));
 }
@@ -253,7 +254,7 @@
     }
 }
 
-fn fail_link(link: &Link, kind: &FaultKind) {
+fn apply_link_fault(link: &Link, kind: &FaultKind) {
     let FaultKind::Link {
         delay_ms,
         stall_to_target,
--- a/crates/scenarios/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a run: gateways as processes of their own, fakes in this process, and links between them.
+//! The fleet of a run: each gateway is a separate process, the fakes run in this process, and links connect them.
 
 mod audit_parameters;
 mod backend;
@@ -17,11 +17,11 @@
 use std::time::Duration;
 use weirusher_fakes::{CaptureEvent, Counter, Discovery, Link, LoadGenerator, Recorder, ScriptedServer};
 
-/// The ticket key of all runs. It is public: nothing outside a run accepts it.
+/// The ticket key of all runs. It is no secret: nothing outside a run accepts it.
 const TICKET_SECRET: &str = "scenario-runs-only-0123456789abc";
-/// Any free port of loopback.
+/// Any free loopback port.
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Customers of each plan that are listed with the addresses.
+/// Maximum customers of each plan that `Addresses` lists.
 const LISTED_CUSTOMERS: usize = 3;
 
 /// Why a fleet cannot be started or changed.
@@ -31,28 +31,28 @@
     /// A socket, a file or a process failed.
     #[error("{what}: {error}")]
     Io {
-        /// What it was for.
+        /// What the operation was for.
         what: &'static str,
-        /// What the system returned.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// A gateway ended, or did not print its addresses in time.
-    #[error("gateway {gateway} did not print its addresses")]
+    /// A gateway exited before it printed its addresses, or did not print them in time.
+    #[error("gateway {gateway} did not print its addresses in time, or exited")]
     NotListening {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
     },
-    /// The load generator cannot address the gateways.
-    #[error("the load generator: {0}")]
+    /// The load generator cannot be created for the gateways' addresses.
+    #[error("cannot create the load generator: {0}")]
     LoadGenerator(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// Names what a failed operation was for.
-fn io(what: &'static str) -> impl Fn(std::io::Error) -> FleetError {
+/// Converts an I/O error, with what the operation was for.
+fn io_error(what: &'static str) -> impl Fn(std::io::Error) -> FleetError {
     move |error| FleetError::Io { what, error }
 }
 
-/// Where the parts of a fleet listen. Its JSON is for programs that use a fleet without load.
+/// Addresses of a fleet's processes and fakes. Printed as JSON for programs that use a fleet without load.
 #[derive(Debug, Clone, Serialize)]
 pub struct Addresses {
     /// External authorisation, by gateway.
@@ -68,7 +68,7 @@
     pub admin: Vec<SocketAddr>,
     /// Discovery.
     pub discovery: Vec<SocketAddr>,
-    /// The first customers of each plan, by the plan's name.
+    /// The first few customers of each plan, by plan name.
     pub customers: BTreeMap<String, Vec<String>>,
 }
 
@@ -81,32 +81,34 @@
     pub discovery: Discovery,
     pub gateways: Vec<GatewayProcess>,
     pub backends: Vec<BackendSlot>,
-    /// The membership of the gateways, where they have one.
+    /// Membership between the gateways, if the scenario enables it.
     pub peers: Option<PeerHarness>,
-    /// The platform's list service, for gateways that run `node`.
+    /// The platform's endpoint list service, for gateways that run `node`.
     platform_discovery: ScriptedServer,
     program: PathBuf,
     /// Seed of the backend that was started last.
-    seed: u64,
+    backend_seed: u64,
 }
 
 impl Fleet {
-    /// Starts everything; configurations and endpoint lists are written to `work_dir`.
+    /// Starts the fakes, the backends and the gateways. `work_dir` is for configurations and cached endpoint lists.
     ///
     /// # Errors
-    /// A socket, a file or a process fails, or a gateway does not listen.
+    /// A socket, a file or a process fails, or a gateway does not start listening.
     pub async fn start(
         scenario: Scenario,
         program: &Path,
         work_dir: &Path,
         recorder: Recorder,
     ) -> Result<Self, FleetError> {
-        let parameters = audit_parameters::of(&scenario);
+        let parameters = audit_parameters::from_scenario(&scenario);
         recorder.record(CaptureEvent::RunStarted { name: scenario.name.clone(), parameters });
-        let counter = Counter::start(ANY_PORT, recorder.clone()).await.map_err(io("the counter"))?;
+        let counter =
+            Counter::start(ANY_PORT, recorder.clone()).await.map_err(io_error("cannot start the counter"))?;
         let list_delay = Duration::from_millis(scenario.fleet.list_lag_ms);
-        let discovery =
-            Discovery::start(ANY_PORT, list_delay, recorder.clone()).await.map_err(io("discovery"))?;
+        let discovery = Discovery::start(ANY_PORT, list_delay, recorder.clone())
+            .await
+            .map_err(io_error("cannot start discovery"))?;
         let mut backends = Vec::new();
         for _ in 0..scenario.fleet.backends {
             backends.push(BackendSlot::new(new_link(None).await?));
@@ -118,12 +120,13 @@
             gateways.push(GatewayProcess::new(&scenario, number, work_dir, front, to_counter, to_discovery));
         }
         let peers = start_peers(&scenario, &recorder).await?;
-        let platform_discovery =
-            gateway_config::platform_discovery().await.map_err(io("the platform's list service"))?;
+        let platform_discovery = gateway_config::platform_discovery()
+            .await
+            .map_err(io_error("cannot start the platform's endpoint list service"))?;
         let fronts: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.front.address).collect();
         let load_generator =
             LoadGenerator::new(&fronts, recorder.clone()).map_err(|e| FleetError::LoadGenerator(e.into()))?;
-        let (program, seed) = (program.to_path_buf(), scenario.seed);
+        let (program, backend_seed) = (program.to_path_buf(), scenario.seed);
         let mut fleet = Self {
             scenario,
             recorder,
@@ -135,7 +138,7 @@
             peers,
             platform_discovery,
             program,
-            seed,
+            backend_seed,
         };
         fleet.start_processes().await?;
         Ok(fleet)
@@ -172,22 +175,22 @@
         }
     }
 
-    /// Shuts all gateways down, and writes out the capture; whether all ended well.
+    /// Shuts all gateways down and flushes the capture. Returns whether all exited in time and without error.
     pub async fn stop(mut self) -> bool {
         let all: Vec<usize> = (0..self.gateways.len()).collect();
-        let ended_well = self.stop_gateways(&all).await;
+        let exited_gracefully = self.stop_gateways(&all).await;
         self.recorder.flush();
-        ended_well
+        exited_gracefully
     }
 }
 
-/// The membership of the gateways, where the scenario has one.
+/// Starts the network between the gateways, if the scenario enables membership.
 async fn start_peers(scenario: &Scenario, recorder: &Recorder) -> Result<Option<PeerHarness>, FleetError> {
     let Some(spec) = scenario.peers.clone() else { return Ok(None) };
     let started = PeerHarness::start(scenario, spec, recorder).await;
-    started.map(Some).map_err(io("the network between gateways"))
+    started.map(Some).map_err(io_error("cannot start the network between gateways"))
 }
 
 async fn new_link(target: Option<SocketAddr>) -> Result<Link, FleetError> {
-    Link::start(target).await.map_err(io("a link"))
+    Link::start(target).await.map_err(io_error("cannot start a link"))
 }
--- a/crates/scenarios/src/fleet/audit_parameters.rs
+++ b/crates/scenarios/src/fleet/audit_parameters.rs
@@ -1,4 +1,4 @@
-//! The limits that a scenario's capture is audited against.
+//! Derives the limits that the capture is audited against from the scenario.
 
 use crate::scenario::Scenario;
 use weirusher_fakes::{ARRIVAL_ALLOWANCE, AuditParameters, PlanLimits, RateLimit, SlowStartLimits};
@@ -8,7 +8,7 @@
 /// Units of the largest request that clients send.
 const LARGEST_REQUEST_UNITS: f64 = 1.0;
 
-pub(super) fn of(scenario: &Scenario) -> AuditParameters {
+pub(super) fn from_scenario(scenario: &Scenario) -> AuditParameters {
     let plans = scenario.plans.iter().map(|plan| PlanLimits {
         quota: RateLimit { units_per_second: plan.rate, burst_units: plan.burst },
         ceiling: RateLimit { units_per_second: plan.ceiling_rate, burst_units: plan.ceiling_burst },
--- a/crates/scenarios/src/fleet/backend.rs
+++ b/crates/scenarios/src/fleet/backend.rs
@@ -1,6 +1,6 @@
-//! The fleet's backends: starting, killing, draining, and their endpoint list.
+//! The fleet's backends: starting, killing and draining them, and publishing the endpoint list.
 
-use super::{ANY_PORT, Fleet, FleetError, TICKET_SECRET, io};
+use super::{ANY_PORT, Fleet, FleetError, TICKET_SECRET, io_error};
 use std::time::{SystemTime, UNIX_EPOCH};
 use weirusher::{Endpoint, Lifecycle};
 use weirusher_core::{Key, Keyring};
@@ -9,12 +9,12 @@
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// A backend's address, and the process that serves it at the moment.
+/// A fixed backend address, and the backend that currently serves it.
 pub(crate) struct BackendSlot {
     pub process: Option<FakeBackend>,
-    /// Where the load generator connects; the address that tickets and endpoint lists name.
+    /// Link that the load generator connects to; tickets and endpoint lists name its address.
     pub front: Link,
-    /// Unix time at which it started, in seconds; 0: long ago.
+    /// Unix time in seconds at which the backend started; 0 if it is already warmed up.
     started_seconds: f64,
     lifecycle: Lifecycle,
 }
@@ -26,10 +26,10 @@
 }
 
 impl Fleet {
-    /// Starts a backend, in slow start or warmed up.
+    /// Starts a backend, either in slow start or already warmed up.
     ///
     /// # Errors
-    /// It cannot listen.
+    /// The backend cannot listen.
     pub async fn start_backend(&mut self, number: usize, in_slow_start: bool) -> Result<(), FleetError> {
         let (fleet, slow_start) = (&self.scenario.fleet, &self.scenario.slow_start);
         let slot = &mut self.backends[number];
@@ -50,10 +50,10 @@
             ticket_header: "x-weirusher-ticket".into(),
             units_header: "x-units".into(),
         };
-        self.seed += 1;
-        let process = FakeBackend::start(ANY_PORT, spec, self.recorder.clone(), self.seed)
+        self.backend_seed += 1;
+        let process = FakeBackend::start(ANY_PORT, spec, self.recorder.clone(), self.backend_seed)
             .await
-            .map_err(io("a backend"))?;
+            .map_err(io_error("cannot start a backend"))?;
         slot.front.retarget(Some(process.address));
         slot.started_seconds = if in_slow_start { unix_seconds() } else { 0.0 };
         slot.lifecycle = Lifecycle::Running;
@@ -71,12 +71,12 @@
         self.recorder.record(CaptureEvent::BackendChanged { backend, state: BackendState::Killed });
     }
 
-    /// Marks a backend as draining in the endpoint list that is published next.
+    /// Marks a backend as draining. Takes effect when the endpoint list is next published.
     pub fn drain_backend(&mut self, number: usize) {
         self.backends[number].lifecycle = Lifecycle::Draining;
     }
 
-    /// Hands the present endpoint list to discovery.
+    /// Publishes the current endpoint list through discovery.
     pub fn publish_endpoints(&self) {
         let endpoint = |slot: &BackendSlot| Endpoint {
             id: slot.front.address.to_string().into(),
--- a/crates/scenarios/src/fleet/gateway.rs
+++ b/crates/scenarios/src/fleet/gateway.rs
@@ -1,6 +1,6 @@
-//! The fleet's gateways: starting, killing, suspending and shutting down their processes.
+//! The fleet's gateway processes: starting, killing, suspending and shutting them down.
 
-use super::{ANY_PORT, Fleet, FleetError, gateway_config, io};
+use super::{ANY_PORT, Fleet, FleetError, gateway_config, io_error};
 use crate::peers::MemberAddresses;
 use crate::scenario::{GatewayProgram, Scenario};
 use nix::sys::signal::Signal;
@@ -14,44 +14,44 @@
 use tokio::task::JoinSet;
 use weirusher_fakes::{CaptureEvent, Link};
 
-/// Limit for a gateway to print its addresses, and to end after SIGTERM.
-const PROCESS_LIMIT: Duration = Duration::from_secs(20);
+/// Time limit for a gateway to print its addresses after its start, and to exit after SIGTERM.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a gateway prints when it listens.
+/// Addresses that a gateway prints as JSON once it is listening.
 #[derive(Debug, Deserialize)]
-struct Listening {
-    /// Absent where it runs `node`.
+struct ListenAddresses {
+    /// Absent for gateways that run `node`.
     ext_authz: Option<SocketAddr>,
     admin: SocketAddr,
-    /// Where it receives the datagrams of its fleet.
+    /// Address for datagrams of the membership protocol; absent without a membership.
     fleet: Option<SocketAddr>,
 }
 
-impl Listening {
+impl ListenAddresses {
     fn member(&self) -> Option<MemberAddresses> {
         self.fleet.map(|datagrams| MemberAddresses { datagrams, admin: self.admin })
     }
 }
 
-/// A gateway's process, its links and its files.
+/// A gateway's process, links and files.
 pub(crate) struct GatewayProcess {
     child: Option<Child>,
-    /// A second process under its number.
+    /// A second process with the same gateway number.
     duplicate: Option<Child>,
     pub admin: SocketAddr,
     /// Link from the load generator.
     pub front: Link,
     pub to_counter: Link,
     pub to_discovery: Link,
-    /// Its configuration without the membership.
+    /// Configuration without the `[fleet]` section.
     config: String,
     config_file: PathBuf,
-    /// The file of the membership, for `node`.
+    /// File for the `[fleet]` section, which `node` reads separately.
     fleet_file: PathBuf,
 }
 
 impl GatewayProcess {
-    /// A gateway that is not started yet.
+    /// A gateway whose process has not been started yet.
     pub fn new(
         scenario: &Scenario,
         number: usize,
@@ -78,10 +78,10 @@
 }
 
 impl Fleet {
-    /// Starts gateways, all at once, with a wall clock that is off by `clock_shift_seconds`.
+    /// Starts gateways concurrently, with their wall clocks shifted by `clock_shift_seconds`.
     ///
     /// # Errors
-    /// A file cannot be written, a process cannot be started, or does not listen in time.
+    /// A file cannot be written, a process cannot be started, or a gateway does not listen in time.
     pub async fn start_gateways(
         &mut self,
         which: &[usize],
@@ -93,26 +93,27 @@
             starting.spawn(async move { Ok((number, wait_until_listening(child, number).await?)) });
         }
         while let Some(started) = starting.join_next().await {
-            let (number, (child, listening)) = started.expect("it does not panic")?;
+            let (number, (child, addresses)) = started.expect("the task does not panic")?;
             let gateway = &mut self.gateways[number];
-            gateway.front.retarget(listening.ext_authz);
-            gateway.admin = listening.admin;
+            gateway.front.retarget(addresses.ext_authz);
+            gateway.admin = addresses.admin;
             gateway.child = Some(child);
             if let Some(peers) = &mut self.peers {
-                peers.set_member(number, listening.member());
+                peers.set_member(number, addresses.member());
             }
             self.recorder.record(CaptureEvent::GatewayRunning { gateway: number, running: true });
         }
         Ok(())
     }
 
-    /// Writes a gateway's files and starts its process.
+    /// Writes a gateway's configuration files and starts its process.
     fn spawn_gateway(&self, number: usize, clock_shift_seconds: f64) -> Result<Child, FleetError> {
         let gateway = &self.gateways[number];
         let membership =
             |with_number| self.peers.as_ref().map(|p| p.config(number, with_number, clock_shift_seconds));
-        let write =
-            |file: &Path, text: &str| std::fs::write(file, text).map_err(io("a gateway's configuration"));
+        let write = |file: &Path, text: &str| {
+            std::fs::write(file, text).map_err(io_error("cannot write a gateway's configuration"))
+        };
         let mut command = Command::new(&self.program);
         match self.scenario.fleet.program {
             GatewayProgram::Run => {
@@ -132,21 +133,21 @@
             }
         }
         command.stdout(Stdio::piped()).stdin(Stdio::null()).kill_on_drop(true);
-        command.spawn().map_err(io("a gateway's process"))
+        command.spawn().map_err(io_error("cannot start a gateway's process"))
     }
 
-    /// SIGKILL to all of these, and waits until they have ended.
+    /// Kills gateways with SIGKILL, and waits until their processes have ended.
     pub async fn kill_gateways(&mut self, which: &[usize]) {
         for number in which {
-            // Recorded first: what is sent from here on may meet a dead process.
+            // Recorded before the kill: anything sent from here on may reach a dead process.
             self.recorder.record(CaptureEvent::GatewayRunning { gateway: *number, running: false });
             if let Some(child) = &mut self.gateways[*number].child {
-                let _ = child.start_kill(); // It may have ended by itself, which the audit finds.
+                let _ = child.start_kill(); // Fails if the process already exited, which the audit detects.
             }
         }
         for number in which {
             if let Some(mut child) = self.gateways[*number].child.take() {
-                let _ = child.wait().await; // As above.
+                let _ = child.wait().await; // Only waits for the end; the exit status does not matter.
             }
             self.disconnect_gateway(*number);
         }
@@ -159,77 +160,81 @@
         }
     }
 
-    /// SIGSTOP. It counts as suspended from before the signal: nothing is expected of it from then on.
+    /// Suspends a gateway with SIGSTOP. Recorded before the signal, because nothing is expected of it from then on.
     pub fn pause_gateway(&self, number: usize) {
         let Some(child) = &self.gateways[number].child else { return };
         self.recorder.record(CaptureEvent::GatewayPaused { gateway: number, paused: true });
         send_signal(child, Signal::SIGSTOP);
     }
 
-    /// SIGCONT. It counts as suspended until after the signal.
-    pub fn continue_gateway(&self, number: usize) {
+    /// Resumes a gateway with SIGCONT. Recorded after the signal: it counts as suspended until then.
+    pub fn resume_gateway(&self, number: usize) {
         let Some(child) = &self.gateways[number].child else { return };
         send_signal(child, Signal::SIGCONT);
         self.recorder.record(CaptureEvent::GatewayPaused { gateway: number, paused: false });
     }
 
-    /// Starts a second process under a gateway's number.
+    /// Starts a second process with a gateway's number.
     ///
     /// # Errors
-    /// As those of [`Fleet::start_gateways`].
+    /// The same as for [`Fleet::start_gateways`].
     pub async fn start_duplicate(&mut self, number: usize) -> Result<(), FleetError> {
-        let (child, listening) = wait_until_listening(self.spawn_gateway(number, 0.0)?, number).await?;
+        let (child, addresses) = wait_until_listening(self.spawn_gateway(number, 0.0)?, number).await?;
         self.gateways[number].duplicate = Some(child);
         self.recorder.record(CaptureEvent::DuplicateStarted { gateway: number });
         if let Some(peers) = &mut self.peers {
-            peers.set_duplicate(number, listening.member());
+            peers.set_duplicate(number, addresses.member());
         }
         Ok(())
     }
 
-    /// SIGKILL to the second process under a gateway's number.
+    /// Kills the second process with a gateway's number, with SIGKILL.
     pub async fn kill_duplicate(&mut self, number: usize) {
         if let Some(mut child) = self.gateways[number].duplicate.take() {
-            let _ = child.kill().await; // It may have ended by itself.
+            let _ = child.kill().await; // Fails if the process already exited.
         }
         if let Some(peers) = &mut self.peers {
             peers.set_duplicate(number, None);
         }
     }
 
-    /// SIGTERM to all of these; each is disconnected when it has ended. Whether all ended in time and without error.
+    /// Shuts gateways down with SIGTERM, and disconnects each once it has exited. Returns whether all of them exited in
+    /// time and without error.
     pub async fn stop_gateways(&mut self, which: &[usize]) -> bool {
-        let mut ended_well = true;
+        let mut exited_gracefully = true;
         for number in which.iter().copied() {
             if let Some(child) = &self.gateways[number].child {
                 self.recorder.record(CaptureEvent::GatewayStopping { gateway: number });
-                ended_well &= send_signal(child, Signal::SIGTERM);
+                exited_gracefully &= send_signal(child, Signal::SIGTERM);
             }
         }
         for number in which.iter().copied() {
             let Some(mut child) = self.gateways[number].child.take() else { continue };
-            let ended = tokio::time::timeout(PROCESS_LIMIT, child.wait()).await;
+            let exit = tokio::time::timeout(PROCESS_TIMEOUT, child.wait()).await;
             self.recorder.record(CaptureEvent::GatewayRunning { gateway: number, running: false });
             self.disconnect_gateway(number);
-            ended_well &= matches!(ended, Ok(Ok(status)) if status.success());
+            exited_gracefully &= matches!(exit, Ok(Ok(status)) if status.success());
         }
-        ended_well
+        exited_gracefully
     }
 }
 
-/// Whether the signal could be sent.
+/// Sends a signal to a process. Returns whether it could be sent.
 fn send_signal(child: &Child, signal: Signal) -> bool {
     let id = child.id().and_then(|id| i32::try_from(id).ok());
     id.is_some_and(|id| nix::sys::signal::kill(nix::unistd::Pid::from_raw(id), signal).is_ok())
 }
 
-/// Waits until a gateway prints its addresses.
-async fn wait_until_listening(mut child: Child, gateway: usize) -> Result<(Child, Listening), FleetError> {
+/// Waits until a gateway has printed its addresses.
+async fn wait_until_listening(
+    mut child: Child,
+    gateway: usize,
+) -> Result<(Child, ListenAddresses), FleetError> {
     let not_listening = || FleetError::NotListening { gateway };
     let stdout = child.stdout.take().ok_or_else(not_listening)?;
     let mut lines = BufReader::new(stdout).lines();
-    let line = tokio::time::timeout(PROCESS_LIMIT, lines.next_line()).await;
+    let line = tokio::time::timeout(PROCESS_TIMEOUT, lines.next_line()).await;
     let Ok(Ok(Some(line))) = line else { return Err(not_listening()) };
-    let listening = serde_json::from_str(&line).map_err(|_| not_listening())?;
-    Ok((child, listening))
+    let addresses = serde_json::from_str(&line).map_err(|_| not_listening())?;
+    Ok((child, addresses))
 }
--- a/crates/scenarios/src/fleet/gateway_config.rs
+++ b/crates/scenarios/src/fleet/gateway_config.rs
@@ -1,4 +1,4 @@
-//! Configurations of gateways, as an operator would write them.
+//! Generates the gateways' configurations, in the form in which an operator writes them.
 
 use super::TICKET_SECRET;
 use crate::scenario::{ClassSpec, PlanSpec, Scenario};
@@ -7,7 +7,7 @@
 use std::path::Path;
 use weirusher_fakes::{Reply, ScriptedServer, frame};
 
-/// The configuration of a gateway that runs `run`, as TOML.
+/// Configuration of a gateway that runs the `run` subcommand, as TOML.
 pub(super) fn toml(
     scenario: &Scenario,
     number: usize,
@@ -63,7 +63,7 @@
     );
 }
 
-/// The configuration of a gateway that runs `node`, as the platform's JSON, without backends or customers.
+/// Configuration of a gateway that runs the `node` subcommand, in the platform's JSON, without backends or customers.
 pub(super) fn node_json(number: usize, fleet_size: usize, discovery: SocketAddr) -> String {
     let text = serde_json::json!({
         "name": format!("n{number}"), "listen": "127.0.0.1:0", "discovery": discovery, "counter": null, "seed": number,
@@ -81,12 +81,13 @@
     text.to_string()
 }
 
-/// The platform's list service as far as a gateway without backends needs it: an empty list that never changes.
+/// Fake of the platform's endpoint list service: it serves an empty list that never changes, which is all that a
+/// gateway without backends needs.
 pub(super) async fn platform_discovery() -> std::io::Result<ScriptedServer> {
     let list = serde_json::json!({ "index": 1, "snapshot": true, "endpoints": [] }).to_string();
     let script = move |request: &weirusher_wire::http1::Request| {
-        let watches = request.path.contains("since=");
-        if watches { Reply::NoReply } else { Reply::Bytes(frame(200, "", &list)) }
+        let waits_for_change = request.path.contains("since=");
+        if waits_for_change { Reply::NoReply } else { Reply::Bytes(frame(200, "", &list)) }
     };
     ScriptedServer::start(super::ANY_PORT, script).await
 }
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,5 +1,6 @@
-//! Fault-injection runs by scenario: a fleet of gateway processes with fakes around it, load, faults, a capture of what
-//! passed on the sockets, and the auditor that checks the rules against the capture alone.
+//! Fault-injection scenarios. A run starts a fleet of gateway processes with a fake load generator, counter, discovery
+//! and backends, generates load, injects faults and records the traffic on the sockets in a capture. The auditor then
+//! checks the rules against the capture alone.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/scenarios/src/peers.rs
+++ b/crates/scenarios/src/peers.rs
@@ -1,5 +1,5 @@
-//! The membership of the gateways: their `[fleet]` configuration, the network between them, and the polling of what each
-//! reports of the others.
+//! Membership between the gateways: their `[fleet]` configuration, the network between them, and polling of each
+//! gateway's membership report.
 
 use crate::scenario::{PeerSpec, Scenario};
 use std::net::SocketAddr;
@@ -10,32 +10,32 @@
 use weirusher_fakes::{CaptureEvent, MembershipReport, PeerNetwork, Recorder};
 use weirusher_fleet::ViewSummary;
 
-/// The key of the fleet. It is public: nothing outside a run accepts it.
+/// The fleet key of all runs. It is no secret: nothing outside a run accepts it.
 const FLEET_KEY: &str = "scenario-runs-only-0123456789abc";
-/// The key of gateways that have another one.
+/// The fleet key of gateways configured with a different one.
 const OTHER_KEY: &str = "another-fleets-key-0123456789abc";
-/// The address of the member that only a longer member list has; nobody listens there.
+/// Address of the extra entry in a member list that is one longer than the others'; nothing listens there.
 const EXTRA_MEMBER: &str = "127.0.0.1:9";
-/// Limit for a gateway's membership report.
+/// Time limit for fetching a gateway's membership report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Least milliseconds between two requests for a gateway's membership report.
+/// Minimum milliseconds between requests for a gateway's membership report.
 const MIN_POLL_INTERVAL_MS: u64 = 10;
 
-/// Where a member receives datagrams, and its admin page.
+/// Addresses at which a member receives datagrams and serves its admin pages.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MemberAddresses {
     pub datagrams: SocketAddr,
     pub admin: SocketAddr,
 }
 
-/// The processes under a gateway's number.
+/// The processes that run with a gateway's number.
 #[derive(Debug, Clone, Copy, Default)]
 struct Member {
     process: Option<MemberAddresses>,
     duplicate: Option<MemberAddresses>,
 }
 
-/// The membership of a fleet.
+/// The network between the gateways of a fleet, and the polling of their membership reports.
 pub(crate) struct PeerHarness {
     pub network: PeerNetwork,
     spec: PeerSpec,
@@ -51,7 +51,7 @@
         Ok(Self { network, spec, members, polling: JoinSet::new() })
     }
 
-    /// A gateway's `[fleet]` section, with its number where the rest of its configuration has none.
+    /// A gateway's `[fleet]` section. `with_number` includes its number, for configurations without `[instance]`.
     pub fn config(&self, gateway: usize, with_number: bool, clock_shift_seconds: f64) -> String {
         let mut members: Vec<String> =
             self.network.addresses.iter().map(|address| format!("\"{address}\"")).collect();
@@ -67,17 +67,17 @@
         )
     }
 
-    /// Length of a gateway's member list.
+    /// Number of members in a gateway's configuration.
     pub fn configured_size(&self, gateway: usize) -> usize {
         self.members.len() + usize::from(self.spec.other_size.contains(&gateway))
     }
 
-    /// A gateway's process runs at these addresses, or has ended.
+    /// Sets the addresses of a gateway's process; `None` when it has ended.
     pub fn set_member(&mut self, gateway: usize, addresses: Option<MemberAddresses>) {
         self.change_member(gateway, |member| member.process = addresses);
     }
 
-    /// The second process under a gateway's number runs at these addresses, or has ended.
+    /// Sets the addresses of the second process with a gateway's number; `None` when it has ended.
     pub fn set_duplicate(&mut self, gateway: usize, addresses: Option<MemberAddresses>) {
         self.change_member(gateway, |member| member.duplicate = addresses);
     }
@@ -89,7 +89,7 @@
         self.network.set_addresses(gateway, processes.map(|process| process.datagrams).collect());
     }
 
-    /// All gateways were started: requests each one's membership report from now on.
+    /// Starts polling the membership report of each gateway. Called once all gateways are running.
     pub fn start_polling(&mut self, recorder: &Recorder) {
         let outsiders = self.spec.other_key.iter().chain(&self.spec.other_size).copied().collect();
         recorder.record(CaptureEvent::FleetStarted { size: self.members.len(), outsiders });
@@ -109,7 +109,7 @@
         for (addresses, duplicate) in [(process, false), (duplicate, true)] {
             let Some(addresses) = addresses else { continue };
             let requested_at_seconds = recorder.now();
-            // A process that is dead or suspended reports nothing.
+            // A dead or suspended process returns no report.
             let report = tokio::time::timeout(REPORT_TIMEOUT, fetch_report(addresses.admin)).await;
             if let Ok(Some(report)) = report {
                 let event =
@@ -120,7 +120,7 @@
     }
 }
 
-/// A gateway's membership report from its admin page; `None` where it cannot be read.
+/// Fetches a gateway's membership report from its admin page; `None` if it cannot be read.
 async fn fetch_report(admin: SocketAddr) -> Option<MembershipReport> {
     let response = weirusher_peers::page::get(admin, "/fleet/brief").await.ok()?;
     let summary: ViewSummary = serde_json::from_slice(&response.body).ok()?;
--- a/crates/scenarios/src/run.rs
+++ b/crates/scenarios/src/run.rs
@@ -15,8 +15,8 @@
 use tokio::time::Instant;
 use weirusher_fakes::{ClientOutcome, Recorder, RequestOutcome};
 
-/// Limit for the requests that have not ended at the end of the load.
-const END_LIMIT: Duration = Duration::from_secs(30);
+/// Time for pending requests to end after the load.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time for gateways to receive the endpoint list before the load begins.
 const SETTLE_TIME: Duration = Duration::from_millis(800);
 /// Time between two calls of the progress callback.
@@ -24,22 +24,22 @@
 
 /// How a scenario is run.
 pub struct RunOptions {
-    /// The `weirusher` program, which gateways are started from.
+    /// The `weirusher` executable that the gateway processes run.
     pub program: PathBuf,
-    /// Folder for configurations and endpoint lists.
+    /// Directory for the gateways' configuration files and cached endpoint lists.
     pub work_dir: PathBuf,
-    /// File for the capture.
+    /// File that the capture is written to.
     pub capture: PathBuf,
-    /// Called about once a second.
+    /// Called about once a second while the load runs.
     pub progress: Box<dyn Fn(Progress) + Send>,
 }
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Progress {
     /// Seconds since the load began.
     pub elapsed_seconds: f64,
-    /// Seconds of load in all.
+    /// Total duration of the load, in seconds.
     pub duration_seconds: f64,
     /// Requests that have ended.
     pub requests: usize,
@@ -49,25 +49,25 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum RunError {
-    /// The fleet failed.
+    /// The fleet could not be started or changed.
     #[error(transparent)]
     Fleet(#[from] FleetError),
     /// The capture cannot be audited.
-    #[error("the capture: {0}")]
+    #[error("cannot audit the capture: {0}")]
     Capture(#[from] CaptureError),
-    /// The capture's file cannot be opened or created.
+    /// The capture file cannot be created or opened.
     #[error("{}: {error}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system returned.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// Requests had not ended long after the load.
-    #[error("requests have not ended {END_LIMIT:?} after the load")]
-    Stuck,
-    /// A gateway's graceful shutdown failed.
-    #[error("a gateway did not end in time, or with an error, on SIGTERM")]
+    /// Requests were still pending long after the load.
+    #[error("requests were still pending {COMPLETION_TIMEOUT:?} after the end of the load")]
+    RequestsPending,
+    /// The graceful shutdown of a gateway failed.
+    #[error("a gateway did not exit in time after SIGTERM, or exited with an error")]
     Shutdown,
 }
 
@@ -75,16 +75,17 @@
 pub struct ScenarioRun {
     /// What the audit found.
     pub report: AuditReport,
-    /// How each client's request ended.
+    /// How each request ended, as its client saw it.
     pub outcomes: Vec<RequestOutcome>,
-    /// Requests that were not sent because there were too many clients.
+    /// Requests that were not sent because too many were already pending.
     pub not_sent: u64,
 }
 
 /// Runs a scenario and audits its capture.
 ///
 /// # Errors
-/// The fleet cannot be started or does not shut down well, requests do not end, or there is no capture to audit.
+/// The fleet cannot be started or does not shut down gracefully, requests stay pending, or the capture cannot be
+/// audited.
 pub async fn run(scenario: Scenario, options: RunOptions) -> Result<ScenarioRun, RunError> {
     let recorder = create_capture(&options.capture)?;
     let mut fleet = Fleet::start(scenario.clone(), &options.program, &options.work_dir, recorder).await?;
@@ -95,7 +96,7 @@
     let end = start + Duration::from_secs_f64(scenario.duration_seconds);
     let load = tokio::spawn({
         let clients = clients.clone();
-        async move { tokio::time::timeout_at(end + END_LIMIT, clients.run(end)).await }
+        async move { tokio::time::timeout_at(end + COMPLETION_TIMEOUT, clients.run(end)).await }
     });
     let progress = tokio::spawn({
         let clients = clients.clone();
@@ -110,14 +111,14 @@
             }
         }
     });
-    let faults_ended = faults::inject(&mut fleet, &demand_factors, start).await;
-    let load_ended = load.await;
+    let faults_result = faults::inject(&mut fleet, &demand_factors, start).await;
+    let load_result = load.await;
     progress.abort();
-    let shut_down_well = faults_ended? & fleet.stop().await;
-    if !matches!(load_ended, Ok(Ok(()))) {
-        return Err(RunError::Stuck);
+    let shut_down_gracefully = faults_result? & fleet.stop().await;
+    if !matches!(load_result, Ok(Ok(()))) {
+        return Err(RunError::RequestsPending);
     }
-    if !shut_down_well {
+    if !shut_down_gracefully {
         return Err(RunError::Shutdown);
     }
     let file = File::open(&options.capture).map_err(|error| file_error(&options.capture, error))?;
@@ -125,10 +126,11 @@
     Ok(ScenarioRun { report, outcomes: clients.take_outcomes(), not_sent: clients.not_sent() })
 }
 
-/// Starts a scenario's fleet without load, hands its addresses to `ready`, and stops it when `until` ends.
+/// Starts a scenario's fleet without load or faults, passes its addresses to `ready`, and shuts it down when `until`
+/// completes.
 ///
 /// # Errors
-/// The fleet cannot be started, or does not shut down well.
+/// The fleet cannot be started, or does not shut down gracefully.
 pub async fn run_without_load(
     scenario: Scenario,
     options: &RunOptions,
@@ -152,7 +154,7 @@
 }
 
 impl ScenarioRun {
-    /// The result as a table for people.
+    /// The result as a human-readable table.
     pub fn summary(&self) -> String {
         let report = &self.report;
         let requests = report.requests.max(1) as f64;
@@ -164,11 +166,11 @@
         }
         text += &self.latencies();
         let admissions: Vec<String> =
-            report.admissions.iter().map(|(word, n)| format!("{word} {n}")).collect();
+            report.admissions.iter().map(|(decision, n)| format!("{decision} {n}")).collect();
         let _ = writeln!(text, "  admission  {}", admissions.join(", "));
         let _ = writeln!(
             text,
-            "  counter    {} calls, {:.2} a request; admitted {}, counted {:.1}",
+            "  counter    {} calls, {:.2} per request; {} units admitted, {:.1} counted",
             report.counter_calls,
             report.counter_calls as f64 / requests,
             report.units.admitted,
@@ -176,14 +178,14 @@
         );
         let _ = writeln!(
             text,
-            "  quotas     {:.1} units beyond at most, {:.1} allowed then",
+            "  quotas     at most {:.1} units over a quota, {:.1} allowed",
             report.overrun.units, report.overrun.allowed_units
         );
         if let Some(membership) = &report.membership {
             text += &membership.summary();
         }
         if self.not_sent > 0 {
-            let _ = writeln!(text, "  not sent   {} requests: too many clients", self.not_sent);
+            let _ = writeln!(text, "  not sent   {} requests: too many pending", self.not_sent);
         }
         text + &report.summary()
     }
@@ -191,9 +193,9 @@
     fn latencies(&self) -> String {
         let mut microseconds = Histogram::<u64>::new(3).expect("three digits are allowed");
         for outcome in self.outcomes.iter().filter(|o| o.outcome == ClientOutcome::Served) {
-            let _ = microseconds.record((outcome.latency_seconds * 1e6) as u64); // It grows by itself.
+            let _ = microseconds.record((outcome.latency_seconds * 1e6) as u64); // It resizes itself, so this never fails.
         }
         let ms = |quantile: f64| microseconds.value_at_quantile(quantile) as f64 / 1000.0;
-        format!("  served in  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms\n", ms(0.5), ms(0.99), ms(0.999))
+        format!("  latency    p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms\n", ms(0.5), ms(0.99), ms(0.999))
     }
 }
--- a/crates/scenarios/src/scenario.rs
+++ b/crates/scenarios/src/scenario.rs
@@ -1,5 +1,5 @@
-//! A scenario as its file under `days/` describes it: fleet, plans, load and faults. The keys of the files are those of
-//! the first version; `docs/days.md` lists them with their units.
+//! Scenario files (`days/*.toml`): fleet, plans, load and faults. The keys are those of the first version, so that
+//! existing files stay valid, and are mapped to field names here; `docs/days.md` lists them with their units.
 
 mod check;
 mod fault;
@@ -9,17 +9,17 @@
 
 use serde::Deserialize;
 
-/// A scenario.
+/// A scenario file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[allow(missing_docs)] // docs/days.md lists every key with its unit.
+#[allow(missing_docs)] // docs/days.md documents every key.
 pub struct Scenario {
     pub name: String,
     #[serde(default)]
     pub about: String,
     #[serde(default)]
     pub seed: u64,
-    /// Seconds of load.
+    /// How long load is generated.
     #[serde(rename = "seconds")]
     pub duration_seconds: f64,
     #[serde(default)]
@@ -38,22 +38,22 @@
     pub proxy_faults: ProxyFaults,
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// Gateways have a membership.
+    /// Present if the gateways run the membership protocol.
     pub peers: Option<PeerSpec>,
 }
 
-/// The membership of the gateways.
+/// Membership between the gateways.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
 pub struct PeerSpec {
-    /// Milliseconds between two requests for a gateway's membership report.
+    /// Milliseconds between requests for a gateway's membership report.
     #[serde(rename = "ask_ms")]
     pub poll_interval_ms: u64,
-    /// Gateways with another key.
+    /// Gateways configured with a different fleet key.
     #[serde(rename = "strangers")]
     pub other_key: Vec<usize>,
-    /// Gateways whose member list has one member more.
+    /// Gateways configured with one member more than the others.
     #[serde(rename = "misled")]
     pub other_size: Vec<usize>,
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The subcommand that a gateway's process runs.
+/// Subcommand of `weirusher` that the gateway processes run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[allow(missing_docs)]
@@ -74,7 +74,7 @@
     Node,
 }
 
-/// The fleet.
+/// Size and limits of the fleet, and capacity of its backends.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
@@ -114,16 +114,16 @@
     }
 }
 
-/// Limits that the audit applies.
+/// Limits that the audit applies to the run.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
 pub struct RuleSpec {
     pub drain_grace_ms: f64,
-    /// Share of a ceiling's burst by which the ceiling may be exceeded.
+    /// Fraction of a ceiling's burst by which the ceiling may be exceeded.
     #[serde(rename = "slack")]
     pub ceiling_slack: f64,
-    /// The counter is available during the whole run, so that what is admitted must be counted.
+    /// The counter is available for the whole run, so the audit requires admitted units to be counted.
     #[serde(rename = "counted")]
     pub counter_available: bool,
 }
@@ -134,7 +134,7 @@
     }
 }
 
-/// The slow start of backends.
+/// Slow start of backends, and the load at which they fail during it.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
@@ -169,7 +169,7 @@
     pub customers: usize,
     pub rate: f64,
     pub burst: f64,
-    /// Share of its rate that a customer demands.
+    /// Demand of each customer, as a multiple of its rate.
     #[serde(rename = "asks")]
     pub demand_share: f64,
     #[serde(default)]
@@ -183,7 +183,7 @@
 }
 
 impl PlanSpec {
-    /// Name of one of the plan's customers.
+    /// Name of the plan's customer with this number.
     pub(crate) fn customer(&self, number: usize) -> String {
         format!("{}-{number}", self.name)
     }
@@ -199,30 +199,30 @@
     pub latency_objective_ms: f64,
     #[serde(rename = "patience_ms")]
     pub deadline_ms: f64,
-    /// How a request may be repeated: `safe`, `keyed` or `unsafe`.
+    /// Idempotency of the requests: `safe` (idempotent), `keyed` (idempotent for `window_seconds`, by key) or `unsafe`.
     #[serde(default = "safe")]
     pub effect: String,
     #[serde(default)]
     pub window_seconds: f64,
-    /// Its share of the requests, relative to the other classes.
+    /// Share of the requests, relative to the other classes.
     #[serde(default = "one", rename = "share")]
     pub weight: f64,
 }
 
-/// What clients do.
+/// Behaviour of clients.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
 pub struct ClientSpec {
-    /// Retries after a request that was not served.
+    /// Retries of a request that was not served.
     pub retries: u32,
-    /// Share of retries that honour `Retry-After`.
+    /// Fraction of retries that honour `Retry-After`.
     #[serde(rename = "heed")]
     pub honour_retry_after: f64,
-    /// Share that closes within the first milliseconds, before or just after the decision.
+    /// Fraction of requests closed within the first milliseconds, before or just after the gateway's decision.
     #[serde(rename = "leave_early")]
     pub close_early: f64,
-    /// Share that closes during an attempt.
+    /// Fraction of requests closed during an attempt.
     #[serde(rename = "leave_work")]
     pub close_during_attempt: f64,
 }
@@ -233,7 +233,7 @@
     }
 }
 
-/// Shares of requests with which the proxy does something wrong.
+/// Faults of the proxy, each as the fraction of requests that it affects.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
@@ -244,6 +244,7 @@
     pub report_duplicated: f64,
     #[serde(rename = "late")]
     pub report_delayed: f64,
+    /// Delay of the reports selected by `report_delayed`.
     #[serde(rename = "late_seconds")]
     pub report_delay_seconds: f64,
     #[serde(rename = "elsewhere")]
@@ -262,16 +263,16 @@
     "safe".into()
 }
 
-/// What is wrong with a scenario file.
+/// Why a scenario file is rejected.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ScenarioError {
-    /// It is not TOML of the form; the message has line and column.
+    /// The file is not TOML, or its keys or types are wrong; the message gives line and column.
     #[error("{0}")]
-    Form(#[from] toml::de::Error),
-    /// It is of the form, and cannot be run.
-    #[error("impossible: {}", join(.0))]
-    Impossible(Vec<ScenarioProblem>),
+    Syntax(#[from] toml::de::Error),
+    /// The file can be parsed, but describes a scenario that cannot be run.
+    #[error("invalid scenario: {}", join(.0))]
+    Invalid(Vec<ScenarioProblem>),
 }
 
 fn join(problems: &[ScenarioProblem]) -> String {
@@ -279,14 +280,14 @@
 }
 
 impl Scenario {
-    /// Reads and checks a scenario.
+    /// Parses and validates a scenario file.
     ///
     /// # Errors
-    /// The text is not of the form, or describes what cannot be run.
+    /// The text cannot be parsed, or describes a scenario that cannot be run.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text)?;
         let problems = scenario.check();
-        if problems.is_empty() { Ok(scenario) } else { Err(ScenarioError::Impossible(problems)) }
+        if problems.is_empty() { Ok(scenario) } else { Err(ScenarioError::Invalid(problems)) }
     }
 }
 
--- a/crates/scenarios/src/scenario/check.rs
+++ b/crates/scenarios/src/scenario/check.rs
@@ -1,75 +1,75 @@
-//! Finds what cannot be run in a scenario that is well-formed.
+//! Validation of a parsed scenario: values out of range, and faults whose targets do not exist.
 
 use super::fault::{Fault, FaultKind, Target};
 use super::{GatewayProgram, Scenario};
 use std::ops::RangeInclusive;
 
-/// Longest scenario: a run has to end by itself.
+/// Maximum duration of a scenario: every run must end by itself.
 const MAX_DURATION_SECONDS: f64 = 3600.0;
-/// Gateways on one machine, each a process.
+/// Allowed number of gateways; each is a process on this machine.
 const GATEWAYS: RangeInclusive<usize> = 1..=400;
-/// Backends, which all run in this process.
+/// Allowed number of backends; all of them run in this process.
 const BACKENDS: RangeInclusive<usize> = 1..=64;
-/// Datagrams a second of a flood.
+/// Allowed rate of a flood, in datagrams per second.
 const FLOOD_PER_SECOND: RangeInclusive<f64> = 1.0..=10_000.0;
 
-/// Something in a scenario that cannot be run. `fault` is the number of a fault in the file, from 1.
+/// Why a scenario cannot be run. `fault` is the position of a fault in the file, counted from 1.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum ScenarioProblem {
-    /// Its length.
+    /// The duration is out of range.
     #[error("`seconds` must be above 0 and at most {MAX_DURATION_SECONDS}")]
     Duration,
-    /// The number of gateways.
+    /// The number of gateways is out of range.
     #[error("`gatekeepers` must be from {} to {}", GATEWAYS.start(), GATEWAYS.end())]
     Gateways,
-    /// The number of backends.
+    /// The number of backends is out of range.
     #[error("`checkers` must be from {} to {}", BACKENDS.start(), BACKENDS.end())]
     Backends,
-    /// A membership of one.
-    #[error("[peers] needs two gateways or more")]
+    /// Membership is enabled with a single gateway.
+    #[error("[peers] needs at least two gateways")]
     SingleMember,
-    /// Customers of gateways that serve none here.
+    /// There are customers, but gateways that run `node` get no customer traffic in a scenario.
     #[error("plans must have no customers with `program = \"node\"`")]
     NodeWithCustomers,
-    /// No plan, or no class.
-    #[error("a scenario needs a plan and a class")]
+    /// There is no plan, or no class.
+    #[error("a scenario needs at least one plan and one class")]
     NoPlanOrClass,
-    /// A plan's figures.
+    /// A limit of a plan is out of range.
     #[error("plan `{0}` needs a `rate` above 0, a `burst` of 1 or more and `asks` of 0 or more")]
     Plan(String),
-    /// A fault before the start or after the end.
-    #[error("fault {fault} must begin within the scenario")]
+    /// A fault begins before the start or after the end of the scenario.
+    #[error("fault {fault}: `at` must be within the duration of the scenario")]
     FaultTime {
-        /// Its number.
+        /// Position of the fault in the file, counted from 1.
         fault: usize,
     },
-    /// A fault's gateway, backend or plan.
-    #[error("fault {fault} names what the fleet does not have")]
+    /// The target of a fault does not exist.
+    #[error("fault {fault} refers to a gateway, backend or plan that the scenario does not have")]
     FaultTarget {
-        /// Its number.
+        /// Position of the fault in the file, counted from 1.
         fault: usize,
     },
-    /// A flood's rate.
+    /// The rate of a flood is out of range.
     #[error("fault {fault}: `per_second` must be from {} to {}", FLOOD_PER_SECOND.start(), FLOOD_PER_SECOND.end())]
     FloodRate {
-        /// Its number.
+        /// Position of the fault in the file, counted from 1.
         fault: usize,
     },
-    /// A fault of the membership without a membership.
-    #[error("fault {fault} needs [peers]")]
+    /// A fault of the membership or of the network between gateways, without a membership.
+    #[error("fault {fault} needs a [peers] section")]
     NoMembership {
-        /// Its number.
+        /// Position of the fault in the file, counted from 1.
         fault: usize,
     },
 }
 
 impl Scenario {
-    /// All that cannot be run, in the order of the file's sections.
+    /// All problems, in the order of the file's sections.
     pub(super) fn check(&self) -> Vec<ScenarioProblem> {
         let fleet = &self.fleet;
         let is_node = fleet.program == GatewayProgram::Node;
-        let found = [
+        let checks = [
             (
                 !(self.duration_seconds > 0.0 && self.duration_seconds <= MAX_DURATION_SECONDS),
                 ScenarioProblem::Duration,
@@ -81,7 +81,7 @@
             (self.plans.is_empty() || self.classes.is_empty(), ScenarioProblem::NoPlanOrClass),
         ];
         let mut problems: Vec<_> =
-            found.into_iter().filter_map(|(wrong, problem)| wrong.then_some(problem)).collect();
+            checks.into_iter().filter_map(|(invalid, problem)| invalid.then_some(problem)).collect();
         let valid = self.plans.iter().map(|plan| {
             let valid = plan.rate > 0.0 && plan.burst >= 1.0 && plan.demand_share >= 0.0;
             (plan, valid)
--- a/crates/scenarios/src/scenario/fault.rs
+++ b/crates/scenarios/src/scenario/fault.rs
@@ -1,9 +1,9 @@
-//! The faults of a scenario.
+//! Faults of a scenario, as its file describes them.
 
 use serde::Deserialize;
 use weirusher_fakes::Flood;
 
-/// A fault: when it begins, how long it lasts, and what it is.
+/// A fault, its start time and its duration.
 #[derive(Debug, Clone, Deserialize)]
 #[allow(missing_docs)]
 pub struct Fault {
@@ -15,32 +15,33 @@
     pub kind: FaultKind,
 }
 
-/// The kinds of faults. `which` are numbers of gateways or backends.
+/// Kinds of faults. `which` holds numbers of gateways or backends, counted from 0.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 #[allow(missing_docs)]
 pub enum FaultKind {
-    /// SIGKILL; at its end they are started again, with a wall clock that is shifted.
+    /// Kills gateways with SIGKILL; at the end of the fault they are restarted, with a shifted wall clock.
     #[serde(rename = "kill-gatekeepers")]
     KillGateways {
         which: Vec<usize>,
         #[serde(default)]
         clock_shift_seconds: f64,
     },
-    /// SIGSTOP; SIGCONT at its end.
+    /// Suspends gateways with SIGSTOP, until SIGCONT at the end of the fault.
     #[serde(rename = "pause-gatekeepers")]
     PauseGateways { which: Vec<usize> },
-    /// A second process under the same number, as by a mistake of configuration; killed at its end.
+    /// Starts a second process with the number of a running gateway, as a configuration mistake would; it is killed
+    /// at the end of the fault.
     #[serde(rename = "twin-gatekeeper")]
     DuplicateGateway { which: Vec<usize> },
-    /// Conditions for all datagrams between gateways.
+    /// Applies loss, duplication, delay and replay to all datagrams between gateways.
     #[serde(rename = "peer-way")]
     PeerConditions {
         #[serde(default, rename = "loss")]
         loss_probability: f64,
         #[serde(default, rename = "double")]
         duplicate_probability: f64,
-        /// Least and most.
+        /// Minimum and maximum.
         #[serde(default)]
         delay_ms: [f64; 2],
         #[serde(default, rename = "replay")]
@@ -48,19 +49,19 @@
         #[serde(default)]
         replay_after_seconds: f64,
     },
-    /// The network between gateways is partitioned: by the remainder of their numbers or, with `stripes`, by
-    /// neighbourhood.
+    /// Partitions the network between gateways into groups: by gateway number modulo `groups` or, with `stripes`, into
+    /// ranges of consecutive gateway numbers.
     #[serde(rename = "peer-cut")]
     PeerPartition {
         groups: usize,
         #[serde(default)]
         stripes: bool,
     },
-    /// The direction from each of these gateways to each of those is blocked.
+    /// Blocks datagrams from each gateway in `from` to each gateway in `to`, in this direction only.
     PeerBlock { from: Vec<usize>, to: Vec<usize> },
-    /// Each gateway receives from the next one only.
+    /// Blocks all datagrams to a gateway except those from the gateway with the next number.
     PeerRing,
-    /// A gateway is flooded with datagrams that seem to come from another.
+    /// Floods a gateway with datagrams whose source address is that of another gateway.
     PeerFlood {
         from: usize,
         to: usize,
@@ -68,32 +69,32 @@
         #[serde(rename = "how")]
         flood: Flood,
     },
-    /// SIGTERM; at its end they are started again.
+    /// Shuts gateways down with SIGTERM; at the end of the fault they are restarted.
     #[serde(rename = "stop-gatekeepers")]
     StopGateways { which: Vec<usize> },
-    /// The counter misbehaves.
+    /// The counter misbehaves in the given way.
     Counter {
         how: CounterFaultKind,
         #[serde(default, rename = "seconds")]
         delay_seconds: f64,
     },
-    /// The counter loses all counts.
+    /// The counter loses all its counts.
     #[serde(rename = "counter-emptied")]
     CounterCleared,
-    /// The counter cannot be reached.
+    /// No gateway can connect to the counter.
     #[serde(rename = "counter-gone")]
     CounterUnreachable,
-    /// The endpoint list has backends as draining; at its end they are replaced by new ones in slow start.
+    /// Marks backends as draining in the endpoint list; at the end of the fault, new ones in slow start replace them.
     Drain { which: Vec<usize> },
-    /// SIGKILL; at its end there are replacements in slow start at the same addresses.
+    /// Stops backends abruptly; at the end of the fault, new ones in slow start replace them at the same addresses.
     #[serde(rename = "kill-checkers")]
     KillBackends { which: Vec<usize> },
-    /// Their work takes `factor` times as long.
+    /// Requests take `factor` times as long at these backends.
     #[serde(rename = "slow-checkers")]
     SlowBackends { which: Vec<usize>, factor: f64 },
-    /// No gateway is notified of changes of the endpoint list.
+    /// Discovery publishes no changes of the endpoint list.
     ListFrozen,
-    /// Links fail.
+    /// Links are slow, stall, are reset or refuse connections.
     Link {
         #[serde(rename = "between")]
         ends: LinkEnds,
@@ -111,12 +112,12 @@
         #[serde(default)]
         bytes_per_second: f64,
     },
-    /// Customers of a plan demand `factor` times as much.
+    /// Multiplies the demand of a plan's customers by `factor`.
     #[serde(rename = "hot")]
     DemandSurge { plan: usize, factor: f64 },
 }
 
-/// What a misbehaving counter does.
+/// How a misbehaving counter replies.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[allow(missing_docs)]
@@ -131,7 +132,7 @@
     Delayed,
 }
 
-/// The two ends of a link.
+/// The processes that a link connects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[allow(missing_docs)]
 pub enum LinkEnds {
@@ -145,7 +146,7 @@
     LoadGeneratorBackend,
 }
 
-/// What the numbers of a fault refer to.
+/// What the target numbers of a fault refer to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Target {
     Gateways,
@@ -154,7 +155,7 @@
 }
 
 impl FaultKind {
-    /// Whether it is a fault of the membership or the network between gateways, which only [peers] has.
+    /// Whether the fault affects the membership or the network between gateways, which exist only with `[peers]`.
     pub(crate) fn needs_membership(&self) -> bool {
         match self {
             Self::DuplicateGateway { .. }
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The numbers that it names, and of what.
+    /// The target numbers of the fault, and what they refer to.
     pub(super) fn targets(&self) -> (Target, Vec<usize>) {
         match self {
             Self::KillGateways { which, .. }
--- a/crates/scenarios/src/scenario/tests.rs
+++ b/crates/scenarios/src/scenario/tests.rs
@@ -1,9 +1,9 @@
-//! Scenarios that cannot be read, or that name what cannot be run.
+//! Rejected scenario files: parse errors give the line, and validation errors name the problem.
 
 use super::Scenario;
 
 #[test]
-fn errors_have_a_line_or_name_what_is_impossible() {
+fn errors_give_the_line_or_the_invalid_target() {
     let error = Scenario::parse("name = \"x\"\nsecond = 3\n").unwrap_err().to_string();
     assert!(error.contains("line 2") && error.contains("seconds"), "{error}");
     let text = "name = \"x\"\nseconds = 3\n[[plan]]\nname = \"p\"\ncustomers = 1\nrate = 1\nburst = 2\nasks = 1\n\
