--- a/crates/scenarios/benches/ext_authz.rs
+++ b/crates/scenarios/benches/ext_authz.rs
@@ -1,8 +1,10 @@
-//! External authorisation on loopback, compared with a bare tonic server that answers every check with OK.
+//! Throughput and latency of external authorisation on loopback, compared with a bare tonic server that allows every
+//! check.
 //!
-//! `cargo bench -p weirusher-scenarios --bench ext_authz`. Both servers run in this process on a runtime of their own, first with
-//! one worker thread and then with one for each core; clients run on another runtime. The servers get the same checks in turns,
-//! so that other load on the machine affects both. The ratios are the result.
+//! Run with `cargo bench -p weirusher-scenarios --bench ext_authz`. Both servers run in this process on a runtime of
+//! their own, first with one worker thread and then with one per core; the clients run on another runtime. The servers
+//! get the same checks in alternating rounds, so that other load on the machine affects both. The result is the ratio
+//! between them.
 
 use envoy_types::pb::envoy::data::accesslog::v3::HttpResponseProperties;
 use envoy_types::pb::envoy::data::accesslog::v3::{
@@ -35,19 +37,19 @@
 use weirusher_config::Config;
 use weirusher_fakes::{Counter, Discovery, Recorder};
 
-/// Checks of one turn at full rate.
+/// Checks of one round at full rate.
 const CHECKS: usize = 20_000;
-/// Seconds of one turn at half of the full rate.
+/// Duration in seconds of one round at half the full rate.
 const HALF_RATE_SECONDS: f64 = 2.0;
-/// Turns of each server.
-const TURNS: usize = 5;
-/// Connections of a client.
+/// Rounds at full rate for each server.
+const ROUNDS: usize = 5;
+/// Client connections to each server.
 const CONNECTIONS: usize = 4;
 /// Checks in flight on each connection at full rate.
 const IN_FLIGHT: usize = 16;
-/// Customers of the checks.
+/// Number of customers that the checks are for.
 const CUSTOMERS: usize = 1_000;
-/// Backends of the endpoint list.
+/// Backends in the endpoint list.
 const BACKENDS: usize = 50;
 
 /// A service that allows every check.
@@ -81,7 +83,7 @@
     address
 }
 
-/// Starts a gateway with its counter and discovery, which run until the process ends.
+/// Starts a gateway with its counter and discovery, which all run until the process ends.
 async fn start_gateway() -> SocketAddr {
     let any = "127.0.0.1:0".parse().expect("an address");
     let counter = Counter::start(any, Recorder::new(None)).await.expect("a counter");
@@ -127,7 +129,7 @@
     }
 }
 
-/// One client connection with its report stream.
+/// A client connection with its access log stream.
 #[derive(Clone)]
 struct Client {
     check: AuthorizationClient<tonic::transport::Channel>,
@@ -155,7 +157,8 @@
         Self { check: AuthorizationClient::new(channel), reports }
     }
 
-    /// Sends one check and the report on its attempt: how long the check took, and whether it was allowed.
+    /// Sends one check, and the report on its attempt if it was allowed. Returns the latency of the check and whether
+    /// it was allowed.
     async fn check_once(&mut self, n: usize) -> (Duration, bool) {
         let request = request(n);
         let began = Instant::now();
@@ -169,18 +172,18 @@
     }
 }
 
-/// Runs a turn at full rate: checks a second, and the share of them that was allowed.
+/// Runs a round at full rate. Returns the checks per second and the fraction of them that was allowed.
 async fn run_full_rate(clients: &[Client]) -> (f64, f64) {
     let began = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
     let each = CHECKS / (clients.len() * IN_FLIGHT);
-    for (c, client) in clients.iter().enumerate() {
-        for d in 0..IN_FLIGHT {
+    for (index, client) in clients.iter().enumerate() {
+        for slot in 0..IN_FLIGHT {
             let mut client = client.clone();
             tasks.spawn(async move {
                 let mut allowed = 0;
                 for n in 0..each {
-                    allowed += usize::from(client.check_once((c * IN_FLIGHT + d) * each + n).await.1);
+                    allowed += usize::from(client.check_once((index * IN_FLIGHT + slot) * each + n).await.1);
                 }
                 allowed
             });
@@ -194,7 +197,7 @@
     (sent as f64 / began.elapsed().as_secs_f64(), allowed as f64 / sent as f64)
 }
 
-/// Runs a turn at `rate` checks a second, and records the latencies in microseconds.
+/// Runs a round at `rate` checks per second, and records the latencies in microseconds.
 async fn run_paced(clients: &[Client], rate: f64, latencies: &mut Histogram<u64>) {
     let mut tasks = tokio::task::JoinSet::new();
     let each = rate / clients.len() as f64;
@@ -220,7 +223,7 @@
     values[values.len() / 2]
 }
 
-async fn clients(address: SocketAddr) -> Vec<Client> {
+async fn connect_clients(address: SocketAddr) -> Vec<Client> {
     let mut clients = Vec::new();
     for _ in 0..CONNECTIONS {
         clients.push(Client::connect(address).await);
@@ -229,15 +232,15 @@
 }
 
 fn measure(workers: usize) {
-    let (server, outside) = (runtime(workers), runtime(2));
-    let addresses = server
+    let (server_runtime, client_runtime) = (runtime(workers), runtime(2));
+    let addresses = server_runtime
         .block_on(async { [tokio::spawn(start_bare_server()).await, tokio::spawn(start_gateway()).await] });
-    let addresses = addresses.map(|a| a.expect("it starts"));
-    outside.block_on(async {
-        let both = [clients(addresses[0]).await, clients(addresses[1]).await];
+    let addresses = addresses.map(|address| address.expect("it starts"));
+    client_runtime.block_on(async {
+        let servers = [connect_clients(addresses[0]).await, connect_clients(addresses[1]).await];
         let (mut rates, mut allowed) = ([Vec::new(), Vec::new()], Vec::new());
-        for _ in 0..TURNS {
-            for (which, clients) in both.iter().enumerate() {
+        for _ in 0..ROUNDS {
+            for (which, clients) in servers.iter().enumerate() {
                 let (rate, share) = run_full_rate(clients).await;
                 rates[which].push(rate);
                 if which == 1 {
@@ -245,30 +248,30 @@
                 }
             }
         }
-        let [bare, ours] = rates.map(median);
+        let [bare, gateway] = rates.map(median);
         println!(
-            "{workers} workers: bare {bare:.0}/s, weirusher {ours:.0}/s, ratio {:.2}; allowed {:.3}",
-            ours / bare,
+            "{workers} workers: bare {bare:.0}/s, weirusher {gateway:.0}/s, ratio {:.2}; allowed {:.3}",
+            gateway / bare,
             median(allowed)
         );
         let mut latencies = [(); 2].map(|()| Histogram::<u64>::new(3).expect("three digits are allowed"));
         for _ in 0..2 {
-            for (which, clients) in both.iter().enumerate() {
-                run_paced(clients, ours / 2.0, &mut latencies[which]).await;
+            for (which, clients) in servers.iter().enumerate() {
+                run_paced(clients, gateway / 2.0, &mut latencies[which]).await;
             }
         }
         for (name, latencies) in ["bare", "weirusher"].iter().zip(&latencies) {
             let at = |quantile| latencies.value_at_quantile(quantile);
             println!(
                 "  at {:.0}/s {name:<10} p50 {} us, p99 {} us, p99.9 {} us",
-                ours / 2.0,
+                gateway / 2.0,
                 at(0.5),
                 at(0.99),
                 at(0.999)
             );
         }
     });
-    server.shutdown_background();
+    server_runtime.shutdown_background();
 }
 
 fn main() {
--- a/crates/scenarios/tests/audit_membership.rs
+++ b/crates/scenarios/tests/audit_membership.rs
@@ -1,15 +1,15 @@
-//! The audit of what gateways report of each other: a valid capture passes, and each report that is not true is found under
-//! its rule.
+//! Audits of constructed captures with membership reports: a valid capture has no violation, and each incorrect report
+//! is found as a violation of its rule.
 
 use serde_json::{Value, json};
 use weirusher_scenarios::{MembershipRule, Rule, audit};
 
-/// Gateways of the capture.
+/// Number of gateways in the capture.
 const GATEWAYS: usize = 4;
-/// Length of the capture, in seconds.
+/// Duration of the capture, in seconds.
 const SECONDS: usize = 60;
 
-/// The report of a gateway that has these members as alive.
+/// The report of a gateway at a time, with `alive` as the members that it reports alive and all others as dead.
 fn report(t: f64, gk: usize, alive: &[usize]) -> Value {
     let dead: Vec<usize> = (0..GATEWAYS).filter(|n| *n != gk && !alive.contains(n)).collect();
     let share = alive.len() as f64 / (GATEWAYS - 1) as f64;
@@ -17,7 +17,7 @@
         {"incarnation": 7, "alive": alive, "gone": dead, "share": share, "heard": alive.len(), "superseded": false}})
 }
 
-/// All gateways report each second that all are alive.
+/// A capture in which each gateway reports every second that all others are alive.
 fn valid_capture() -> Vec<Value> {
     let mut lines = vec![
         json!({"t": 0.0, "what": "day", "name": "made", "rules": {"drain_grace": 0.5, "plans": [], "customers": {},
@@ -41,8 +41,8 @@
     rules
 }
 
-/// The valid capture with an event inserted at its time, and each line after it changed.
-fn with(event: Value, mut change: impl FnMut(&mut Value)) -> Vec<Rule> {
+/// Rules violated by the valid capture after an event is inserted at its time and each later line is changed.
+fn violated_after(event: Value, mut change: impl FnMut(&mut Value)) -> Vec<Rule> {
     let mut lines = valid_capture();
     let t = event["t"].as_f64().unwrap();
     let position = lines.iter().position(|line| line["t"].as_f64().unwrap() > t).unwrap_or(lines.len());
@@ -52,44 +52,46 @@
     violated_rules(&lines)
 }
 
-fn t(line: &Value) -> f64 {
+fn time(line: &Value) -> f64 {
     line["t"].as_f64().unwrap()
 }
 
-/// Removes a line that is of this gateway.
-fn remove_of(line: &mut Value, gk: usize) {
+/// Removes a line if it is an event of this gateway.
+fn remove_if_of(line: &mut Value, gk: usize) {
     if line["gk"] == gk {
         *line = Value::Null;
     }
 }
 
-/// Changes a report of another gateway after a moment: it has this one as dead.
+/// Changes a report that another gateway sent after a time, so that it has this gateway as dead.
 fn report_dead(line: &mut Value, gk: usize, at: f64) {
-    if !line.is_null() && line["gk"] != gk && t(line) > at {
+    if !line.is_null() && line["gk"] != gk && time(line) > at {
         let own = line["gk"].as_u64().unwrap() as usize;
         let alive: Vec<usize> = (0..GATEWAYS).filter(|n| *n != own && *n != gk).collect();
-        *line = report(t(line), own, &alive);
+        *line = report(time(line), own, &alive);
     }
 }
 
 #[test]
 fn a_valid_capture_passes_and_a_silent_gateway_does_not() {
     assert_eq!(violated_rules(&valid_capture()), []);
-    let silent = with(json!({"t": 20.0, "what": "fault", "text": "none"}), |line| remove_of(line, 2));
+    let silent =
+        violated_after(json!({"t": 20.0, "what": "fault", "text": "none"}), |line| remove_if_of(line, 2));
     assert_eq!(silent, [Rule::Membership(MembershipRule::Responds)]);
 }
 
 #[test]
 fn a_death_that_is_not_reported_in_time_is_found() {
     let killed = json!({"t": 20.0, "what": "gatekeeper", "gk": 2, "running": false});
-    let in_time = with(killed.clone(), |line| {
-        remove_of(line, 2);
+    let in_time = violated_after(killed.clone(), |line| {
+        remove_if_of(line, 2);
         report_dead(line, 2, 25.0);
     });
     assert_eq!(in_time, []);
-    // A member of four is forgotten after 10.4 s; 2.48 s are for the gossip, and one for a busy machine.
-    let late = with(killed, |line| {
-        remove_of(line, 2);
+    // In a fleet of four, a silent member is forgotten after 10.4 s. The bound adds 2.48 s for gossip and 1 s for
+    // delays on a busy machine.
+    let late = violated_after(killed, |line| {
+        remove_if_of(line, 2);
         report_dead(line, 2, 36.0);
     });
     assert_eq!(late, [Rule::Membership(MembershipRule::DeathDetected)]);
@@ -97,39 +99,39 @@
 
 #[test]
 fn a_reachable_member_that_is_reported_dead_is_found() {
-    let nothing = json!({"t": 20.0, "what": "fault", "text": "none"});
+    let no_fault = json!({"t": 20.0, "what": "fault", "text": "none"});
     assert_eq!(
-        with(nothing, |line| report_dead(line, 2, 25.0)),
+        violated_after(no_fault, |line| report_dead(line, 2, 25.0)),
         [Rule::Membership(MembershipRule::AliveDetected)]
     );
-    // It starts again, and is not reported alive for too long.
+    // The gateway is restarted, but is reported alive only after the recovery bound.
     let mut lines = valid_capture();
     lines.insert(2, json!({"t": 0.5, "what": "gatekeeper", "gk": 2, "running": false}));
     lines[3..].iter_mut().for_each(|line| {
-        if t(line) < 20.0 {
-            remove_of(line, 2);
+        if time(line) < 20.0 {
+            remove_if_of(line, 2);
         }
-        if !line.is_null() && t(line) < 30.0 {
+        if !line.is_null() && time(line) < 30.0 {
             report_dead(line, 2, 0.0);
         }
     });
     lines.retain(|line| !line.is_null());
-    let position = lines.iter().position(|line| t(line) >= 20.0).unwrap();
+    let position = lines.iter().position(|line| time(line) >= 20.0).unwrap();
     lines.insert(position, json!({"t": 19.5, "what": "gatekeeper", "gk": 2, "running": true}));
     assert_eq!(violated_rules(&lines), [Rule::Membership(MembershipRule::AliveDetected)]);
 }
 
 #[test]
-fn one_report_of_death_after_a_short_partition_is_allowed_and_a_second_one_is_found() {
-    // A short partition raises a suspicion, which is confirmed after the partition has ended, and refuted then.
+fn only_one_death_report_after_a_short_partition_is_allowed() {
+    // A short partition raises a suspicion that may be confirmed after the partition has ended, and is then refuted.
     let short_partition = |again: bool| {
         let mut lines = valid_capture();
         for (at, groups) in [(20.0, [0, 1, 1, 1]), (21.5, [0, 0, 0, 0])] {
-            let position = lines.iter().position(|line| t(line) > at).unwrap();
+            let position = lines.iter().position(|line| time(line) > at).unwrap();
             lines.insert(position, json!({"t": at, "what": "groups", "groups": groups}));
         }
         for line in &mut lines {
-            let dead = (22.5..23.5).contains(&t(line)) || again && (24.5..25.5).contains(&t(line));
+            let dead = (22.5..23.5).contains(&time(line)) || again && (24.5..25.5).contains(&time(line));
             if dead && line["what"] == "states" && line["gk"] == 1 {
                 report_dead(line, 0, 0.0);
             }
@@ -141,21 +143,22 @@
 }
 
 #[test]
-fn a_gateway_that_nobody_reaches_must_not_report_a_reachable_share() {
+fn an_unreached_gateway_must_not_report_a_reachable_share() {
     let partition = json!({"t": 20.0, "what": "groups", "groups": [0, 1, 1, 1]});
-    let report_to_all = |line: &mut Value, own: bool| {
+    // The others report gateway 0 as dead; `own_updated`: gateway 0 itself reports that it hears no other.
+    let report_partition = |line: &mut Value, own_updated: bool| {
         report_dead(line, 0, 24.0);
-        if own && line["gk"] == 0 && t(line) > 22.0 {
-            *line = report(t(line), 0, &[]);
+        if own_updated && line["gk"] == 0 && time(line) > 22.0 {
+            *line = report(time(line), 0, &[]);
         }
     };
-    assert_eq!(with(partition.clone(), |line| report_to_all(line, true)), []);
-    let own_unchanged = with(partition, |line| report_to_all(line, false));
+    assert_eq!(violated_after(partition.clone(), |line| report_partition(line, true)), []);
+    let own_unchanged = violated_after(partition, |line| report_partition(line, false));
     assert!(own_unchanged.contains(&Rule::Membership(MembershipRule::ReachabilityTrue)), "{own_unchanged:?}");
 }
 
 #[test]
-fn a_gateway_that_reaches_nobody_must_not_report_a_reachable_share() {
+fn a_gateway_reaching_none_must_not_report_a_reachable_share() {
     let mut lines = valid_capture();
     for to in 1..GATEWAYS {
         lines.insert(2, json!({"t": 0.5, "what": "blocked", "from": 0, "to": to, "blocked": true}));
@@ -163,11 +166,12 @@
     assert!(violated_rules(&lines).contains(&Rule::Membership(MembershipRule::ReachabilityTrue)));
 }
 
+/// Its messages still arrive, relayed by other members.
 #[test]
-fn a_member_whose_messages_others_pass_on_stays_reachable_when_one_direction_is_blocked() {
+fn a_member_blocked_in_one_direction_stays_reachable() {
     let blocked = json!({"t": 20.0, "what": "blocked", "from": 0, "to": 1, "blocked": true});
-    assert_eq!(with(blocked.clone(), |_| {}), []);
-    let lost = with(blocked, |line| {
+    assert_eq!(violated_after(blocked.clone(), |_| {}), []);
+    let lost = violated_after(blocked, |line| {
         if line["gk"] == 1 {
             report_dead(line, 0, 40.0);
         }
@@ -177,36 +181,37 @@
 
 #[test]
 fn a_gateway_that_was_suspended_must_report_a_new_incarnation() {
-    let paused = |incarnation: u64| {
+    let resumed_with = |incarnation: u64| {
         let mut lines = valid_capture();
         for line in &mut lines[2..] {
-            if line["gk"] == 2 && (20.0..31.0).contains(&t(line)) {
+            if line["gk"] == 2 && (20.0..31.0).contains(&time(line)) {
                 *line = Value::Null;
-            } else if line["gk"] == 2 && t(line) > 31.0 {
+            } else if line["gk"] == 2 && time(line) > 31.0 {
                 line["belief"]["incarnation"] = json!(incarnation);
-            } else if (25.0..31.0).contains(&t(line)) {
+            } else if (25.0..31.0).contains(&time(line)) {
                 report_dead(line, 2, 25.0);
             }
         }
         lines.retain(|line| !line.is_null());
         for (at, paused) in [(20.0, true), (31.0, false)] {
-            let position = lines.iter().position(|line| t(line) > at).unwrap();
+            let position = lines.iter().position(|line| time(line) > at).unwrap();
             lines.insert(position, json!({"t": at, "what": "paused", "gk": 2, "paused": paused}));
         }
         violated_rules(&lines)
     };
-    assert_eq!(paused(8), []);
-    assert_eq!(paused(7), [Rule::Membership(MembershipRule::NewIncarnation)]);
+    assert_eq!(resumed_with(8), []);
+    assert_eq!(resumed_with(7), [Rule::Membership(MembershipRule::NewIncarnation)]);
 }
 
+/// Of two processes with the same number, the earlier one must report that it is superseded.
 #[test]
-fn of_two_processes_under_one_number_one_must_report_that_it_is_superseded() {
+fn a_duplicate_process_must_be_reported_as_superseded() {
     let duplicate = json!({"t": 20.0, "what": "twin", "gk": 2});
     let superseded = |line: &mut Value| {
-        if line["gk"] == 2 && t(line) > 25.0 {
+        if line["gk"] == 2 && time(line) > 25.0 {
             line["belief"]["superseded"] = json!(true);
         }
     };
-    assert_eq!(with(duplicate.clone(), superseded), []);
-    assert_eq!(with(duplicate, |_| {}), [Rule::Membership(MembershipRule::DuplicateSuperseded)]);
+    assert_eq!(violated_after(duplicate.clone(), superseded), []);
+    assert_eq!(violated_after(duplicate, |_| {}), [Rule::Membership(MembershipRule::DuplicateSuperseded)]);
 }
--- a/crates/scenarios/tests/gateway/main.rs
+++ b/crates/scenarios/tests/gateway/main.rs
@@ -1,4 +1,5 @@
-//! Gateways for external authorisation on loopback, between fakes; judged from the sockets.
+//! External authorisation gateways on loopback, tested end to end with a fake load generator, counter, discovery and
+//! backends. The captured traffic is audited.
 
 mod audit_rules;
 mod external_authorisation;
--- a/crates/scenarios/tests/gateway/malformed_input.rs
+++ b/crates/scenarios/tests/gateway/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Malformed checks and misbehaving peers get a clear error, are counted, and cost the others nothing.
+//! Malformed checks and misbehaving peers are answered with an error or closed, are counted, and do not affect others.
 
 use crate::site::{Site, SiteOptions};
 use envoy_types::pb::envoy::config::core::v3::header_value_option::HeaderAppendAction;
@@ -44,7 +44,8 @@
     assert_eq!(status(&site, check(&[("x-customer", "a")])).await, 200);
 }
 
-/// The headers that a backend receives: those that the client sent, changed as the check response says.
+/// The headers that a backend receives: those that the client sent, modified as the check response instructs the proxy.
+/// The error is the status code of a denied check.
 async fn forwarded(site: &Site, sent: &[(&str, &str)]) -> Result<Vec<(String, String)>, i32> {
     let mut client =
         AuthorizationClient::connect(format!("http://{}", site.gateways[0].ext_authz)).await.unwrap();
@@ -64,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn headers_of_the_gateway_that_a_client_sends_have_no_effect() {
+async fn gateway_headers_sent_by_a_client_have_no_effect() {
     let site = Site::start(SiteOptions::default()).await;
     let (server, ticket) = ("x-weirusher-server", "x-weirusher-ticket");
     let value = |headers: &[(String, String)], name: &str| -> Vec<String> {
@@ -76,7 +77,7 @@
         let seen = value(&first, name);
         assert!(seen.len() == 1 && seen[0] != *sent, "{name}: {seen:?}");
     }
-    // With the ticket of another customer's request: neither its attempt nor one of its own.
+    // The ticket of another customer's request neither continues that request nor starts one for the thief.
     let stolen = value(&first, ticket).remove(0);
     let thief = [("x-customer", "b"), spoofed[1], spoofed[2], (ticket, stolen.as_str())];
     assert_eq!(forwarded(&site, &thief).await, Err(503));
@@ -85,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_message_over_the_limit_is_an_error_of_its_own_call_only() {
+async fn an_oversized_message_fails_only_its_own_call() {
     let site = Site::start(SiteOptions::default()).await;
     let mut client =
         AuthorizationClient::connect(format!("http://{}", site.gateways[0].ext_authz)).await.unwrap();
@@ -95,13 +96,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn peers_that_send_garbage_or_stall_cost_the_others_nothing() {
+async fn peers_that_send_garbage_or_stall_do_not_affect_others() {
     let site = Site::start(SiteOptions::default()).await;
     let front = site.gateways[0].ext_authz;
     let mut slow = Vec::new();
     for n in 0..50 {
         let mut stream = TcpStream::connect(front).await.unwrap();
-        // Half of them begin with a valid preface and stall; the others send garbage.
+        // Half of the peers begin a valid HTTP/2 preface and stall; the others send garbage.
         let bytes: &[u8] =
             if n % 2 == 0 { b"PRI * HTTP/2.0\r\n" } else { b"\x00\xffnothing of the kind\r\n\r\n" };
         stream.write_all(bytes).await.unwrap();
@@ -110,15 +111,15 @@
     for _ in 0..20 {
         assert_eq!(site.send(BehaviourProfile::default()).await.outcome, ClientOutcome::Served);
     }
-    // All of them are closed, those with a valid preface too.
-    site.until(0, "/process/connections_mute", |n| n == 50).await;
+    // All of them are closed, including those that began a valid preface.
+    site.wait_until(0, "/process/connections_mute", |n| n == 50).await;
     let mut byte = [0; 64];
-    assert!(matches!(slow[0].read(&mut byte).await, Ok(0) | Err(_)), "a peer that stalls is not closed");
+    assert!(matches!(slow[0].read(&mut byte).await, Ok(0) | Err(_)), "a stalled peer was not closed");
     site.assert_rules_kept();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn thousands_of_streams_of_one_peer_do_not_starve_another() {
+async fn thousands_of_streams_from_one_peer_do_not_starve_another() {
     let site =
         Site::start(SiteOptions { plan: "rate = 100000\nburst = 100000", ..SiteOptions::default() }).await;
     let client =
@@ -128,12 +129,12 @@
         let mut client = client.clone();
         calls.spawn(async move { client.check(check(&[("x-customer", "flood")])).await });
     }
-    // Another peer gets a response meanwhile: served, or rejected with advice.
+    // Meanwhile, another peer gets a response: served, or rejected with `Retry-After`.
     let outcome = site.send(BehaviourProfile::default()).await;
     assert!(matches!(outcome.outcome, ClientOutcome::Served | ClientOutcome::Rejected), "{outcome:?}");
     let mut answered = 0;
     while let Some(call) = calls.join_next().await {
-        call.unwrap().expect("each stream of the flood is answered too");
+        call.unwrap().expect("each stream of the flood is answered");
         answered += 1;
     }
     assert_eq!(answered, 3000);
@@ -147,7 +148,7 @@
     for _ in 0..40 {
         idle.push(TcpStream::connect(site.gateways[0].admin).await.unwrap());
     }
-    // The last ones are closed at once.
+    // Connections over the limit are closed at once.
     let mut byte = [0; 1];
     let read = tokio::time::timeout(Duration::from_secs(5), idle[39].read(&mut byte)).await;
     assert!(matches!(read, Ok(Ok(0) | Err(_))), "{read:?}");
--- a/crates/scenarios/tests/gateway/site.rs
+++ b/crates/scenarios/tests/gateway/site.rs
@@ -1,4 +1,4 @@
-//! A site on loopback: gateways in this process, fakes around them, and the capture.
+//! Test setup on loopback: gateways and fakes in this process, with a capture in memory.
 
 use futures::{SinkExt, StreamExt};
 use serde_json::Value;
@@ -21,14 +21,14 @@
 
 const SECRET: &str = "0123456789abcdef0123456789abcdef";
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Limit for what must happen; nothing waits this long when all is well.
-pub const LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for waiting on an expected condition; never reached in a passing run.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A capture in memory.
+/// Writer that keeps the capture in memory.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct MemoryCapture(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Memory {
+impl Write for MemoryCapture {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().write(bytes)
     }
@@ -38,24 +38,26 @@
     }
 }
 
+/// Gateways, the fakes they use, and the capture of their traffic.
 pub struct Site {
     pub gateways: Vec<GatewayHandle>,
+    /// Links from the load generator to the gateways, kept open.
     _fronts: Vec<Link>,
     pub counter: Counter,
     discovery: Discovery,
     pub backends: Vec<FakeBackend>,
     pub load_generator: Arc<LoadGenerator>,
     recorder: Recorder,
-    memory: Memory,
+    memory: MemoryCapture,
 }
 
-/// What a test may choose.
+/// Parameters of a site.
 pub struct SiteOptions {
     pub gateways: usize,
     pub service_seconds: f64,
-    /// Lines of the configuration's one plan.
+    /// TOML lines of the only plan.
     pub plan: &'static str,
-    /// Lines of its one class.
+    /// TOML lines of the only class.
     pub class: &'static str,
 }
 
@@ -104,7 +106,7 @@
 
 impl Site {
     pub async fn start(options: SiteOptions) -> Self {
-        let memory = Memory::default();
+        let memory = MemoryCapture::default();
         let recorder = Recorder::new(Some(Box::new(memory.clone())));
         recorder.record(CaptureEvent::RunStarted {
             name: "test".into(),
@@ -147,12 +149,12 @@
         };
         site.publish(&[Lifecycle::Running; 2]);
         for gateway in 0..site.gateways.len() {
-            site.until(gateway, "/process/lists", |n| n >= 1).await;
+            site.wait_until(gateway, "/process/lists", |n| n >= 1).await;
         }
         site
     }
 
-    /// Publishes the backends with these lifecycles.
+    /// Publishes an endpoint list that has the backends in these lifecycle states.
     pub fn publish(&self, lifecycles: &[Lifecycle]) {
         let endpoint = |(backend, lifecycle): (&FakeBackend, &Lifecycle)| Endpoint {
             id: backend.address.to_string().into(),
@@ -180,7 +182,7 @@
         self.load_generator.send_request(&self.request(behaviour)).await
     }
 
-    /// A gateway's own figures.
+    /// Fetches a gateway's statistics from its admin page.
     pub async fn stats(&self, gateway: usize) -> Value {
         let stream = TcpStream::connect(self.gateways[gateway].admin).await.unwrap();
         let mut framed = Framed::new(stream, ClientCodec::default());
@@ -194,9 +196,9 @@
         serde_json::from_slice(&framed.next().await.unwrap().unwrap().body).unwrap()
     }
 
-    /// Waits until one of a gateway's figures meets a condition.
-    pub async fn until(&self, gateway: usize, pointer: &str, holds: impl Fn(u64) -> bool) {
-        let end = tokio::time::Instant::now() + LIMIT;
+    /// Waits until a value of a gateway's statistics, given as a JSON pointer, meets a condition.
+    pub async fn wait_until(&self, gateway: usize, pointer: &str, holds: impl Fn(u64) -> bool) {
+        let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let stats = self.stats(gateway).await;
             let value = stats
@@ -206,16 +208,19 @@
             if holds(value) {
                 return;
             }
-            assert!(tokio::time::Instant::now() < end, "{pointer} stays {value}: {stats}");
+            assert!(
+                tokio::time::Instant::now() < end,
+                "timed out waiting for {pointer}, which is {value}: {stats}"
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Waits until nothing is pending.
-    pub async fn settled(&self) {
+    /// Waits until no gateway has pending requests or attempts.
+    pub async fn wait_until_idle(&self) {
         for gateway in 0..self.gateways.len() {
-            self.until(gateway, "/owed", |n| n == 0).await;
-            self.until(gateway, "/open", |n| n == 0).await;
+            self.wait_until(gateway, "/owed", |n| n == 0).await;
+            self.wait_until(gateway, "/open", |n| n == 0).await;
         }
     }
 
@@ -228,7 +233,7 @@
         audit(self.capture().as_bytes()).unwrap()
     }
 
-    /// Audits the capture, which must have no violation.
+    /// Asserts that the audit of the capture finds no violation.
     pub fn assert_rules_kept(&self) {
         let report = self.audit();
         assert_eq!(report.violation_count, 0, "{}\n{}", report.summary(), self.capture());
