--- a/crates/scenarios/src/fleet/gateway.rs
+++ b/crates/scenarios/src/fleet/gateway.rs
@@ -142,7 +142,7 @@
             // Recorded before the kill: anything sent from here on may reach a dead process.
             self.recorder.record(CaptureEvent::GatewayRunning { gateway: *number, running: false });
             if let Some(child) = &mut self.gateways[*number].child {
-                let _ = child.start_kill(); // Fails if the process already exited, which the audit detects.
+                let _ = child.start_kill(); // May fail if the process already exited, which the audit detects.
             }
         }
         for number in which {
@@ -191,7 +191,7 @@
     /// Kills the second process with a gateway's number, with SIGKILL.
     pub async fn kill_duplicate(&mut self, number: usize) {
         if let Some(mut child) = self.gateways[number].duplicate.take() {
-            let _ = child.kill().await; // Fails if the process already exited.
+            let _ = child.kill().await; // May fail if the process already exited.
         }
         if let Some(peers) = &mut self.peers {
             peers.set_duplicate(number, None);
--- a/crates/scenarios/src/run.rs
+++ b/crates/scenarios/src/run.rs
@@ -77,7 +77,7 @@
     pub report: AuditReport,
     /// How each request ended, as its client saw it.
     pub outcomes: Vec<RequestOutcome>,
-    /// Requests that were not sent because too many were already pending.
+    /// Requests that were not sent because too many clients were active.
     pub not_sent: u64,
 }
 
@@ -185,7 +185,7 @@
             text += &membership.summary();
         }
         if self.not_sent > 0 {
-            let _ = writeln!(text, "  not sent   {} requests: too many pending", self.not_sent);
+            let _ = writeln!(text, "  not sent   {} requests: too many active clients", self.not_sent);
         }
         text + &report.summary()
     }
--- a/crates/scenarios/src/scenario/fault.rs
+++ b/crates/scenarios/src/scenario/fault.rs
@@ -81,12 +81,12 @@
     /// The counter loses all its counts.
     #[serde(rename = "counter-emptied")]
     CounterCleared,
-    /// No gateway can connect to the counter.
+    /// Cuts all gateways off from the counter: connections are reset, and new ones are refused.
     #[serde(rename = "counter-gone")]
     CounterUnreachable,
     /// Marks backends as draining in the endpoint list; at the end of the fault, new ones in slow start replace them.
     Drain { which: Vec<usize> },
-    /// Stops backends abruptly; at the end of the fault, new ones in slow start replace them at the same addresses.
+    /// Kills backends; at the end of the fault, new ones in slow start replace them at the same addresses.
     #[serde(rename = "kill-checkers")]
     KillBackends { which: Vec<usize> },
     /// Requests take `factor` times as long at these backends.
