--- a/crates/soak/src/bin/growth.rs
+++ b/crates/soak/src/bin/growth.rs
@@ -1,5 +1,5 @@
-//! Measures what one gateway uses at the usual size of a fleet and at larger ones, and compares it with the platform's
-//! bounds on growth.
+//! Measures the resource usage of one gateway at the usual fleet size and at larger ones, and compares it with the
+//! platform's bounds on growth.
 
 use clap::Parser;
 use std::path::PathBuf;
@@ -7,16 +7,16 @@
 use std::time::Duration;
 use weirusher_soak::growth::{FleetSize, GrowthOptions, Row, Usage, compare, measure};
 
-/// Measures what one gateway uses as its fleet grows.
+/// Measures how the resource usage of one gateway grows with the size of its fleet.
 #[derive(Parser)]
 struct Arguments {
-    /// The program under test.
+    /// The gateway executable under test.
     #[arg(long, default_value = "target/release/weirusher")]
     exe: PathBuf,
-    /// The traffic is drawn from this.
+    /// The seed of the generated traffic.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seconds for which requests are sent at each size.
+    /// Seconds during which requests are sent at each fleet size.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Prints a table for each larger size; returns `false` where a row is over its bound.
+/// Prints a table for each larger fleet size; returns `false` if any row exceeds its bound.
 async fn measure_all(arguments: &Arguments) -> std::io::Result<bool> {
     let dir = tempfile::tempdir()?;
     let options = GrowthOptions {
@@ -43,15 +43,15 @@
         seed: arguments.seed,
     };
     let usual = measure(FleetSize::USUAL, &options).await?;
-    let mut all_hold = true;
+    let mut all_within_bounds = true;
     for size in [FleetSize::MANY_GATEWAYS, FleetSize::LARGEST] {
         let large = measure(size, &options).await?;
-        all_hold &= print(&usual, &large, size);
+        all_within_bounds &= print_table(&usual, &large, size);
     }
-    Ok(all_hold)
+    Ok(all_within_bounds)
 }
 
-fn print(usual: &Usage, large: &Usage, size: FleetSize) -> bool {
+fn print_table(usual: &Usage, large: &Usage, size: FleetSize) -> bool {
     let FleetSize { gateways, backends } = size;
     println!("{gateways} gateways, {backends} backends:");
     let rows = compare(usual, large, size);
--- a/crates/soak/src/growth.rs
+++ b/crates/soak/src/growth.rs
@@ -1,5 +1,5 @@
-//! What one gateway uses as its fleet grows: one `weirusher node` process that is configured as one of many, with all the
-//! backends of that fleet, under the same traffic at each size.
+//! Resource usage of one gateway by fleet size: a single `weirusher node` process that is configured as one
+//! of many, with all the backends of that fleet, under the same traffic at each size.
 
 mod fleet_size;
 mod site;
--- a/crates/soak/src/growth/fleet_size.rs
+++ b/crates/soak/src/growth/fleet_size.rs
@@ -1,19 +1,19 @@
-//! The sizes of a fleet that are compared.
+//! The fleet sizes that are compared.
 
-/// The size of a fleet.
+/// The number of gateways and backends of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Gateways, of which one is run.
+    /// Configured gateways, only one of which runs.
     pub gateways: usize,
-    /// Backends, all of which are run.
+    /// Backends, all of which run.
     pub backends: usize,
 }
 
 impl FleetSize {
-    /// The usual size, with which the others are compared.
+    /// The usual size, which the others are compared with.
     pub const USUAL: Self = Self { gateways: 300, backends: 200 };
-    /// More gateways for the same backends.
+    /// Three times the usual gateways, with the same backends.
     pub const MANY_GATEWAYS: Self = Self { gateways: 900, backends: 200 };
-    /// The largest size.
+    /// The largest size, in gateways and in backends.
     pub const LARGEST: Self = Self { gateways: 900, backends: 3200 };
 }
--- a/crates/soak/src/growth/site.rs
+++ b/crates/soak/src/growth/site.rs
@@ -1,4 +1,5 @@
-//! Runs a gateway process with backends, discovery, counter and clients for one size of the fleet, and measures it.
+//! Runs a gateway process with backends, discovery, counter and clients for one fleet size, and measures its
+//! usage.
 
 use super::fleet_size::FleetSize;
 use super::usage::Usage;
@@ -20,43 +21,45 @@
 use tokio::time::{Instant, interval, sleep, timeout};
 use weirusher_fakes::{DiscoveryAgent, ReceivedRequest, Reply, ScriptedServer, counting, frame};
 
+/// Any free port of the loopback interface.
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Requests a second of all clients together.
-const REQUEST_RATE: f64 = 30.0;
-/// The number of the one node that runs.
+/// Requests per second, over all clients.
+const REQUESTS_PER_SECOND: f64 = 30.0;
+/// The number of the only node that runs.
 const MEASURED_NODE: usize = 0;
-/// The number of clients, each with one connection.
+/// The number of clients, each of which has one connection.
 const CLIENTS: usize = 8;
-/// The deadline of the requests, in seconds.
-const DEADLINE: f64 = 2.0;
-/// The response time of the backends.
+/// The deadline of each request, in seconds.
+const DEADLINE_SECONDS: f64 = 2.0;
+/// The time that a backend takes to respond.
 const RESPONSE_TIME: Duration = Duration::from_millis(15);
-/// Between two changes of the list.
+/// The interval between two changes of the endpoint list.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
-/// The fraction of the backends that restarts at a time.
+/// The fraction of the backends that restart at the same time.
 const RESTARTED_FRACTION: f64 = 0.01;
-/// How often the process is sampled.
+/// The interval between two samples of the process, and between two readiness checks.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest wait for readiness, a response, or a poll of the list.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// The longest wait for readiness, for a response, or for a poll of the endpoint list.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a fleet size is measured.
+/// Options of a measurement.
 #[derive(Debug, Clone)]
 pub struct GrowthOptions {
-    /// The program.
+    /// The gateway executable.
     pub exe: PathBuf,
-    /// For the configuration.
+    /// The directory for the gateway's configuration.
     pub dir: PathBuf,
-    /// For how long requests are sent.
+    /// How long requests are sent.
     pub duration: Duration,
-    /// The traffic is drawn from this.
+    /// The seed of the generated traffic.
     pub seed: u64,
 }
 
-/// Runs one gateway of a fleet of this size, and returns what it used.
+/// Runs one gateway that is configured for a fleet of this size, and returns its resource usage.
 ///
 /// # Errors
-/// A part does not start, the gateway is not ready in time, does not poll the list, or ends early.
+/// A component fails to start, or the gateway is not ready in time, stops polling the endpoint list, or exits
+/// early.
 pub async fn measure(size: FleetSize, options: &GrowthOptions) -> io::Result<Usage> {
     let mut backends = Vec::new();
     for _ in 0..size.backends {
@@ -66,27 +69,27 @@
     let mut discovery = Discovery::start(&backends, options.seed).await?;
     let counter = ScriptedServer::start(LOOPBACK, counting()).await?;
     let mut plan = Plan::new(options.seed, size.gateways, options.duration.as_secs_f64());
-    plan.deadline = DEADLINE;
+    plan.deadline = DEADLINE_SECONDS;
     let listen = TcpListener::bind(LOOPBACK).await?.local_addr()?;
-    let child = start(&plan, listen, &discovery, counter.address, options)?;
+    let child = start_gateway(&plan, listen, &discovery, counter.address, options)?;
     let process = child.id().and_then(|id| Process::new(id as i32).ok());
-    let process = process.ok_or_else(|| io::Error::other("the gateway has ended"))?;
+    let process = process.ok_or_else(|| io::Error::other("the gateway exited before it was measured"))?;
     wait_until_ready(listen).await?;
     let end = Instant::now() + options.duration;
     let mut usage = Usage::default();
     let counts = tokio::select! {
         counts = run_clients(&plan, listen, end) => counts,
-        error = discovery.change_until_dropped() => return Err(error),
-        error = sample(&process, &mut usage) => return Err(error),
+        error = discovery.publish_until_polls_stop() => return Err(error),
+        error = sample_usage(&process, &mut usage) => return Err(error),
     };
-    usage.read(&process).map_err(io::Error::other)?;
+    usage.update(&process).map_err(io::Error::other)?;
     usage.connections = backends.iter().map(ScriptedServer::connections).sum::<u64>() as f64;
     usage.list_bytes = discovery.bytes_sent() as f64;
     usage.served = f64::from(counts.served) / f64::from(counts.sent).max(1.0);
     Ok(usage)
 }
 
-fn start(
+fn start_gateway(
     plan: &Plan,
     listen: SocketAddr,
     discovery: &Discovery,
@@ -118,13 +121,15 @@
             sleep(SAMPLE_INTERVAL).await;
         }
     };
-    timeout(TIMEOUT, ready).await.map_err(|_| io::Error::other("the gateway is not ready in time"))
+    timeout(WAIT_TIMEOUT, ready)
+        .await
+        .map_err(|_| io::Error::other("the gateway did not become ready in time"))
 }
 
-/// Samples the usage of the process until that fails; returns the error.
-async fn sample(process: &Process, usage: &mut Usage) -> io::Error {
+/// Samples the usage of the process until a sample fails; returns that error.
+async fn sample_usage(process: &Process, usage: &mut Usage) -> io::Error {
     loop {
-        if let Err(error) = usage.read(process) {
+        if let Err(error) = usage.update(process) {
             return io::Error::other(error);
         }
         sleep(SAMPLE_INTERVAL).await;
@@ -133,15 +138,15 @@
 
 // ---- Clients ----
 
-/// Requests of one or several clients.
+/// The numbers of requests of one or more clients.
 #[derive(Debug, Clone, Copy, Default)]
 struct RequestCounts {
     sent: u32,
-    /// Those with a response of status 200.
+    /// Requests that got a response with status 200.
     served: u32,
 }
 
-/// Runs all clients until `end`.
+/// Runs all clients until `end` and sums their requests up.
 async fn run_clients(plan: &Plan, listen: SocketAddr, end: Instant) -> RequestCounts {
     let mut tasks = JoinSet::new();
     for number in 0..CLIENTS {
@@ -156,19 +161,19 @@
     total
 }
 
-/// Runs one client with one connection, which it opens again where it ends.
+/// Runs one client, which sends at a fixed rate on one connection and reconnects after an error.
 async fn run_client(plan: Plan, listen: SocketAddr, end: Instant, number: usize) -> RequestCounts {
     let mut rng = fastrand::Rng::with_seed(plan.seed ^ number as u64);
-    let mut ticks = interval(Duration::from_secs_f64(CLIENTS as f64 / REQUEST_RATE));
-    sleep(Duration::from_secs_f64(number as f64 / REQUEST_RATE)).await;
+    let mut ticks = interval(Duration::from_secs_f64(CLIENTS as f64 / REQUESTS_PER_SECOND));
+    sleep(Duration::from_secs_f64(number as f64 / REQUESTS_PER_SECOND)).await;
     let mut counts = RequestCounts::default();
     let mut stream = None;
     while Instant::now() < end {
         ticks.tick().await;
         let id = format!("{:016x}", (number as u64) << 32 | u64::from(counts.sent));
-        let draft = Draft::new(&plan, MEASURED_NODE, id, Class::Idempotent, None, DEADLINE, &mut rng);
+        let draft = Draft::new(&plan, MEASURED_NODE, id, Class::Idempotent, None, DEADLINE_SECONDS, &mut rng);
         counts.sent += 1;
-        match timeout(TIMEOUT, exchange(&mut stream, listen, &draft.bytes)).await {
+        match timeout(WAIT_TIMEOUT, exchange(&mut stream, listen, &draft.bytes)).await {
             Ok(Ok(status)) => counts.served += u32::from(status == 200),
             _ => stream = None,
         }
@@ -176,7 +181,7 @@
     counts
 }
 
-/// Sends a request and returns the status of its response.
+/// Sends a request on the stream, which is opened if there is none, and returns the status of the response.
 async fn exchange(stream: &mut Option<TcpStream>, listen: SocketAddr, request: &[u8]) -> io::Result<u16> {
     let stream = match stream {
         Some(stream) => stream,
@@ -196,13 +201,14 @@
 
 // ---- Discovery ----
 
-/// Discovery's agent, which publishes changes: in each step a fraction of the backends restarts.
+/// Discovery: publishes changes of the endpoint list, in which a fraction of the backends drains and restarts
+/// each time.
 struct Discovery {
     agent: DiscoveryAgent,
     endpoints: Vec<Endpoint>,
-    /// The length of each version in bytes, from version 1 on.
+    /// The length of each version's document (a list or a change) in bytes, from version 1 on.
     version_sizes: Vec<usize>,
-    /// Draws the backends of each step.
+    /// Chooses the backends that restart.
     rng: fastrand::Rng,
 }
 
@@ -216,15 +222,15 @@
         Ok(Self { agent, endpoints, version_sizes, rng })
     }
 
-    /// Publishes a change in each interval until the gateway does not poll; returns the error.
-    async fn change_until_dropped(&mut self) -> io::Error {
+    /// Publishes a change every [`CHANGE_INTERVAL`] until the gateway stops polling; returns an error then.
+    async fn publish_until_polls_stop(&mut self) -> io::Error {
         loop {
             let restarting = self.rng.choose_multiple(0..self.endpoints.len(), self.restart_count());
             for status in [Status::Draining, Status::Serving] {
                 sleep(CHANGE_INTERVAL).await;
                 let index = self.publish(&restarting, status);
-                if timeout(TIMEOUT, self.agent.wait_until_list_received(index)).await.is_err() {
-                    return io::Error::other("the gateway does not poll the list");
+                if timeout(WAIT_TIMEOUT, self.agent.wait_until_list_received(index)).await.is_err() {
+                    return io::Error::other("the gateway did not poll the endpoint list in time");
                 }
             }
         }
@@ -234,7 +240,7 @@
         ((self.endpoints.len() as f64 * RESTARTED_FRACTION) as usize).max(1)
     }
 
-    /// Publishes a change that gives the endpoints at `positions` another status; returns its version.
+    /// Publishes a change that sets the status of the endpoints at `positions`; returns its version.
     fn publish(&mut self, positions: &[usize], status: Status) -> u64 {
         let mut changed = Vec::new();
         for position in positions {
@@ -254,12 +260,13 @@
         index
     }
 
-    /// Bytes of lists and changes that were sent in response to polls.
+    /// Bytes of lists and changes that were sent in responses to polls.
     fn bytes_sent(&self) -> usize {
         let sent = |poll: &ReceivedRequest| {
             let query = poll.request.path.split_once('?').map_or("", |(_, query)| query);
             let since = query.split('&').find_map(|pair| pair.strip_prefix("since=")?.parse::<usize>().ok());
-            // A poll that names a version gets the next one; another gets the first.
+            // A poll that names a version gets the next one; a poll without a version gets the first.
+            // Version n is at index n - 1.
             self.version_sizes.get(since.unwrap_or(0)).copied().unwrap_or(0)
         };
         self.agent.received().iter().map(sent).sum()
--- a/crates/soak/src/growth/usage.rs
+++ b/crates/soak/src/growth/usage.rs
@@ -1,39 +1,40 @@
-//! What a gateway used, and how much it may use at a larger size of the fleet.
+//! The resource usage of a gateway, and its bounds at a larger fleet size.
 
 use super::fleet_size::FleetSize;
 use procfs::process::Process;
 
 const NANOS_PER_SECOND: f64 = 1e9;
-/// Bytes in a kilobyte of `/proc`.
+/// Bytes in a "kB" of `/proc`.
 const KIBIBYTE: f64 = 1024.0;
-/// Bytes in a kilobyte of the reports.
+/// Bytes in a "kB" of the reports.
 const KILOBYTE: f64 = 1e3;
-/// Bytes in a megabyte of the reports.
+/// Bytes in a "MB" of the reports.
 const MEGABYTE: f64 = 1e6;
 
-/// What one gateway used over a run.
+/// The resource usage of one gateway over a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time, in seconds.
+    /// CPU time, in seconds.
     pub cpu_seconds: f64,
-    /// The peak of the resident memory, in bytes.
+    /// Peak resident memory, in bytes.
     pub peak_memory: f64,
-    /// The most descriptors that were open at a sample.
+    /// The largest number of open file descriptors in any sample.
     pub descriptors: f64,
-    /// Connections made to backends.
+    /// Connections opened to backends.
     pub connections: f64,
-    /// Bytes of lists and changes that discovery sent.
+    /// Bytes of endpoint lists and list changes that discovery sent.
     pub list_bytes: f64,
-    /// The fraction of the requests that were served.
+    /// The fraction of the requests that got a response with status 200.
     pub served: f64,
 }
 
 impl Usage {
-    /// Updates the peaks with a sample of a running process. Processor time is that of its present threads.
+    /// Updates the maxima with a sample of a running process. The CPU time is the sum over the threads that
+    /// exist now.
     ///
     /// # Errors
-    /// The process has ended.
-    pub(super) fn read(&mut self, process: &Process) -> procfs::ProcResult<()> {
+    /// The process has exited, or its entry in `/proc` cannot be read.
+    pub(super) fn update(&mut self, process: &Process) -> procfs::ProcResult<()> {
         let mut nanos = 0;
         for task in process.tasks()?.flatten() {
             nanos += task.schedstat()?.sum_exec_runtime;
@@ -46,47 +47,48 @@
     }
 }
 
-/// One resource at two sizes of the fleet, with its bound.
+/// The usage of one resource at two fleet sizes, with its bound.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// The resource, with its unit.
+    /// The name of the resource, with its unit.
     pub name: &'static str,
-    /// At the usual size.
+    /// The usage at the usual size.
     pub usual: f64,
-    /// At the larger size.
+    /// The usage at the larger size.
     pub large: f64,
     /// The bound at the larger size.
     pub bound: f64,
-    /// Whether the bound is a minimum; otherwise it is a maximum.
-    pub is_least: bool,
+    /// Whether the bound is a minimum rather than a maximum.
+    pub is_minimum: bool,
 }
 
 impl Row {
-    /// Whether the larger size is within its bound.
+    /// Whether the usage at the larger size is within its bound.
     pub fn holds(&self) -> bool {
-        if self.is_least { self.large >= self.bound } else { self.large <= self.bound }
+        if self.is_minimum { self.large >= self.bound } else { self.large <= self.bound }
     }
 }
 
-/// The platform's bounds on growth: for each resource a factor on its usage at the usual size, and an added allowance
-/// (for some by 1000 backends).
+/// Compares two usages by the platform's bounds on growth. The bound on a resource is its usage at the usual
+/// size times a factor, plus a fixed allowance and, for some resources, an allowance for every 1000 backends.
+/// Only the served fraction has a minimum: 85% of the one at the usual size.
 pub fn compare(usual: &Usage, large: &Usage, size: FleetSize) -> Vec<Row> {
-    let thousands = size.backends as f64 / 1000.0;
+    let thousand_backends = size.backends as f64 / 1000.0;
     let maximum = |name, usual: f64, large: f64, factor: f64, allowance: f64| Row {
         name,
         usual,
         large,
         bound: factor * usual + allowance,
-        is_least: false,
+        is_minimum: false,
     };
     vec![
-        maximum("CPU seconds", usual.cpu_seconds, large.cpu_seconds, 1.4, 0.02 + 0.03 * thousands),
+        maximum("CPU seconds", usual.cpu_seconds, large.cpu_seconds, 1.4, 0.02 + 0.03 * thousand_backends),
         maximum(
             "peak memory, MB",
             usual.peak_memory / MEGABYTE,
             large.peak_memory / MEGABYTE,
             1.5,
-            8.0 + 4.0 * thousands,
+            8.0 + 4.0 * thousand_backends,
         ),
         maximum("descriptors", usual.descriptors, large.descriptors, 2.0, 40.0),
         maximum("connections made to backends", usual.connections, large.connections, 2.5, 40.0),
@@ -95,14 +97,14 @@
             usual.list_bytes / KILOBYTE,
             large.list_bytes / KILOBYTE,
             2.0,
-            64.0 + 500.0 * thousands,
+            64.0 + 500.0 * thousand_backends,
         ),
         Row {
             name: "share served",
             usual: usual.served,
             large: large.served,
             bound: 0.85 * usual.served,
-            is_least: true,
+            is_minimum: true,
         },
     ]
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,9 @@
-//! A randomized fault soak: many `weirusher node` processes on loopback, clients and backends with every behaviour that the
-//! platform allows, and faults that overlap in time. An oracle checks what passed on the sockets against the rules.
+//! A randomized fault soak test: many `weirusher node` processes on loopback, clients and backends with every
+//! behaviour that the platform (the environment that gateways are deployed in) allows, and faults that
+//! overlap in time. A test oracle checks the recorded traffic against the platform's rules.
 //!
-//! A [`Plan`] is drawn from a seed. [`run`] runs it and returns a [`Report`] with the [`Finding`]s of the oracle.
-//! [`growth`] measures what one gateway uses at several sizes of its fleet.
+//! A [`Plan`] is generated from a seed. [`run`] executes it and returns a [`Report`] with the [`Finding`]s of
+//! the oracle. [`growth`] measures the resource usage of one gateway at several fleet sizes.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,14 +1,14 @@
-//! Runs soaks of several seeds, one after another, and prints their reports.
+//! Runs one soak per seed, sequentially, and prints the reports.
 
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use weirusher_soak::{Options, Plan, Report, run};
 
-/// A randomized fault soak of many gateway processes.
+/// Runs a randomized fault soak test of many gateway processes.
 #[derive(Parser)]
 struct Arguments {
-    /// The program under test.
+    /// The gateway executable under test.
     #[arg(long, default_value = "target/release/weirusher")]
     exe: PathBuf,
     /// The first seed.
@@ -17,16 +17,17 @@
     /// The number of seeds.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// The number of gateway processes; by default 10 to 40, by the seed.
+    /// The number of gateway processes; by default 10 to 40, depending on the seed.
     #[arg(long)]
     nodes: Option<usize>,
-    /// Seconds for which clients begin requests.
+    /// Seconds during which clients start new requests.
     #[arg(long, default_value_t = 15.0)]
     seconds: f64,
-    /// Leaves out series of signals, crowds, and clients that use their connections until the kill.
+    /// Leaves out signal series, connection floods (`crowd`), and clients that use a connection until the
+    /// process is killed.
     #[arg(long)]
     plain: bool,
-    /// The directory for configurations and logs of soaks with findings; without it they are deleted.
+    /// A directory that keeps the configurations and logs of soaks with findings; by default they are deleted.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
@@ -59,12 +60,12 @@
     ExitCode::from(u8::from(with_findings > 0))
 }
 
-/// 10 to 40 processes.
+/// The default number of gateway processes for a seed: 10 to 40.
 fn default_nodes(seed: u64) -> usize {
     10 + (seed as usize * 7) % 31
 }
 
-/// Runs a plan, prints its report, and keeps its files where there are findings.
+/// Runs a plan, prints its report, and keeps its files if there are findings and `--keep` is given.
 async fn run_seed(arguments: &Arguments, plan: Plan) -> std::io::Result<Report> {
     let dir = tempfile::tempdir()?;
     let name = format!("seed-{}", plan.seed);
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,27 +1,29 @@
-//! What a soak does, drawn from its seed.
+//! The plan of a soak, generated from a seed.
 
 use std::time::Duration;
 
-/// The shortest and longest deadline of a deployment, in seconds.
-const DEADLINE_RANGE: (f64, f64) = (1.0, 3.5);
-/// After SIGTERM the platform waits for the deadline, at most this many seconds,
-const MAX_SHUTDOWN_DEADLINE: f64 = 3.0;
-/// and this many more before SIGKILL.
-const KILL_MARGIN: f64 = 0.7;
-/// Seconds without faults at the start.
-const FAULT_FREE: f64 = 1.0;
-/// The shortest fault, and the most that the draw adds to it, in seconds.
-const FAULT_DURATION: (f64, f64) = (0.05, 2.5);
-/// On average each process has a fault every so many seconds: several faults overlap at any time.
-const FAULT_INTERVAL: f64 = 3.0;
-/// The least number of faults.
+/// The shortest and longest deadline that a plan may have, in seconds.
+const DEADLINE_RANGE_SECONDS: (f64, f64) = (1.0, 3.5);
+/// After SIGTERM the platform waits for the longest deadline, but for no more than this many seconds,
+const MAX_SHUTDOWN_DEADLINE_SECONDS: f64 = 3.0;
+/// and then for this many more, before it sends SIGKILL.
+const KILL_MARGIN_SECONDS: f64 = 0.7;
+/// Seconds without faults at the start of the soak.
+const FAULT_FREE_SECONDS: f64 = 1.0;
+/// The shortest duration of a fault, and the most that is added to it at random, in seconds.
+const FAULT_DURATION_SECONDS: (f64, f64) = (0.05, 2.5);
+/// Mean seconds between two faults per node: low enough for several faults to overlap at any time.
+const SECONDS_PER_NODE_FAULT: f64 = 3.0;
+/// The minimum number of faults in a plan.
 const MIN_FAULTS: usize = 4;
-/// Of the plans with hostile clients and signals, one in so many has crowds.
-const CROWD_INTERVAL: u64 = 3;
-/// Seconds for each series of signals, and for each crowd, of one such plan; there is one at least.
-const SERIES_INTERVAL: f64 = 2.0;
-const CROWD_SECONDS: f64 = 4.0;
-/// The least number of backends. Larger fleets may have one more for each [`NODES_PER_BACKEND`] nodes.
+/// Hostile plans whose seed is a multiple of this have crowds.
+const CROWD_SEED_MULTIPLE: u64 = 3;
+/// A hostile plan has one signal series for this many seconds of its duration, and at least one.
+const SECONDS_PER_SIGNAL_SERIES: f64 = 2.0;
+/// A hostile plan with crowds has one for this many seconds of its duration, and at least one.
+const SECONDS_PER_CROWD: f64 = 4.0;
+/// The minimum number of backends. Larger fleets have up to one more for every [`NODES_PER_BACKEND`] nodes,
+/// at random.
 const MIN_BACKENDS: usize = 4;
 const NODES_PER_BACKEND: usize = 4;
 const CLIENTS_PER_NODE: usize = 8;
@@ -29,48 +31,51 @@
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FaultKind {
-    /// A graceful shutdown (SIGTERM, and SIGKILL as early as the platform may), and a new process.
+    /// A graceful shutdown (SIGTERM, then SIGKILL as early as the platform may send it), and the start of a
+    /// new process.
     Restart,
-    /// SIGKILL, and a new process.
+    /// SIGKILL, and the start of a new process.
     Crash,
-    /// The process is stopped for a moment (SIGSTOP, SIGCONT).
+    /// The process is paused briefly (SIGSTOP, SIGCONT).
     Pause,
-    /// SIGHUP with a configuration that has other addresses of discovery and counter.
+    /// SIGHUP with a configuration that has different addresses of discovery and the counter.
     Reload,
-    /// SIGHUP with a file that is no valid configuration.
+    /// SIGHUP with an invalid configuration file.
     InvalidReload,
-    /// Discovery's agent answers nothing.
+    /// The discovery agent does not respond.
     SilentDiscovery,
-    /// Connections to discovery's agent are reset.
+    /// Connections to the discovery agent are reset.
     ResetDiscovery,
     /// A node cannot reach the counter.
     CounterUnreachable,
-    /// The counter is slow for all nodes.
+    /// The counter responds slowly to all nodes.
     SlowCounter,
-    /// Some responses of a backend are invalid, late or missing.
+    /// One in three responses of a backend is invalid, late or missing.
     SickBackend,
-    /// A backend responds to nothing.
+    /// A backend accepts requests and responds to none.
     HungBackend,
-    /// A backend is drained, removed from the list, and restarted.
+    /// A backend is drained, removed from the endpoint list, and restarted.
     DrainBackend,
-    /// A backend's connections break, and new ones are refused.
+    /// The connections of a backend are reset, and new ones are refused.
     DownBackend,
     /// A system call of a node fails.
     SystemCall,
-    /// Reads and writes of a node transfer few bytes at once.
+    /// Socket reads and writes of a node transfer only a few bytes per call.
     ShortTransfers,
-    /// A node is delayed after it has read its clock.
+    /// A node is delayed after it has read its monotonic clock.
     ProcessingDelay,
     /// The wall clock of a node is stepped.
     ClockStep,
-    /// Several signals in quick succession, with configurations that are invalid or cannot be read, and a shutdown among them.
+    /// Several signals in quick succession: reloads of configurations that are invalid or unreadable, and a
+    /// shutdown.
     SignalSeries,
-    /// More connections than a node has descriptors: idle, in the middle of a head, or with bytes as they are closed.
+    /// A flood of connections, more than a node has descriptors for: idle, with an incomplete request head,
+    /// or with bytes that arrive as the node closes them.
     Crowd,
 }
 
 impl FaultKind {
-    /// The kinds that are drawn for every plan.
+    /// The kinds that any plan may have.
     const ALL: [Self; 17] = [
         Self::Restart,
         Self::Crash,
@@ -91,7 +96,7 @@
         Self::ClockStep,
     ];
 
-    /// How often it is drawn, relative to the others.
+    /// The relative frequency of this kind.
     fn weight(self) -> u32 {
         match self {
             Self::Restart => 6,
@@ -102,17 +107,18 @@
         }
     }
 
+    /// Chooses a kind at random, by weight.
     fn draw(rng: &mut fastrand::Rng) -> Self {
         let mut remaining = rng.u32(0..Self::ALL.into_iter().map(Self::weight).sum());
-        let is_drawn = |kind: &Self| {
+        let is_chosen = |kind: &Self| {
             let found = remaining < kind.weight();
             remaining = remaining.saturating_sub(kind.weight());
             found
         };
-        Self::ALL.into_iter().find(is_drawn).unwrap_or(Self::Restart)
+        Self::ALL.into_iter().find(is_chosen).unwrap_or(Self::Restart)
     }
 
-    /// Its name in reports.
+    /// The name of the kind in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Restart => "restart",
@@ -138,16 +144,16 @@
     }
 }
 
-/// A fault of a plan.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins, since the start of the clients.
+    /// When the fault begins, as a time since the start of the clients.
     pub at: Duration,
-    /// How long it lasts, where its kind has a duration.
+    /// How long the fault lasts, if its kind has a duration.
     pub duration: Duration,
-    /// Its kind.
+    /// What fails.
     pub kind: FaultKind,
-    /// Its target and details are drawn from this.
+    /// The seed from which the target and the details are chosen.
     pub seed: u64,
 }
 
@@ -157,43 +163,47 @@
         Self::draw_of_kind(kind, rng, seconds)
     }
 
+    /// A fault of this kind at a random time; the product of two random numbers makes short faults the most
+    /// frequent.
     fn draw_of_kind(kind: FaultKind, rng: &mut fastrand::Rng, seconds: f64) -> Self {
-        let at = Duration::from_secs_f64(FAULT_FREE + rng.f64() * (seconds - FAULT_FREE).max(0.1));
-        let (shortest, added) = FAULT_DURATION;
-        let duration = Duration::from_secs_f64(shortest + added * rng.f64() * rng.f64());
+        let at =
+            Duration::from_secs_f64(FAULT_FREE_SECONDS + rng.f64() * (seconds - FAULT_FREE_SECONDS).max(0.1));
+        let (shortest, max_added) = FAULT_DURATION_SECONDS;
+        let duration = Duration::from_secs_f64(shortest + max_added * rng.f64() * rng.f64());
         Self { at, duration, kind, seed: rng.u64(..) }
     }
 }
 
-/// A soak.
+/// Everything that a soak does: the size of the fleet, its clients, and its faults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// The seed that the plan was generated from.
     pub seed: u64,
     /// The number of gateway processes.
     pub nodes: usize,
     /// The number of backends.
     pub backends: usize,
-    /// The number of clients, each with one connection at a time.
+    /// The number of clients, each of which has one connection at a time.
     pub clients: usize,
-    /// For how long clients begin requests.
+    /// How long clients start new requests.
     pub duration: Duration,
-    /// The deadline of all classes, in seconds.
+    /// The deadline of every request class, in seconds.
     pub deadline: f64,
-    /// The faults, in the order of their begin.
+    /// The faults, ordered by the times at which they begin.
     pub faults: Vec<PlannedFault>,
-    /// Some clients send on one connection without a pause until it ends, whatever the gateway says.
+    /// Whether some clients send on one connection without long pauses until it ends, even if a response asks
+    /// them to close it.
     pub persistent_clients: bool,
 }
 
 impl Plan {
-    /// Draws a plan for this many gateway processes, whose clients begin requests for `seconds`.
+    /// Generates a plan for this many gateway processes, whose clients start requests for `seconds`.
     pub fn new(seed: u64, nodes: usize, seconds: f64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (shortest, longest) = DEADLINE_RANGE;
+        let (shortest, longest) = DEADLINE_RANGE_SECONDS;
         let deadline = shortest + rng.f64() * (longest - shortest);
         let backends = MIN_BACKENDS + rng.usize(0..=nodes / NODES_PER_BACKEND);
-        let count = ((nodes as f64 * seconds / FAULT_INTERVAL) as usize).max(MIN_FAULTS);
+        let count = ((nodes as f64 * seconds / SECONDS_PER_NODE_FAULT) as usize).max(MIN_FAULTS);
         let mut faults: Vec<PlannedFault> =
             (0..count).map(|_| PlannedFault::draw(&mut rng, seconds)).collect();
         faults.sort_by_key(|fault| fault.at);
@@ -209,13 +219,16 @@
         }
     }
 
-    /// The same with series of signals, with clients that use their connections until the kill, and with crowds in some plans.
+    /// The plan of [`Plan::new`], with signal series and persistent clients in addition, and with crowds for
+    /// some seeds.
     pub fn hostile(seed: u64, nodes: usize, seconds: f64) -> Self {
         let mut plan = Self::new(seed, nodes, seconds);
         let mut rng = fastrand::Rng::with_seed(!seed);
-        let count = |interval: f64| ((seconds / interval) as usize).max(1);
-        let crowds = if seed.is_multiple_of(CROWD_INTERVAL) { count(CROWD_SECONDS) } else { 0 };
-        for (kind, count) in [(FaultKind::SignalSeries, count(SERIES_INTERVAL)), (FaultKind::Crowd, crowds)] {
+        let count = |seconds_per_fault: f64| ((seconds / seconds_per_fault) as usize).max(1);
+        let crowds = if seed.is_multiple_of(CROWD_SEED_MULTIPLE) { count(SECONDS_PER_CROWD) } else { 0 };
+        for (kind, count) in
+            [(FaultKind::SignalSeries, count(SECONDS_PER_SIGNAL_SERIES)), (FaultKind::Crowd, crowds)]
+        {
             plan.faults.extend((0..count).map(|_| PlannedFault::draw_of_kind(kind, &mut rng, seconds)));
         }
         plan.faults.sort_by_key(|fault| fault.at);
@@ -223,8 +236,8 @@
         plan
     }
 
-    /// From SIGTERM to the earliest SIGKILL of the platform.
+    /// The time from SIGTERM to the earliest time at which the platform may send SIGKILL.
     pub fn kill_after(&self) -> Duration {
-        Duration::from_secs_f64(self.deadline.min(MAX_SHUTDOWN_DEADLINE) + KILL_MARGIN)
+        Duration::from_secs_f64(self.deadline.min(MAX_SHUTDOWN_DEADLINE_SECONDS) + KILL_MARGIN_SECONDS)
     }
 }
--- a/crates/soak/src/readiness.rs
+++ b/crates/soak/src/readiness.rs
@@ -1,10 +1,10 @@
-//! The readiness check of the platform.
+//! The readiness check, as the platform performs it.
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Whether the gateway that listens there responds that it is ready.
+/// Whether the gateway that listens at `listen` reports that it is ready (status 200).
 pub async fn is_ready(listen: SocketAddr) -> bool {
     const REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let Ok(mut stream) = TcpStream::connect(listen).await else { return false };
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a soak did and found.
+//! The summary of a soak.
 
 use crate::oracle::Finding;
 use crate::plan::Plan;
@@ -6,31 +6,31 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a soak did and found.
+/// A summary of a soak: what was run, which faults were injected, and what the oracle found.
 #[derive(Debug)]
 pub struct Report {
-    /// The plan.
+    /// The plan that was run.
     pub plan: Plan,
-    /// The number of requests by outcome: the status of their response, or the name of another outcome.
+    /// The number of requests by outcome: the status of the response, or a name if there was no complete response.
     pub outcomes: BTreeMap<String, u64>,
-    /// Attempts that backends received.
+    /// The number of attempts that backends received.
     pub attempts: usize,
-    /// Processes that were started.
+    /// The number of gateway processes that were started.
     pub processes: usize,
-    /// Processes that were killed as their shutdown took too long.
+    /// The number of processes that were sent SIGKILL because their shutdown took too long.
     pub killed: usize,
-    /// Faults by kind.
+    /// The number of injected faults by kind.
     pub faults: BTreeMap<&'static str, u64>,
-    /// System calls and clock readings that the shim changed.
+    /// The number of system calls and clock readings that the fault shim altered.
     pub injected: u64,
     /// The largest delay of this program's own timers, in seconds.
     pub timer_lag: f64,
-    /// Violations of the rules.
+    /// The violations of the rules.
     pub findings: Vec<Finding>,
 }
 
 impl Report {
-    /// Sums the records up.
+    /// Summarizes the records.
     pub(crate) fn new(plan: Plan, records: &Records, injected: u64, findings: Vec<Finding>) -> Self {
         let mut outcomes = BTreeMap::new();
         for request in &records.requests {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan from the start of its fleet to the findings.
+//! Runs a plan: starts the fleet, runs clients and faults, stops the fleet, and checks the records.
 
 use crate::client::Clients;
 use crate::faults;
@@ -15,21 +15,21 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often this program measures the delay of its own timers.
+/// The interval at which this program measures the delay of its own timers.
 const TIMER_LAG_INTERVAL: Duration = Duration::from_millis(5);
-/// After the end of the nodes: within this, backends observe the ends of the last attempts.
-const ATTEMPTS_END: Duration = Duration::from_millis(100);
+/// The time after the exit of the nodes within which backends observe the ends of the last attempts.
+const LAST_ATTEMPTS_DELAY: Duration = Duration::from_millis(100);
 
-/// Runs a plan to its end.
+/// Runs a plan to its end and checks what was recorded.
 ///
 /// # Errors
-/// The fleet does not start, or a process, configuration or log cannot be used.
+/// The fleet does not start, a process cannot be restarted, or a configuration or log cannot be read or written.
 pub async fn run(plan: Plan, options: &Options) -> io::Result<Report> {
     let fleet = Fleet::start(&plan, options).await?;
     let timer_lag = tokio::spawn(measure_timer_lag(fleet.recorder.clone()));
     run_clients_and_faults(&fleet, &plan).await?;
     stop_nodes(&fleet).await;
-    sleep(ATTEMPTS_END).await;
+    sleep(LAST_ATTEMPTS_DELAY).await;
     timer_lag.abort();
     let injected = fleet.nodes.iter().map(|node| node.shim.total()).sum();
     let logs = read_logs(&fleet)?;
@@ -38,7 +38,7 @@
     Ok(Report::new(plan, &records, injected, findings))
 }
 
-/// Runs all clients and injects all faults; returns once they have ended.
+/// Runs all clients and injects all faults; returns once both have ended.
 async fn run_clients_and_faults(fleet: &Arc<Fleet>, plan: &Plan) -> io::Result<()> {
     let clients = Arc::new(Clients {
         nodes: fleet.nodes.clone(),
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// Stops all nodes at once.
+/// Stops all nodes concurrently.
 async fn stop_nodes(fleet: &Fleet) {
     let mut tasks = JoinSet::new();
     for node in fleet.nodes.clone() {
@@ -78,7 +78,7 @@
     fleet.nodes.iter().map(|node| read(&node.log)).collect()
 }
 
-/// Records by how much this program's own timers are late, until it is aborted.
+/// Records the largest delay of this program's own timers, until the task is aborted.
 async fn measure_timer_lag(recorder: Recorder) {
     loop {
         let due = Instant::now() + TIMER_LAG_INTERVAL;
