--- a/crates/soak/src/growth/site.rs
+++ b/crates/soak/src/growth/site.rs
@@ -7,7 +7,7 @@
 use crate::plan::Plan;
 use crate::readiness::is_ready;
 use crate::record::Class;
-use crate::wire::{self, Draft, NodeConfig, Response};
+use crate::wire::{self, NodeConfig, PreparedRequest, Response};
 use procfs::process::Process;
 use std::io;
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
         listen,
         discovery: discovery.agent.address(),
         counter,
-        known: wire::list(1, &discovery.endpoints),
+        initial_list: wire::list(1, &discovery.endpoints),
         seed: options.seed,
     };
     let file = options.dir.join("growth.json");
@@ -171,9 +171,17 @@
     while Instant::now() < end {
         ticks.tick().await;
         let id = format!("{:016x}", (number as u64) << 32 | u64::from(counts.sent));
-        let draft = Draft::new(&plan, MEASURED_NODE, id, Class::Idempotent, None, DEADLINE_SECONDS, &mut rng);
+        let request = PreparedRequest::new(
+            &plan,
+            MEASURED_NODE,
+            id,
+            Class::Idempotent,
+            None,
+            DEADLINE_SECONDS,
+            &mut rng,
+        );
         counts.sent += 1;
-        match timeout(WAIT_TIMEOUT, exchange(&mut stream, listen, &draft.bytes)).await {
+        match timeout(WAIT_TIMEOUT, exchange(&mut stream, listen, &request.bytes)).await {
             Ok(Ok(status)) => counts.served += u32::from(status == 200),
             _ => stream = None,
         }
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -175,7 +175,7 @@
 
     fn write_config(&self) -> io::Result<()> {
         let active = *self.active_link.lock().expect("no task panics while it has the lock");
-        let known = {
+        let initial_list = {
             let agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
             wire::list(agent_state.index, &agent_state.endpoints)
         };
@@ -184,7 +184,7 @@
             listen: self.listen,
             discovery: self.discovery[active].address,
             counter: self.counter[active].address,
-            known,
+            initial_list,
             seed: fastrand::u64(..),
         }
         .to_json(&self.plan);
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,25 +1,25 @@
-//! What passed on the sockets, as clients and backends observed it on one clock.
+//! Requests, attempts and process events, as clients, backends and the test driver observed them on one clock.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
 
-/// How often requests of a class may be executed.
+/// A request class, by how often its requests may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Class {
-    /// Idempotent: any number of times.
+    /// Any number of times.
     Idempotent,
-    /// Backends recognize repeats within a window.
+    /// Several times within the window in which backends recognize repeats.
     Deduplicated,
     /// At most once.
     AtMostOnce,
 }
 
 impl Class {
-    /// All classes, in the order of the settings.
+    /// All classes, in the order of the gateway's settings.
     pub const ALL: [Self; 3] = [Self::Idempotent, Self::Deduplicated, Self::AtMostOnce];
 
-    /// The name of the class in the settings.
+    /// The name of the class in the gateway's settings.
     pub fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "read",
@@ -29,190 +29,191 @@
     }
 }
 
-/// One process of a node.
+/// Identifies one of the successive processes of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Incarnation {
-    /// The node.
+    /// The number of the node.
     pub node: usize,
-    /// The node's processes are numbered from 0.
+    /// The number of the process among those of its node, from 0.
     pub number: usize,
 }
 
-/// How a request ended for its client.
+/// The end of a request, as its client observed it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     /// A complete response.
     Response {
-        /// Its status code.
+        /// The status code.
         status: u16,
-        /// Its body.
+        /// The body.
         body: String,
     },
-    /// The connection was reset: the gateway had not read the request.
+    /// The connection was reset, which means that the gateway had not read the request.
     ResetUnread,
     /// The connection was closed after the gateway had read the request, without a complete response.
     ClosedUnanswered,
-    /// No complete response came until well after the deadline.
+    /// The client gave up well after the deadline, without a complete response.
     TimedOut,
-    /// The client closed its connection first.
+    /// The client closed its connection before it had a response.
     ClientClosed,
 }
 
-/// A request that was written completely to an open connection.
+/// A request that was written completely to an open connection, or a part of one that a stalled client left
+/// incomplete.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its id.
+    /// The id that the client gave it.
     pub id: String,
-    /// The process that it was sent to.
+    /// The gateway process that it was sent to.
     pub incarnation: Incarnation,
-    /// Its class.
+    /// The request class.
     pub class: Class,
-    /// The number of its customer, where that has a ceiling.
+    /// The number of the customer, if that has a ceiling.
     pub limited_customer: Option<usize>,
-    /// When its last byte was written.
+    /// When the last byte was written; for a pipelined request, when the request before it had ended.
     pub sent_at: Instant,
-    /// How long its client waits, in seconds.
+    /// The client's deadline, in seconds after `sent_at`.
     pub time_budget: f64,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
-    /// When it ended.
+    /// When the request ended.
     pub ended_at: Instant,
-    /// The name of its client's behaviour.
+    /// The name of the client's behaviour on this connection.
     pub behaviour: &'static str,
 }
 
-/// A request as a backend received it.
+/// An attempt: a request as a backend received it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The request's id.
+    /// The id of the request.
     pub id: String,
-    /// The backend's number.
+    /// The number of the backend.
     pub backend: usize,
     /// When the first byte was received.
     pub first_byte_at: Instant,
     /// When the last byte was received.
     pub received_at: Instant,
-    /// The timeout that the gateway passed with the attempt, in seconds.
+    /// The timeout that the gateway passed with the attempt, in seconds; infinite if it passed none.
     pub timeout: f64,
-    /// The backend rejected the attempt before execution.
+    /// Whether the backend rejected the attempt before it executed the request.
     pub not_executed: bool,
-    /// When the response was written, or the connection ended.
+    /// When the response was written completely or the connection ended; `None` before that.
     pub ended_at: Option<Instant>,
 }
 
-/// A change of a backend's status, as discovery sends it to a node.
+/// A change of a backend's status, as discovery sent it to a node.
 #[derive(Debug, Clone, Copy)]
 pub struct BackendUpdate {
-    /// From when on the node counts as notified.
+    /// When discovery sent it. The node counts as notified from then on, unless a [`Deferral`] covers this time.
     pub at: Instant,
-    /// The backend.
+    /// The number of the backend.
     pub backend: usize,
     /// Whether the backend accepts new requests.
     pub serving: bool,
 }
 
-/// The SIGKILL that a process got.
+/// A SIGKILL that a process was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Kill {
-    /// When it was sent.
+    /// When the signal was sent.
     pub at: Instant,
-    /// Whether it was an injected crash; otherwise it ended a graceful shutdown that took too long.
+    /// Whether this was an injected crash rather than the end of a graceful shutdown that took too long.
     pub is_crash: bool,
 }
 
-/// How a process ended.
+/// How a process exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitKind {
     /// With status 0, or by SIGKILL.
     Expected,
-    /// By SIGTERM itself: it had not begun to watch for it.
+    /// By SIGTERM's default action: the process had not installed its signal handler yet.
     Terminated,
-    /// In any other way.
+    /// In any other way, such as a panic or an error status.
     Failed,
 }
 
-/// The end of a process.
+/// The exit of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Exit {
-    /// When it was observed.
+    /// When the exit was observed.
     pub at: Instant,
-    /// How it ended.
+    /// How the process exited.
     pub how: ExitKind,
 }
 
-/// A span in which updates may reach a node late: those within it count as notified at its end.
+/// A time span in which updates may reach a node late: the node counts as notified of them at its end.
 #[derive(Debug, Clone, Copy)]
 pub struct Deferral {
-    /// Its begin.
+    /// The begin of the span.
     pub from: Instant,
-    /// Its end.
+    /// The end of the span.
     pub until: Instant,
 }
 
-/// A process of a node.
+/// What was observed of one process of a node.
 #[derive(Debug, Clone)]
 pub struct Process {
-    /// When it was started.
+    /// When the process was started.
     pub started_at: Instant,
-    /// It answered the readiness check.
+    /// Whether it passed a readiness check.
     pub was_ready: bool,
-    /// When it was sent SIGTERM.
+    /// When it was sent SIGTERM, if it was.
     pub terminated_at: Option<Instant>,
-    /// The SIGKILL that it was sent.
+    /// The SIGKILL that it was sent, if any.
     pub kill: Option<Kill>,
-    /// How it ended.
+    /// Its exit, once that was observed.
     pub exit: Option<Exit>,
-    /// The updates that it was sent.
+    /// The status of each backend at its start, and the changes that it was sent later.
     pub backend_updates: Vec<BackendUpdate>,
-    /// Reloads and outages of discovery, which defer updates.
+    /// Reloads and outages, which delay updates.
     pub deferrals: Vec<Deferral>,
 }
 
 impl Process {
-    /// From when on the process counts as notified of an update that was sent at `at`.
+    /// The time from which the process counts as notified of an update that was sent at `at`.
     pub fn notified_at(&self, at: Instant) -> Instant {
         let deferrals = self.deferrals.iter().filter(|span| span.from <= at && at <= span.until);
         deferrals.map(|span| span.until).max().unwrap_or(at)
     }
 }
 
-/// A backend that was restarted: it is listed again and in slow start.
+/// The restart of a backend, which is listed again and in slow start from then on.
 #[derive(Debug, Clone, Copy)]
 pub struct BackendRestart {
-    /// The backend.
+    /// The number of the backend.
     pub backend: usize,
     /// When it was listed again.
     pub at: Instant,
 }
 
-/// All that was recorded.
+/// Everything that was recorded during a soak.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Requests in the order of their ends.
+    /// Requests, in the order in which they ended.
     pub requests: Vec<Request>,
-    /// Attempts in the order of their arrival.
+    /// Attempts, in the order in which backends received them.
     pub attempts: Vec<Attempt>,
-    /// Processes.
+    /// The processes of all nodes.
     pub processes: HashMap<Incarnation, Process>,
-    /// Restarts of backends during the soak.
+    /// Restarts of backends.
     pub backend_restarts: Vec<BackendRestart>,
-    /// How often each fault was injected.
+    /// The number of injected faults, by the name of their kind.
     pub faults: HashMap<&'static str, u64>,
-    /// The largest delay of this program's own timers, in seconds: all times are uncertain by as much.
+    /// The largest delay of this program's own timers, in seconds. Every recorded time may be wrong by as much.
     pub timer_lag: f64,
 }
 
-/// The records while a soak runs, shared by its tasks.
+/// Shared access to the records for the tasks of a running soak.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder(Arc<Mutex<Records>>);
 
 impl Recorder {
-    /// Reads or changes the records.
+    /// Calls `change` with the records locked.
     pub fn with<T>(&self, change: impl FnOnce(&mut Records) -> T) -> T {
-        change(&mut self.0.lock().expect("no task panics while it has the lock"))
+        change(&mut self.0.lock().expect("no task panics while holding the lock"))
     }
 
-    /// Takes the records out.
+    /// Takes the records, and leaves empty ones.
     pub fn take(&self) -> Records {
         self.with(std::mem::take)
     }
@@ -222,7 +223,7 @@
         self.with(|records| *records.faults.entry(name).or_default() += 1);
     }
 
-    /// Changes the record of a process, where there is one.
+    /// Changes the record of a process, if there is one.
     pub fn update_process(&self, incarnation: Incarnation, change: impl FnOnce(&mut Process)) {
         self.with(|records| {
             if let Some(process) = records.processes.get_mut(&incarnation) {
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,4 +1,5 @@
-//! The bytes of requests and responses, the settings of the soak's deployment, and a node's configuration.
+//! The bytes of requests and responses, the documents of discovery, and the configuration of a node with the
+//! settings that all nodes of a soak share.
 
 use crate::endpoint_list::Endpoint;
 use crate::plan::Plan;
@@ -8,50 +9,51 @@
 
 /// The number of customers with a ceiling.
 pub const LIMITED_CUSTOMERS: usize = 4;
-/// Units a second that a customer with a ceiling may use over all nodes.
+/// The ceiling of such a customer over all nodes, in units per second.
 pub const CEILING_RATE: f64 = 30.0;
-/// Units that it may use at once.
+/// The burst of that ceiling: units that the customer may use at once.
 pub const CEILING_BURST: f64 = 30.0;
-/// Seconds after the notification of a drain within which attempts may still begin.
+/// Seconds after a node is notified of a drain within which it may still start attempts at the backend.
 pub const DRAIN_GRACE: f64 = 0.5;
-/// Seconds for which backends recognize repeats of the deduplicated class.
+/// Seconds for which backends recognize repeated requests of the deduplicated class.
 pub const DEDUPLICATION_WINDOW: f64 = 1.5;
-/// The fraction of its capacity that a backend has at the begin of its slow start.
+/// The fraction of its full capacity that a backend has when its slow start begins.
 pub const SLOW_START_FRACTION: f64 = 0.1;
 /// The duration of a slow start, in seconds.
 pub const SLOW_START_SECONDS: f64 = 6.0;
-/// A backend in slow start is overloaded by more than this multiple of its capacity
+/// A backend in slow start counts as overloaded if it receives more than this multiple of its current capacity
 pub const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// over this many seconds.
+/// within this many seconds.
 pub const OVERLOAD_SECONDS: f64 = 1.0;
 
-/// Seconds of a request's deadline to microseconds.
-const MICROS: f64 = 1e6;
-/// The ids of customers with a ceiling begin here; other ids are lower.
-const FIRST_LIMITED_ID: u64 = 0xca00;
-/// How many other customers a node serves.
-const OTHER_CUSTOMERS: usize = 200;
-/// The most nodes that a customer's requests are spread over.
+/// Microseconds per second.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// The id of the first customer with a ceiling; customers without one have lower ids.
+const FIRST_LIMITED_CUSTOMER_ID: u64 = 0xca00;
+/// The number of customers without a ceiling that each node serves.
+const UNLIMITED_CUSTOMERS_PER_NODE: usize = 200;
+/// The largest number of nodes that the requests of one customer are spread over.
 const MAX_SPREAD: usize = 8;
 
-/// A request that is to be written.
+/// A request that has not been written yet.
 #[derive(Debug, Clone)]
-pub struct Draft {
-    /// Its id.
+pub struct PreparedRequest {
+    /// The id of the request.
     pub id: String,
-    /// Its class.
+    /// The request class.
     pub class: Class,
-    /// The number of its customer, where that has a ceiling.
+    /// The number of the customer, if that has a ceiling.
     pub limited_customer: Option<usize>,
-    /// How long its client waits, in seconds.
+    /// The client's deadline, in seconds.
     pub time_budget: f64,
-    /// The request.
+    /// The request as it is written to the connection.
     pub bytes: Vec<u8>,
 }
 
-impl Draft {
-    /// A request to `node`: of the customer with a ceiling that is named, if that node serves it, or of any other that it
-    /// serves. A customer's requests reach only the nodes of its set.
+impl PreparedRequest {
+    /// Prepares a request to `node`. Its customer is `limited_customer` if that node serves it, and otherwise
+    /// a random customer without a ceiling that the node serves: the requests of a customer are sent only to
+    /// the `spread` nodes from its first one on.
     pub fn new(
         plan: &Plan,
         node: usize,
@@ -64,11 +66,11 @@
         let spread = plan.nodes.min(MAX_SPREAD);
         let first_node = |customer: u64| customer as usize % plan.nodes;
         let serves = |customer: u64| (node + plan.nodes - first_node(customer)) % plan.nodes < spread;
-        let limited_id = |number: usize| FIRST_LIMITED_ID + number as u64;
+        let limited_id = |number: usize| FIRST_LIMITED_CUSTOMER_ID + number as u64;
         let limited_customer = limited_customer.filter(|number| serves(limited_id(*number)));
         let (plan_name, customer) = match limited_customer {
             Some(number) => ("capped", limited_id(number)),
-            None => ("wide", draw_customer(plan.nodes, spread, node, rng)),
+            None => ("wide", random_unlimited_customer(plan.nodes, spread, node, rng)),
         };
         let first = first_node(customer);
         let is_idempotent = class == Class::Idempotent;
@@ -80,34 +82,35 @@
             "{method} /api/{customer:016x} HTTP/1.1\r\nHost: soak\r\nX-Trace-Id: {id}\r\nX-Qos: {}\r\nPlan: {plan_name}\r\n\
              X-Expires-In: {}u\r\nQuota-Info: units=1,spread={spread},first={first}\r\n{length}\r\n{body}",
             class.name(),
-            (time_budget * MICROS) as u64,
+            (time_budget * MICROS_PER_SECOND) as u64,
         );
         Self { id, class, limited_customer, time_budget, bytes: text.into_bytes() }
     }
 }
 
-/// A customer without a ceiling that `node` serves.
-fn draw_customer(nodes: usize, spread: usize, node: usize, rng: &mut fastrand::Rng) -> u64 {
-    let drawn = rng.usize(0..OTHER_CUSTOMERS);
-    let first = (node + nodes - drawn % spread) % nodes;
-    (first + nodes * (drawn / spread)) as u64
+/// The id of a random customer without a ceiling that `node` serves.
+fn random_unlimited_customer(nodes: usize, spread: usize, node: usize, rng: &mut fastrand::Rng) -> u64 {
+    let customer_index = rng.usize(0..UNLIMITED_CUSTOMERS_PER_NODE);
+    let first = (node + nodes - customer_index % spread) % nodes;
+    (first + nodes * (customer_index / spread)) as u64
 }
 
 /// A complete response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// Its status code.
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body.
     pub body: String,
-    /// The length of head and body together, in bytes.
+    /// The length of the head and the body together, in bytes.
     pub len: usize,
 }
 
 impl Response {
-    /// The response that `bytes` begin with; `None` while it is not complete.
+    /// Parses the response at the start of `bytes`; `None` while it is incomplete, and for one without a
+    /// content length.
     pub fn parse(bytes: &[u8]) -> Option<Self> {
-        let head_len = bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
+        let head_len = bytes.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
         let head = std::str::from_utf8(&bytes[..head_len]).ok()?.to_ascii_lowercase();
         let status = head.split(' ').nth(1)?.parse().ok()?;
         let body_len: usize = head.split("content-length: ").nth(1)?.split("\r\n").next()?.parse().ok()?;
@@ -117,7 +120,7 @@
     }
 }
 
-/// A list of backends in discovery's form.
+/// The complete endpoint list of version `index`, as discovery's JSON document.
 pub fn list(index: u64, endpoints: &[Endpoint]) -> Value {
     let entry = |endpoint: &Endpoint| {
         json!({"name": backend_name(endpoint.number), "address": endpoint.address, "zone": zone(endpoint.number),
@@ -126,11 +129,12 @@
     json!({"index": index, "snapshot": true, "endpoints": endpoints.iter().map(entry).collect::<Vec<_>>()})
 }
 
-/// The name of a backend.
+/// The name of a backend in the endpoint list.
 pub fn backend_name(number: usize) -> String {
     format!("s-{number:04}")
 }
 
+/// The zone of a backend: they alternate between two zones.
 fn zone(number: usize) -> &'static str {
     ["a", "b"][number % 2]
 }
@@ -138,26 +142,26 @@
 /// The part of a node's configuration that differs between nodes.
 #[derive(Debug, Clone)]
 pub struct NodeConfig {
-    /// The node's number.
+    /// The number of the node.
     pub node: usize,
-    /// Where it listens.
+    /// The address that it listens at.
     pub listen: SocketAddr,
-    /// Discovery's agent.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// The counter.
+    /// The address of the counter.
     pub counter: SocketAddr,
-    /// The list of backends that it knows at its start.
-    pub known: Value,
-    /// The seed of its random numbers.
+    /// The endpoint list that the node starts with.
+    pub initial_list: Value,
+    /// The seed of the node's random numbers.
     pub seed: u64,
 }
 
 impl NodeConfig {
-    /// The file, with the settings of the soak.
+    /// The text of the configuration file, with the settings that all nodes share.
     pub fn to_json(&self, plan: &Plan) -> String {
         json!({
             "name": format!("n{}", self.node), "listen": self.listen, "discovery": self.discovery,
-            "counter": self.counter, "seed": format!("{:016x}", self.seed), "known": self.known,
+            "counter": self.counter, "seed": format!("{:016x}", self.seed), "known": self.initial_list,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
             "settings": {
                 "PeersTotal": plan.nodes, "Me": self.node, "Locality": self.node % 2, "Dcs": ["a", "b"], "Step": 0.002,
