--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -1,4 +1,5 @@
-//! A backend: it records each attempt that it receives, and responds with every behaviour that the platform allows.
+//! A backend, which records each attempt that it receives and responds with the behaviours that the platform
+//! allows.
 
 use crate::record::{Attempt, Recorder};
 use crate::wire::backend_name;
@@ -16,54 +17,55 @@
 use weirusher_wire::http1::{Request, ServerCodec};
 
 const LISTEN_BACKLOG: u32 = 1024;
-/// A slow response takes so many times its usual delay longer.
+/// A slow response is delayed by this many times its usual delay in addition.
 const SLOW_FACTOR: u32 = 60;
-/// Between two responses to one request.
+/// The time between the two responses of [`Reply::Twice`].
 const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(3);
-/// How often an attempt's connection is checked for a close while it has unread bytes.
+/// The interval at which the connection of an attempt is checked for a close while it has unread bytes.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The health of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Quick responses, and one in 50 is slow.
+    /// Responses are complete, and one in 50 is slow.
     Healthy,
-    /// One in three responses is invalid, late or missing.
-    Sick,
-    /// It accepts requests and responds to none.
+    /// One in three responses is invalid, late, an error or missing.
+    Faulty,
+    /// Requests are accepted and get no response.
     Hung,
-    /// It refuses connections and resets those that are open.
+    /// New connections are refused, and open ones are reset.
     Down,
 }
 
-/// How a request is answered.
+/// How the backend responds to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reply {
     /// A complete response.
     Complete,
-    /// A complete response, [`SLOW_FACTOR`] times as late.
+    /// A complete response, much later: see [`SLOW_FACTOR`].
     Slow,
     /// A complete response, a few bytes at a time.
     Trickled,
-    /// No response on an open connection.
+    /// No response; the connection stays open.
     Nothing,
-    /// Status 500.
+    /// A response with status 500.
     Error,
-    /// A rejection before execution.
+    /// A response that tells that the request was rejected before execution.
     NotExecuted,
     /// A reset of the connection.
     Reset,
-    /// Half of a response, and a close.
+    /// The first half of a response, and then a close.
     Truncated,
-    /// Bytes that are no HTTP.
+    /// Bytes that are not HTTP.
     Garbage,
     /// Two complete responses.
     Twice,
-    /// A response without a length, which a close ends.
+    /// A response without a content length, ended by a close.
     WithoutLength,
 }
 
 impl Reply {
+    /// Chooses a reply at random, depending on the health of the backend.
     fn draw(health: Health, rng: &mut fastrand::Rng) -> Self {
         const FAULTY: [Reply; 10] = [
             Reply::Slow,
@@ -79,7 +81,7 @@
         ];
         match health {
             Health::Healthy if rng.u8(0..50) == 0 => Self::Slow,
-            Health::Sick if rng.u8(0..3) == 0 => FAULTY[rng.usize(0..FAULTY.len())],
+            Health::Faulty if rng.u8(0..3) == 0 => FAULTY[rng.usize(0..FAULTY.len())],
             Health::Hung => Self::Nothing,
             _ => Self::Complete,
         }
@@ -95,7 +97,7 @@
 
 /// A backend. Dropping it closes its listener and resets its connections.
 pub struct Backend {
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     tasks: Mutex<JoinSet<()>>,
@@ -105,7 +107,7 @@
     /// Starts a healthy backend.
     ///
     /// # Errors
-    /// No port can be bound.
+    /// No address can be bound.
     pub async fn start(number: usize, recorder: Recorder, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -113,13 +115,14 @@
         let shared = Arc::new(Shared { number, recorder, health, rng });
         let tasks = Mutex::new(JoinSet::new());
         let backend = Self { address, shared, tasks };
-        backend.listen(listener);
+        backend.spawn_accept_loop(listener);
         Ok(backend)
     }
 
-    fn listen(&self, listener: TcpListener) {
+    /// Spawns the task that accepts connections.
+    fn spawn_accept_loop(&self, listener: TcpListener) {
         let shared = self.shared.clone();
-        self.tasks.lock().expect("no task panics while it has the lock").spawn(async move {
+        self.tasks.lock().expect("no task panics while holding the lock").spawn(async move {
             let mut connections = JoinSet::new();
             loop {
                 tokio::select! {
@@ -132,12 +135,12 @@
         });
     }
 
-    /// Changes the health. [`Health::Down`] aborts the listener and all connections; after it the backend listens at its old
-    /// address again.
+    /// Changes the health. [`Health::Down`] closes the listener and all connections; any other health after
+    /// it makes the backend listen at its old address again.
     pub async fn set_health(&self, health: Health) {
         let previous = self.shared.health.send_replace(health);
         if health == Health::Down {
-            self.tasks.lock().expect("no task panics while it has the lock").abort_all();
+            self.tasks.lock().expect("no task panics while holding the lock").abort_all();
         } else if previous == Health::Down {
             let socket = TcpSocket::new_v4();
             let bound = socket.and_then(|socket| {
@@ -145,9 +148,9 @@
                 socket.bind(self.address)?;
                 socket.listen(LISTEN_BACKLOG)
             });
-            // Another process may have taken the port: the backend stays down.
+            // Another process may have bound the port in the meantime; the backend stays down then.
             if let Ok(listener) = bound {
-                self.listen(listener);
+                self.spawn_accept_loop(listener);
             }
         }
     }
@@ -156,6 +159,7 @@
 /// Records the end of an attempt when it is dropped, however its connection ends.
 struct AttemptGuard<'a> {
     shared: &'a Shared,
+    /// The index of the attempt in the records.
     index: usize,
 }
 
@@ -168,8 +172,9 @@
     }
 }
 
+/// Serves the requests of one connection until it ends.
 async fn serve(mut stream: TcpStream, shared: Arc<Shared>) {
-    let _ = stream.set_nodelay(true); // Without it responses are merely slower.
+    let _ = stream.set_nodelay(true); // An error only delays responses.
     let (mut codec, mut buffer) = (ServerCodec::default(), BytesMut::new());
     let mut first_byte_at = None;
     loop {
@@ -179,7 +184,7 @@
         match codec.decode(&mut buffer) {
             Ok(Some(request)) => {
                 let first_byte_at = first_byte_at.take().unwrap_or_else(Instant::now);
-                if !answer(&stream, &shared, &request, first_byte_at).await {
+                if !handle_request(&stream, &shared, &request, first_byte_at).await {
                     return;
                 }
             }
@@ -194,8 +199,8 @@
     }
 }
 
-/// The timeout that the gateway passed, in seconds; infinite where there is none.
-fn timeout(request: &Request) -> f64 {
+/// The timeout that the gateway passed with an attempt, in seconds; infinite if it passed none.
+fn attempt_timeout(request: &Request) -> f64 {
     let text = request.headers.get("x-expires-in").unwrap_or("");
     let (number, unit_seconds) = match text.strip_suffix('m') {
         Some(number) => (number, 1e-3),
@@ -204,11 +209,16 @@
     number.parse().map_or(f64::INFINITY, |number: f64| number * unit_seconds)
 }
 
-/// Records and answers a request; returns `false` once the connection is over.
-async fn answer(stream: &TcpStream, shared: &Shared, request: &Request, first_byte_at: Instant) -> bool {
+/// Records a request and responds to it; returns `false` once the connection has ended.
+async fn handle_request(
+    stream: &TcpStream,
+    shared: &Shared,
+    request: &Request,
+    first_byte_at: Instant,
+) -> bool {
     let id = request.headers.get("x-trace-id").unwrap_or("").to_string();
     let (reply, delay) = {
-        let rng = &mut shared.rng.lock().expect("no task panics while it has the lock");
+        let rng = &mut shared.rng.lock().expect("no task panics while holding the lock");
         (Reply::draw(*shared.health.borrow(), rng), Duration::from_micros(rng.u64(500..20_000)))
     };
     let body = format!("done {id} {}", backend_name(shared.number));
@@ -217,7 +227,7 @@
         backend: shared.number,
         first_byte_at,
         received_at: Instant::now(),
-        timeout: timeout(request),
+        timeout: attempt_timeout(request),
         not_executed: reply == Reply::NotExecuted,
         ended_at: None,
     };
@@ -226,15 +236,15 @@
         records.attempts.len() - 1
     });
     let _guard = AttemptGuard { shared, index };
-    // The gateway closes the connection of an attempt that it cancels.
+    // The gateway cancels an attempt by closing its connection.
     tokio::select! {
         stays_open = write_reply(stream, reply, &body, delay) => stays_open,
-        () = closed(stream) => false,
+        () = wait_for_close(stream) => false,
     }
 }
 
-/// Waits until the other end has closed the connection.
-async fn closed(stream: &TcpStream) {
+/// Waits until the peer has closed the connection.
+async fn wait_for_close(stream: &TcpStream) {
     loop {
         match stream.ready(Interest::READABLE).await {
             Ok(ready) if !ready.is_read_closed() => sleep(CLOSE_CHECK_INTERVAL).await,
@@ -243,7 +253,7 @@
     }
 }
 
-/// Writes all bytes; returns `false` once the connection is over.
+/// Writes all bytes; returns `false` if the connection has ended.
 async fn write_all(stream: &TcpStream, bytes: &[u8]) -> bool {
     let mut remaining = bytes;
     while !remaining.is_empty() {
@@ -259,7 +269,7 @@
     true
 }
 
-/// Writes a reply after `delay`; returns `false` where the connection is to be closed.
+/// Writes a reply after `delay`; returns `false` if the connection is to be closed.
 async fn write_reply(stream: &TcpStream, reply: Reply, body: &str, delay: Duration) -> bool {
     sleep(delay).await;
     let complete = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -277,7 +287,7 @@
             write_all(stream, b"HTTP/1.1 503 -\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n").await
         }
         Reply::Reset => {
-            let _ = stream.set_zero_linger(); // Without it the connection is closed, not reset.
+            let _ = stream.set_zero_linger(); // On an error the connection is closed instead of reset.
             false
         }
         Reply::Truncated => {
@@ -297,7 +307,7 @@
     }
 }
 
-/// Writes a few bytes at a time.
+/// Writes all bytes, a few at a time; returns `false` if the connection has ended.
 async fn write_slowly(stream: &TcpStream, bytes: &[u8]) -> bool {
     const PIECE: usize = 3;
     const INTERVAL: Duration = Duration::from_millis(2);
--- a/crates/soak/src/endpoint_list.rs
+++ b/crates/soak/src/endpoint_list.rs
@@ -1,22 +1,22 @@
-//! The list of backends that discovery serves, and its changes.
+//! The endpoint list that discovery serves, and its changes.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// At most one backend of this many is draining or gone at once.
+/// At most one in this many backends (but at least one in total) is draining or removed at any time.
 const BACKENDS_PER_DRAIN: usize = 3;
 
-/// The status of a backend in discovery's list.
+/// The status of a backend in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// It accepts new requests.
+    /// The backend accepts new requests.
     Serving,
-    /// It finishes those that it has.
+    /// The backend finishes the requests that it has, and accepts no new ones.
     Draining,
 }
 
 impl Status {
-    /// Its name in discovery's form.
+    /// The name of the status in discovery's JSON.
     pub fn name(self) -> &'static str {
         match self {
             Self::Serving => "SERVING",
@@ -25,53 +25,54 @@
     }
 }
 
-/// A backend as it is listed.
+/// The entry of a backend in the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub struct Endpoint {
-    /// Its number.
+    /// The number of the backend.
     pub number: usize,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
-    /// Its status.
+    /// The status that is listed.
     pub status: Status,
-    /// When it was started last, in milliseconds since the Unix epoch; 0: long ago.
+    /// The last start of the backend, in milliseconds since the Unix epoch; 0 stands for long ago.
     pub since_ms: u64,
 }
 
 impl Endpoint {
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to the backend.
     pub fn is_serving(&self) -> bool {
         self.status == Status::Serving
     }
 
-    /// Lists it as started now.
+    /// Lists the backend as serving and started just now.
     pub fn restart(&mut self) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         (self.status, self.since_ms) = (Status::Serving, now.as_millis() as u64);
     }
 }
 
-/// Backends at these addresses, numbered from 0, all of them serving.
+/// Serving endpoints at these addresses, numbered from 0.
 pub fn serving(addresses: impl Iterator<Item = SocketAddr>) -> Vec<Endpoint> {
     let endpoint = |(number, address)| Endpoint { number, address, status: Status::Serving, since_ms: 0 };
     addresses.enumerate().map(endpoint).collect()
 }
 
-/// The list of backends.
+/// The endpoint list, which also knows the backends that are removed at present.
 #[derive(Debug)]
 pub struct EndpointList {
     endpoints: Vec<Endpoint>,
-    /// Numbers of backends that are not listed at present.
+    /// The numbers of backends that are not listed at present.
     removed: Vec<usize>,
 }
 
 impl EndpointList {
-    /// A list of all `endpoints`.
+    /// Creates a list of all `endpoints`.
     pub fn new(endpoints: Vec<Endpoint>) -> Self {
         Self { endpoints, removed: Vec::new() }
     }
 
-    /// Begins the drain of a backend. Returns `false` where it is not serving, or where too many are draining.
+    /// Starts to drain a backend. Returns `false` if it is not serving, or if too many backends are draining
+    /// or removed (see [`BACKENDS_PER_DRAIN`]).
     pub fn drain(&mut self, backend: usize) -> bool {
         let limit = (self.endpoints.len() / BACKENDS_PER_DRAIN).max(1);
         let draining = self.endpoints.iter().filter(|endpoint| !endpoint.is_serving()).count();
@@ -84,18 +85,18 @@
         false
     }
 
-    /// Takes a drained backend from the list.
+    /// Removes a drained backend from the list.
     pub fn remove(&mut self, backend: usize) {
         self.removed.push(backend);
     }
 
-    /// Lists a removed backend again, as just started.
+    /// Lists a removed backend again, as started just now.
     pub fn restart(&mut self, backend: usize) {
         self.removed.retain(|removed| *removed != backend);
         self.endpoints.iter_mut().filter(|endpoint| endpoint.number == backend).for_each(Endpoint::restart);
     }
 
-    /// The backends that are listed.
+    /// The entries of all backends that are not removed.
     pub fn listed(&self) -> Vec<Endpoint> {
         self.endpoints.iter().filter(|endpoint| !self.removed.contains(&endpoint.number)).copied().collect()
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a plan.
+//! Injection of the faults of a plan.
 
 mod crowd;
 mod signals;
@@ -17,23 +17,23 @@
 use weirusher_fakes::Link;
 use weirusher_fault_shim::{Action, Call, Errno, Fault};
 
-/// The longest that a process is paused.
+/// The longest pause or delay of a process.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
-/// The longest that `accept` fails.
+/// The longest time for which `accept` fails.
 const MAX_ACCEPT_FAULT: Duration = Duration::from_millis(250);
-/// The longest that another system call fails.
-const MAX_CALL_FAULT: Duration = Duration::from_secs(2);
-/// A drain lasts so much longer than the plan says.
+/// The longest time for which any other system call fails.
+const MAX_SYSTEM_CALL_FAULT: Duration = Duration::from_secs(2);
+/// The minimum duration of a drain; the duration of the fault is added to it.
 const MIN_DRAIN: Duration = Duration::from_millis(800);
-/// From a drained backend's removal from the list to its restart.
+/// The time from the removal of a drained backend from the endpoint list to its restart.
 const BACKEND_RESTART_DELAY: Duration = Duration::from_millis(500);
-/// Steps of the wall clock, in seconds.
-const CLOCK_STEPS: [i64; 4] = [-3600, -5, 5, 3600];
+/// Offsets by which the wall clock is stepped, in seconds.
+const CLOCK_STEPS_SECONDS: [i64; 4] = [-3600, -5, 5, 3600];
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// Files that are no valid configuration.
+/// Texts of invalid configuration files.
 const INVALID_CONFIGS: [&str; 4] = ["", "{", "[]", r#"{"name":"n0","listen":"x"}"#];
 
-/// Waits until a fault is due and injects it; returns once it has ended.
+/// Waits until a fault is due and injects it; returns once the fault has ended.
 ///
 /// # Errors
 /// A process does not start, or a configuration cannot be written.
@@ -48,7 +48,7 @@
         | FaultKind::Reload
         | FaultKind::InvalidReload
         | FaultKind::SignalSeries => {
-            // One at a time for each node.
+            // A node has one of these faults at a time; further ones are skipped.
             let Ok(_lock) = node.signal_lock.try_lock() else { return Ok(()) };
             fleet.recorder.count_fault(fault.kind.name());
             return signal_node(&node, fault, &mut rng).await;
@@ -61,9 +61,9 @@
     }
     fleet.recorder.count_fault(fault.kind.name());
     match fault.kind {
-        FaultKind::SickBackend => degrade(&fleet, backend, Health::Sick, fault.duration * 2).await,
-        FaultKind::HungBackend => degrade(&fleet, backend, Health::Hung, fault.duration * 2).await,
-        FaultKind::DownBackend => degrade(&fleet, backend, Health::Down, fault.duration).await,
+        FaultKind::SickBackend => set_health_for(&fleet, backend, Health::Faulty, fault.duration * 2).await,
+        FaultKind::HungBackend => set_health_for(&fleet, backend, Health::Hung, fault.duration * 2).await,
+        FaultKind::DownBackend => set_health_for(&fleet, backend, Health::Down, fault.duration).await,
         FaultKind::SlowCounter => {
             fleet.slow_counter.store(true, Ordering::Relaxed);
             sleep(fault.duration).await;
@@ -71,18 +71,18 @@
         }
         FaultKind::SilentDiscovery => node.silence_discovery(fault.duration).await,
         FaultKind::ResetDiscovery => node.discovery.iter().for_each(Link::reset),
-        FaultKind::Crowd => crowd::gather(&node, fault.duration, &mut rng).await,
+        FaultKind::Crowd => crowd::open_connections(&node, fault.duration, &mut rng).await,
         FaultKind::CounterUnreachable => disconnect_counter(&node, fault.duration).await,
         _ => inject_in_process(&node, fault, &mut rng).await,
     }
     Ok(())
 }
 
-/// Sends a signal to a node's process.
+/// Injects a fault that signals the process of a node.
 async fn signal_node(node: &Arc<Node>, fault: PlannedFault, rng: &mut fastrand::Rng) -> io::Result<()> {
     match fault.kind {
         FaultKind::Restart => {
-            // An invalid configuration just before the shutdown, now and then.
+            // One in four restarts has a reload of an invalid configuration just before the shutdown.
             if rng.u8(0..4) == 0 {
                 node.reload_invalid(INVALID_CONFIGS[rng.usize(0..INVALID_CONFIGS.len())])?;
             }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Faults of a process's clock, scheduling and system calls.
+/// Injects a fault of the scheduling, the clock or the system calls of a process.
 async fn inject_in_process(node: &Node, fault: PlannedFault, rng: &mut fastrand::Rng) {
     match fault.kind {
         FaultKind::Pause => {
@@ -121,30 +121,32 @@
             inject_for(node, delay, fault.duration).await;
         }
         FaultKind::ClockStep => {
-            let seconds = CLOCK_STEPS[rng.usize(0..CLOCK_STEPS.len())];
+            let seconds = CLOCK_STEPS_SECONDS[rng.usize(0..CLOCK_STEPS_SECONDS.len())];
             node.shim.set_clock_offset(seconds * NANOS_PER_SECOND);
             sleep(fault.duration).await;
             node.shim.set_clock_offset(0);
         }
-        other => unreachable!("{other:?} is no fault within a process"),
+        other => unreachable!("{other:?} is not a fault within a process"),
     }
 }
 
-/// A system call fails, a few times or for a while.
+/// Makes a random system call fail, for the given time or for up to three calls within it.
 async fn fail_system_call(node: &Node, duration: Duration, rng: &mut fastrand::Rng) {
     let (call, errno) = draw_system_call(rng);
-    let longest = if call == Call::Accept { MAX_ACCEPT_FAULT } else { MAX_CALL_FAULT };
-    // A process whose every wait is interrupted makes no progress: that is no temporary fault.
+    let max_duration = if call == Call::Accept { MAX_ACCEPT_FAULT } else { MAX_SYSTEM_CALL_FAULT };
+    // The number of interrupted waits is always limited: a process whose every wait is interrupted makes no
+    // progress, which would not be a temporary fault.
     let is_limited = call == Call::Wait || rng.bool();
     let times = is_limited.then(|| rng.u32(1..4));
     let injected_at = Instant::now();
-    inject_for(node, Fault { times, ..Fault::new(call, Action::Fail(errno)) }, duration.min(longest)).await;
+    inject_for(node, Fault { times, ..Fault::new(call, Action::Fail(errno)) }, duration.min(max_duration))
+        .await;
     if matches!(call, Call::Connect | Call::Socket) {
         node.record_outage(injected_at);
     }
 }
 
-/// A system call that may fail temporarily, and how.
+/// Chooses a system call at random, with an error that it may return temporarily.
 fn draw_system_call(rng: &mut fastrand::Rng) -> (Call, Errno) {
     const CALLS: [(Call, Errno); 13] = [
         (Call::Accept, Errno::ECONNABORTED),
@@ -164,13 +166,15 @@
     CALLS[rng.usize(0..CALLS.len())]
 }
 
+/// Injects a fault into the process of a node for `duration`.
 async fn inject_for(node: &Node, fault: Fault, duration: Duration) {
     let injected = node.shim.inject(fault);
     sleep(duration).await;
     node.shim.end(injected);
 }
 
-/// The counter receives and answers nothing from a node for a while; then the connections are reset.
+/// Stalls the traffic between a node and the counter in both directions for `duration`, and then resets the
+/// connections.
 async fn disconnect_counter(node: &Node, duration: Duration) {
     for link in &node.counter {
         link.set(|fault| (fault.stall_to_target, fault.stall_from_target) = (true, true));
@@ -182,13 +186,15 @@
     }
 }
 
-async fn degrade(fleet: &Fleet, backend: usize, health: Health, duration: Duration) {
+/// Changes the health of a backend for `duration`.
+async fn set_health_for(fleet: &Fleet, backend: usize, health: Health, duration: Duration) {
     fleet.backends[backend].set_health(health).await;
     sleep(duration).await;
     fleet.backends[backend].set_health(Health::Healthy).await;
 }
 
-/// A backend is drained, removed from the list, and listed again as just started.
+/// Drains a backend, removes it from the endpoint list, and lists it again as restarted. Does nothing if the
+/// backend cannot be drained.
 async fn drain_and_restart(fleet: &Fleet, backend: usize, fault: PlannedFault) {
     if !fleet.drain_backend(backend) {
         return;
--- a/crates/soak/src/faults/crowd.rs
+++ b/crates/soak/src/faults/crowd.rs
@@ -1,4 +1,5 @@
-//! Crowds: more connections at once than a node has descriptors for. They send no complete request, and are owed nothing.
+//! The `crowd` fault: a flood of more connections at once than a node has descriptors for. They send no
+//! complete request, so the oracle does not require a response for them.
 
 use crate::node::Node;
 use std::sync::Arc;
@@ -8,38 +9,41 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Connections of a crowd, beyond the descriptors of the settings.
+/// The number of connections of a crowd: more than the `sockets` limit in the settings of a node.
 const CONNECTIONS: usize = 300;
-/// A crowd stays so much longer than the plan says: longer than an idle connection may keep others out.
-const MIN_STAY: Duration = Duration::from_millis(2500);
+/// The minimum time for which the connections are held; the duration of the fault is added to it. It is
+/// longer than an idle connection may keep others from being accepted.
+const MIN_HOLD_TIME: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// About when the node closes a connection that says nothing while others wait: bytes arrive in that moment.
-const CLOSE_DELAY: Duration = Duration::from_millis(250);
-const PART_OF_A_HEAD: &[u8] = b"GET /api/0 HTTP/1.1\r\nHost: x\r\nX-Tr";
+/// The approximate age at which a node closes an idle connection while others wait. Some connections send
+/// their first bytes at about this time, to hit the close.
+const IDLE_CLOSE_AGE: Duration = Duration::from_millis(250);
+const PARTIAL_HEAD: &[u8] = b"GET /api/0 HTTP/1.1\r\nHost: x\r\nX-Tr";
 
-/// Opens the connections at once, and closes those that are still open after a while.
-pub(super) async fn gather(node: &Arc<Node>, duration: Duration, rng: &mut fastrand::Rng) {
-    let mut members = JoinSet::new();
+/// Opens all connections at once, and closes those that are still open after [`MIN_HOLD_TIME`] and `duration`.
+pub(super) async fn open_connections(node: &Arc<Node>, duration: Duration, rng: &mut fastrand::Rng) {
+    let mut connections = JoinSet::new();
     for _ in 0..CONNECTIONS {
         let (listen, mut rng) = (node.listen, rng.fork());
-        members.spawn(async move {
+        connections.spawn(async move {
             if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(listen)).await {
-                let _ = timeout(MIN_STAY + duration, stay(stream, &mut rng)).await; // It leaves then.
+                // The stream is dropped on a timeout, which closes the connection.
+                let _ = timeout(MIN_HOLD_TIME + duration, hold_connection(stream, &mut rng)).await;
             }
         });
     }
-    while members.join_next().await.is_some() {}
+    while connections.join_next().await.is_some() {}
 }
 
-/// Stays until the connection ends.
-async fn stay(mut stream: TcpStream, rng: &mut fastrand::Rng) {
+/// Holds a connection until the node closes it; it sends nothing, or an incomplete request head early or late.
+async fn hold_connection(mut stream: TcpStream, rng: &mut fastrand::Rng) {
     let written = match rng.u8(0..3) {
         0 => Ok(()),
-        1 => stream.write_all(PART_OF_A_HEAD).await,
+        1 => stream.write_all(PARTIAL_HEAD).await,
         _ => {
-            let early = Duration::from_millis(rng.u64(0..20));
-            sleep(CLOSE_DELAY - Duration::from_millis(10) + early).await;
-            stream.write_all(PART_OF_A_HEAD).await
+            let jitter = Duration::from_millis(rng.u64(0..20));
+            sleep(IDLE_CLOSE_AGE - Duration::from_millis(10) + jitter).await;
+            stream.write_all(PARTIAL_HEAD).await
         }
     };
     if written.is_ok() {
--- a/crates/soak/src/faults/signals.rs
+++ b/crates/soak/src/faults/signals.rs
@@ -1,4 +1,4 @@
-//! Series of signals: reloads of files that cannot be used, and shutdowns amid and after them.
+//! The `signal_series` fault: reloads of configurations that are often unusable, and shutdowns right after them.
 
 use super::INVALID_CONFIGS;
 use crate::node::{Node, UnusableConfig};
@@ -8,13 +8,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Most reloads of a series, and the longest pause between two, in milliseconds.
+/// The maximum number of reloads in a series.
 const MAX_RELOADS: usize = 6;
+/// The longest pause after each reload, in milliseconds.
 const MAX_PAUSE_MILLIS: u64 = 30;
-/// The second process of a series is stopped within so many milliseconds of its start.
+/// In half of the series the next process is stopped too, within this many milliseconds of its start.
 const EARLY_STOP_MILLIS: u64 = 1000;
 
-/// Sends a series of signals. At its end the node has a new process, with a valid configuration.
+/// Sends a series of signals. Afterwards the node runs a new process with a valid configuration.
 ///
 /// # Errors
 /// A configuration cannot be written, or a process does not start.
@@ -23,12 +24,12 @@
         if rng.u8(0..3) == 0 {
             node.restore_config()?;
         } else {
-            node.replace_config(draw_config(rng))?;
+            node.replace_config(draw_unusable_config(rng))?;
         }
         node.signal(Signal::SIGHUP);
         sleep(Duration::from_millis(rng.u64(0..=MAX_PAUSE_MILLIS))).await;
     }
-    tokio::join!(node.stop(), disturb_shutdown(node, rng));
+    tokio::join!(node.stop(), signal_during_shutdown(node, rng));
     node.start().await?;
     if rng.bool() {
         sleep(Duration::from_millis(rng.u64(0..EARLY_STOP_MILLIS))).await;
@@ -38,7 +39,8 @@
     Ok(())
 }
 
-fn draw_config(rng: &mut fastrand::Rng) -> UnusableConfig {
+/// Chooses an unusable configuration at random.
+fn draw_unusable_config(rng: &mut fastrand::Rng) -> UnusableConfig {
     match rng.u8(0..4) {
         0 => UnusableConfig::Missing,
         1 => UnusableConfig::Directory,
@@ -47,8 +49,9 @@
     }
 }
 
-/// Further signals during a shutdown: the second SIGTERM, a reload, a pause as long as the platform may cause.
-async fn disturb_shutdown(node: &Node, rng: &mut fastrand::Rng) {
+/// Sends up to three signals during a shutdown: a second SIGTERM, a reload, or a pause of no more than the
+/// platform may cause ([`MAX_PAUSE`](super::MAX_PAUSE)).
+async fn signal_during_shutdown(node: &Node, rng: &mut fastrand::Rng) {
     for _ in 0..rng.usize(0..=3) {
         sleep(Duration::from_millis(rng.u64(0..400))).await;
         match rng.u8(0..3) {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a soak: its nodes, backends, counter and list of backends.
+//! The fleet of a soak: its nodes, its backends, its counter, and the endpoint list.
 
 use crate::backend::Backend;
 use crate::endpoint_list::{self, EndpointList};
@@ -14,39 +14,40 @@
 use tokio::time::timeout;
 use weirusher_fakes::{Reply, ScriptedServer, counting};
 
-/// The longest that the nodes may take to be ready at the start.
+/// The longest time that the nodes may take to become ready at the start.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// The response time of the counter while it is slow.
+/// The time that the counter takes to respond while it is slow.
 const SLOW_COUNTER_DELAY: Duration = Duration::from_millis(80);
 
-/// How a soak is run.
+/// Options for running a soak.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The program under test.
+    /// The gateway executable under test.
     pub exe: PathBuf,
-    /// For configurations and logs.
+    /// The directory for configurations and logs.
     pub dir: PathBuf,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// The gateways.
+    /// The gateway nodes.
     pub nodes: Vec<Arc<Node>>,
-    /// The backends.
+    /// The backends, by number.
     pub backends: Vec<Backend>,
-    /// Records what happens.
+    /// Records the events of the soak.
     pub recorder: Recorder,
-    /// While set, the counter responds late.
+    /// Whether the counter responds slowly.
     pub slow_counter: Arc<AtomicBool>,
     endpoints: Mutex<EndpointList>,
+    /// Held so that the counter keeps running.
     _counter: ScriptedServer,
 }
 
 impl Fleet {
-    /// Starts all parts, and waits until the nodes are ready.
+    /// Starts all components and waits until the nodes are ready.
     ///
     /// # Errors
-    /// A part does not start, or a node is not ready in time.
+    /// A component fails to start, or a node is not ready in time.
     pub async fn start(plan: &Plan, options: &Options) -> io::Result<Arc<Self>> {
         let recorder = Recorder::default();
         let mut backends = Vec::new();
@@ -80,16 +81,18 @@
         let ready = async {
             for node in &self.nodes {
                 let mut availability = node.availability.subscribe();
-                // An error means that the node was dropped, and the fleet owns it.
+                // No error: the fleet owns the node, and the node owns the sender.
                 let _ = availability.wait_for(|state| matches!(state, Availability::Ready(_))).await;
             }
         };
-        timeout(READY_TIMEOUT, ready).await.map_err(|_| io::Error::other("the nodes are not ready in time"))
+        timeout(READY_TIMEOUT, ready)
+            .await
+            .map_err(|_| io::Error::other("the nodes did not become ready in time"))
     }
 
-    /// Begins the drain of a backend and publishes the list; see [`EndpointList::drain`].
+    /// Starts to drain a backend and publishes the endpoint list; see [`EndpointList::drain`].
     pub fn drain_backend(&self, backend: usize) -> bool {
-        let mut endpoints = self.endpoints.lock().expect("no task panics while it has the lock");
+        let mut endpoints = self.endpoints.lock().expect("no task panics while holding the lock");
         let drained = endpoints.drain(backend);
         if drained {
             self.publish(&endpoints);
@@ -97,9 +100,9 @@
         drained
     }
 
-    /// Changes the list of backends and publishes it to all nodes.
+    /// Changes the endpoint list and publishes it to all nodes.
     pub fn change_endpoints(&self, change: impl FnOnce(&mut EndpointList)) {
-        let mut endpoints = self.endpoints.lock().expect("no task panics while it has the lock");
+        let mut endpoints = self.endpoints.lock().expect("no task panics while holding the lock");
         change(&mut endpoints);
         self.publish(&endpoints);
     }
@@ -110,7 +113,7 @@
     }
 }
 
-/// A counter that responds late while `slow` is set.
+/// Starts a counter that responds after [`SLOW_COUNTER_DELAY`] while `slow` is set.
 async fn start_counter(slow: Arc<AtomicBool>) -> io::Result<ScriptedServer> {
     let count = counting();
     ScriptedServer::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), move |request| match count(request) {
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,4 +1,4 @@
-//! A gateway: its process, its configuration, and its connections to discovery and the counter.
+//! A gateway node: its process, its configuration, and its connections to discovery and the counter.
 
 use crate::endpoint_list::Endpoint;
 use crate::plan::Plan;
@@ -23,86 +23,88 @@
 use weirusher_fakes::{DiscoveryAgent, Link};
 use weirusher_fault_shim::FaultShim;
 
-/// After SIGHUP a node may learn of updates so much later.
+/// How long after SIGHUP a node may still be unaware of an update.
 const RELOAD_GRACE: Duration = Duration::from_secs(4);
-/// After SIGHUP the old addresses of discovery and counter reset their connections so much later.
+/// How long after SIGHUP the connections to the old addresses of discovery and the counter are reset.
 const OLD_ADDRESS_RESET_DELAY: Duration = Duration::from_millis(1500);
-/// From a process's end to the start of the next.
+/// The time from the exit of a process to the start of the next one.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
-/// The longest that a process may take to be ready.
+/// The longest time that a process may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a starting process is asked whether it is ready.
+/// The interval between two readiness checks of a starting process.
 const READY_INTERVAL: Duration = Duration::from_millis(10);
+/// Any free port of the loopback interface.
 const LOCALHOST: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Whether clients may open connections to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// It is not ready, or has ended.
+    /// They may not: its process is not ready, or has exited.
     Unavailable,
-    /// It serves.
+    /// They may: its process is ready.
     Ready(Incarnation),
-    /// It was sent SIGTERM at this time; clients still open connections for a moment.
+    /// Its process was sent SIGTERM at this time; clients still open connections shortly after.
     Stopping(Incarnation, Instant),
 }
 
+/// Classifies an exit status.
 fn exit_kind(status: ExitStatus) -> ExitKind {
-    let was_sent = |signal: Signal| status.signal() == Some(signal as i32);
-    if status.success() || was_sent(Signal::SIGKILL) {
+    let was_killed_by = |signal: Signal| status.signal() == Some(signal as i32);
+    if status.success() || was_killed_by(Signal::SIGKILL) {
         ExitKind::Expected
-    } else if was_sent(Signal::SIGTERM) {
+    } else if was_killed_by(Signal::SIGTERM) {
         ExitKind::Terminated
     } else {
         ExitKind::Failed
     }
 }
 
-/// A configuration that a process cannot use.
+/// A configuration file that a process cannot load.
 #[derive(Debug, Clone, Copy)]
 pub enum UnusableConfig {
-    /// There is no file.
+    /// The file does not exist.
     Missing,
-    /// There is a directory in its place.
+    /// A directory at the path of the file.
     Directory,
-    /// A named pipe that nobody writes to: reading it does not end.
+    /// A named pipe without a writer, which blocks its reader forever.
     UnreadPipe,
-    /// A file with this text.
+    /// A file with this text, which is invalid.
     Text(&'static str),
 }
 
-/// What discovery's agent of a node serves.
+/// What the discovery agent of a node serves.
 struct AgentState {
-    /// The version of the list.
+    /// The version of the endpoint list.
     index: u64,
     endpoints: Vec<Endpoint>,
-    /// It answers nothing at present.
+    /// Whether the agent does not respond at present.
     is_silent: bool,
 }
 
-/// The process of a node.
+/// The current process of a node.
 #[derive(Debug, Clone, Copy, Default)]
 struct Running {
-    /// Its id; `None`: no process runs.
+    /// The id of the process; `None` if none runs.
     id: Option<u32>,
-    /// How many processes were started so far.
+    /// The number of processes that were started so far.
     started: usize,
 }
 
-/// A node: one gateway process at a time.
+/// A node, which runs one gateway process at a time.
 pub struct Node {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The faults of its clock and system calls.
+    /// Injects faults into the clock and the system calls of its processes.
     pub shim: FaultShim,
     /// Whether clients may connect.
     pub availability: watch::Sender<Availability>,
-    /// Two addresses of discovery's agent, one of them in use.
+    /// Two addresses of its discovery agent, one of which is configured.
     pub discovery: [Link; 2],
-    /// Two addresses of the counter, one of them in use.
+    /// Two addresses of the counter, one of which is configured.
     pub counter: [Link; 2],
-    /// The log of all its processes.
+    /// The log file, which all its processes append to.
     pub log: PathBuf,
-    /// Held while a fault signals the process.
+    /// Held during a fault that signals the process, so that there is one such fault at a time.
     pub signal_lock: tokio::sync::Mutex<()>,
     number: usize,
     plan: Plan,
@@ -111,37 +113,38 @@
     agent_state: Mutex<AgentState>,
     exe: PathBuf,
     config: PathBuf,
-    /// Which of the two addresses of discovery and counter are configured.
+    /// The index of the configured addresses in `discovery` and `counter`.
     active_link: Mutex<usize>,
     running: watch::Sender<Running>,
 }
 
-/// What the nodes of a soak have in common.
+/// Options that all nodes of a soak share.
 pub struct NodeOptions {
-    /// The program.
+    /// The gateway executable.
     pub exe: PathBuf,
-    /// For configurations and logs.
+    /// The directory for configurations and logs.
     pub dir: PathBuf,
-    /// The counter.
+    /// The address of the counter.
     pub counter: SocketAddr,
-    /// The backends at the start.
+    /// The endpoint list at the start.
     pub endpoints: Vec<Endpoint>,
-    /// The soak.
+    /// The plan of the soak.
     pub plan: Plan,
-    /// Records what happens.
+    /// Records the events of the soak.
     pub recorder: Recorder,
 }
 
 impl Node {
-    /// A node whose process is not started yet.
+    /// Creates a node without a process; see [`Node::start`].
     ///
     /// # Errors
-    /// An address cannot be bound.
+    /// An address cannot be bound, or the fault shim cannot be set up.
     pub async fn new(options: &NodeOptions, number: usize) -> io::Result<Arc<Self>> {
-        // The port is released again; nothing else binds to this address, which only this node uses.
+        // The port is released again right away. Nothing else takes it: the address is derived from the id of this
+        // program and the number of the node, so only this node uses it.
         let [_, _, high, low] = std::process::id().to_be_bytes();
-        let own = SocketAddr::from(([127, high.max(1), low, number as u8 + 1], 0));
-        let listen = TcpListener::bind(own).await?.local_addr()?;
+        let bind_address = SocketAddr::from(([127, high.max(1), low, number as u8 + 1], 0));
+        let listen = TcpListener::bind(bind_address).await?.local_addr()?;
         let list = wire::list(1, &options.endpoints).to_string();
         let agent = DiscoveryAgent::start(LOCALHOST, 1, list).await?;
         let discovery =
@@ -168,15 +171,16 @@
         }))
     }
 
-    /// The process that runs, or ran last.
+    /// The process that runs or, if none does, ran last.
     fn incarnation(&self) -> Incarnation {
         Incarnation { node: self.number, number: self.running.borrow().started.saturating_sub(1) }
     }
 
+    /// Writes a valid configuration with the active addresses and the current endpoint list.
     fn write_config(&self) -> io::Result<()> {
-        let active = *self.active_link.lock().expect("no task panics while it has the lock");
+        let active = *self.active_link.lock().expect("no task panics while holding the lock");
         let initial_list = {
-            let agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
+            let agent_state = self.agent_state.lock().expect("no task panics while holding the lock");
             wire::list(agent_state.index, &agent_state.endpoints)
         };
         let text = wire::NodeConfig {
@@ -188,7 +192,7 @@
             seed: fastrand::u64(..),
         }
         .to_json(&self.plan);
-        // Renamed into place: a process that reads it finds the old file or the new one.
+        // Renamed into place, so that a process reads either the old file or the new one as a whole.
         let new = self.config.with_extension("new");
         std::fs::write(&new, text)?;
         if self.config.is_dir() {
@@ -197,12 +201,12 @@
         std::fs::rename(new, &self.config)
     }
 
-    // ---- Its process ----
+    // ---- The process ----
 
-    /// Starts a process; the node is available once it is ready.
+    /// Starts a process; the node becomes available once the process is ready.
     ///
     /// # Errors
-    /// The configuration or log cannot be written, or the program does not start.
+    /// The configuration or the log cannot be written, or the executable cannot be run.
     pub async fn start(self: &Arc<Self>) -> io::Result<()> {
         self.write_config()?;
         let log = OpenOptions::new().create(true).append(true).open(&self.log)?;
@@ -225,11 +229,11 @@
         Ok(())
     }
 
-    /// Records a new process. It counts as notified of the agent's list from its start on.
+    /// Records a new process, which counts as notified of the agent's endpoint list from its start on.
     fn record_start(&self, incarnation: Incarnation) {
         let now = Instant::now();
         let endpoints =
-            self.agent_state.lock().expect("no task panics while it has the lock").endpoints.clone();
+            self.agent_state.lock().expect("no task panics while holding the lock").endpoints.clone();
         let update = |endpoint: &Endpoint| BackendUpdate {
             at: now,
             backend: endpoint.number,
@@ -247,7 +251,7 @@
         self.recorder.with(|records| records.processes.insert(incarnation, process));
     }
 
-    /// Records the end of a process.
+    /// Waits until a process exits, and records that.
     async fn wait_for_exit(self: Arc<Self>, mut child: Child, incarnation: Incarnation) {
         let status = child.wait().await;
         let exit = Exit { at: Instant::now(), how: status.map_or(ExitKind::Failed, exit_kind) };
@@ -256,7 +260,7 @@
         self.running.send_modify(|running| running.id = None);
     }
 
-    /// Makes the node available once its process is ready, unless that is stopping by then.
+    /// Makes the node available once its process is ready, unless the process is being stopped by then.
     async fn wait_until_ready(self: Arc<Self>, incarnation: Incarnation) {
         let ready = async {
             while !is_ready(self.listen).await {
@@ -266,7 +270,7 @@
         if timeout(READY_TIMEOUT, ready).await.is_err() {
             return;
         }
-        // The one that answered may be a later process.
+        // The check may have been answered by a later process.
         self.recorder.update_process(incarnation, |process| process.was_ready = process.exit.is_none());
         let is_stopping = self.recorder.with(|records| {
             records.processes.get(&incarnation).is_none_or(|process| process.terminated_at.is_some())
@@ -276,19 +280,19 @@
         }
     }
 
-    /// Sends a signal to the process that runs; returns `false` where there is none.
+    /// Sends a signal to the running process; returns `false` if there is none.
     pub fn signal(&self, signal: Signal) -> bool {
         let id = self.running.borrow().id;
         id.is_some_and(|id| kill(Pid::from_raw(id as i32), signal).is_ok())
     }
 
     /// Waits until no process runs.
-    async fn ended(&self) {
+    async fn wait_until_stopped(&self) {
         let mut running = self.running.subscribe();
-        let _ = running.wait_for(|running| running.id.is_none()).await; // `self` owns the sender: no error.
+        let _ = running.wait_for(|running| running.id.is_none()).await; // No error: `self` owns the sender.
     }
 
-    /// Stops the process and starts another.
+    /// Stops the process gracefully and starts another.
     ///
     /// # Errors
     /// As [`Node::start`].
@@ -298,7 +302,7 @@
         self.start().await
     }
 
-    /// Sends SIGTERM, and SIGKILL as early as the platform may.
+    /// Sends SIGTERM, and SIGKILL at the earliest time at which the platform may send it.
     pub async fn stop(&self) {
         let (incarnation, now) = (self.incarnation(), Instant::now());
         self.recorder.update_process(incarnation, |process| process.terminated_at = Some(now));
@@ -306,11 +310,11 @@
         if !self.signal(Signal::SIGTERM) {
             return;
         }
-        if timeout(self.plan.kill_after(), self.ended()).await.is_err() {
+        if timeout(self.plan.kill_after(), self.wait_until_stopped()).await.is_err() {
             let kill = Kill { at: Instant::now(), is_crash: false };
             self.recorder.update_process(incarnation, |process| process.kill = Some(kill));
             self.signal(Signal::SIGKILL);
-            self.ended().await;
+            self.wait_until_stopped().await;
         }
     }
 
@@ -322,21 +326,21 @@
         let kill = Kill { at: Instant::now(), is_crash: true };
         self.recorder.update_process(self.incarnation(), |process| process.kill = Some(kill));
         self.signal(Signal::SIGKILL);
-        self.ended().await;
+        self.wait_until_stopped().await;
         sleep(RESTART_DELAY).await;
         self.start().await
     }
 
-    // ---- Its configuration ----
+    // ---- The configuration ----
 
-    /// Reloads a configuration with other addresses of discovery and counter. The old addresses refuse new connections,
-    /// and reset the open ones later.
+    /// Reloads a configuration with the other addresses of discovery and the counter. The old addresses refuse new
+    /// connections at once, and open connections to them are reset after [`OLD_ADDRESS_RESET_DELAY`].
     ///
     /// # Errors
     /// The configuration cannot be written.
     pub async fn reload(&self) -> io::Result<()> {
         let old = {
-            let mut active = self.active_link.lock().expect("no task panics while it has the lock");
+            let mut active = self.active_link.lock().expect("no task panics while holding the lock");
             *active = 1 - *active;
             1 - *active
         };
@@ -355,7 +359,7 @@
         Ok(())
     }
 
-    /// Writes a configuration that cannot be used, and has the process reload it.
+    /// Writes an invalid configuration and makes the process reload it.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -365,10 +369,10 @@
         Ok(())
     }
 
-    /// Replaces the configuration by one that cannot be used, without a reload.
+    /// Replaces the configuration by an unusable one, without a reload.
     ///
     /// # Errors
-    /// It cannot be replaced.
+    /// The configuration cannot be replaced.
     pub fn replace_config(&self, config: UnusableConfig) -> io::Result<()> {
         self.remove_config()?;
         match config {
@@ -379,7 +383,7 @@
         }
     }
 
-    /// Removes the configuration, whatever it is.
+    /// Removes the configuration, whether it is a file, a directory or a pipe.
     fn remove_config(&self) -> io::Result<()> {
         if self.config.is_dir() {
             return std::fs::remove_dir(&self.config);
@@ -390,7 +394,7 @@
         }
     }
 
-    /// Writes the valid configuration again, without a reload.
+    /// Writes a valid configuration again, without a reload.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -400,7 +404,8 @@
 
     // ---- Discovery ----
 
-    /// The process could not open connections since `from`: updates since then count from now on.
+    /// Records that the process could not open connections from `from` until now: it counts as notified of
+    /// updates in that span only from now on.
     pub fn record_outage(&self, from: Instant) {
         self.record_deferral(Deferral { from, until: Instant::now() });
     }
@@ -409,9 +414,9 @@
         self.recorder.update_process(self.incarnation(), |process| process.deferrals.push(deferral));
     }
 
-    /// Discovery has a new list of backends.
+    /// Publishes a new endpoint list, which the agent sends at once unless it is silent.
     pub fn publish(&self, endpoints: &[Endpoint]) {
-        let mut agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
+        let mut agent_state = self.agent_state.lock().expect("no task panics while holding the lock");
         agent_state.index += 1;
         agent_state.endpoints = endpoints.to_vec();
         if !agent_state.is_silent {
@@ -419,7 +424,8 @@
         }
     }
 
-    /// Gives the agent its list, and records the changes: from now on the process counts as notified.
+    /// Makes the agent serve its endpoint list and records the changes: the process counts as notified from
+    /// now on.
     fn send_list(&self, agent_state: &AgentState) {
         let at = Instant::now();
         let list = wire::list(agent_state.index, &agent_state.endpoints).to_string();
@@ -435,12 +441,13 @@
         });
     }
 
-    /// The agent answers nothing for a while, and gets no list.
+    /// Stops the agent from responding for `duration`. It serves the latest list
+    /// afterwards.
     pub async fn silence_discovery(&self, duration: Duration) {
-        self.agent_state.lock().expect("no task panics while it has the lock").is_silent = true;
+        self.agent_state.lock().expect("no task panics while holding the lock").is_silent = true;
         self.agent.stop_answering();
         sleep(duration).await;
-        let mut agent_state = self.agent_state.lock().expect("no task panics while it has the lock");
+        let mut agent_state = self.agent_state.lock().expect("no task panics while holding the lock");
         agent_state.is_silent = false;
         self.agent.resume_answering();
         self.send_list(&agent_state);
