--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,6 +1,7 @@
-//! The rules of the platform, checked against what was recorded.
+//! The test oracle: checks the platform's rules against the records of a soak.
 //!
-//! The oracle goes by what passed on the sockets, how the processes ended, and what they logged.
+//! It uses only what clients and backends observed on their sockets, how the gateway processes exited, and
+//! what they logged.
 
 mod ceilings;
 mod evidence;
@@ -15,7 +16,8 @@
 use evidence::Evidence;
 use std::path::PathBuf;
 
-/// All violations in the records and in the logs (file and text) of the nodes; `backends` is the number of backends.
+/// All violations in the records and in the logs (path and text) of the nodes. `backends` is the number of
+/// backends in the soak.
 pub fn check(records: &Records, logs: &[(PathBuf, String)], backends: usize) -> Vec<Finding> {
     let evidence = Evidence::new(records);
     let mut findings = requests::check(&evidence);
--- a/crates/soak/src/oracle/evidence.rs
+++ b/crates/soak/src/oracle/evidence.rs
@@ -1,22 +1,23 @@
-//! The records, indexed for the checks, and the uncertainty of their times.
+//! The records, indexed for the checks of the oracle, and the uncertainty of the recorded times.
 
 use crate::record::{Attempt, Process, Records, Request};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest that a gateway may be paused between reading its clock and writing, in seconds.
+/// The longest time, in seconds, for which a fault may delay a gateway between reading its clock and writing
+/// to a socket.
 const MAX_PROCESSING_DELAY: f64 = 0.15;
 
-/// What the checks go by.
+/// The indexed records that all checks use.
 pub(super) struct Evidence<'a> {
-    /// All that was recorded.
+    /// The records of the soak.
     pub records: &'a Records,
     /// Requests by their ids.
     pub requests: HashMap<&'a str, &'a Request>,
-    /// Attempts by the ids of their requests, in the order of their arrival.
+    /// Attempts by the ids of their requests, in the order in which backends received them.
     pub attempts: HashMap<&'a str, Vec<&'a Attempt>>,
-    /// The start of the first process: moments are reported in seconds since then.
+    /// The start of the first process. Findings give times in seconds since then.
     start: Instant,
 }
 
@@ -32,32 +33,33 @@
         Self { records, requests, attempts, start: started.min().unwrap_or_else(Instant::now) }
     }
 
-    /// Seconds since the start.
+    /// Seconds from the start of the soak to `instant`.
     pub fn seconds(&self, instant: Instant) -> f64 {
         instant.saturating_duration_since(self.start).as_secs_f64()
     }
 
-    /// The process that a request was sent to.
+    /// The gateway process that a request was sent to.
     pub fn process(&self, request: &Request) -> Option<&'a Process> {
         self.records.processes.get(&request.incarnation)
     }
 
-    /// The attempts of a request.
+    /// The attempts of a request, in the order in which backends received them.
     pub fn attempts_of(&self, request: &Request) -> &[&'a Attempt] {
         self.attempts.get(request.id.as_str()).map_or(&[], Vec::as_slice)
     }
 
-    /// Seconds by which a time observed by this program may be wrong.
+    /// Seconds by which a time that this program recorded may be wrong.
     pub fn timer_lag(&self) -> f64 {
         self.records.timer_lag
     }
 
-    /// Seconds by which an attempt may be received after the gateway decided to send it.
+    /// The longest time, in seconds, from the gateway's decision to send an attempt to the time at which a
+    /// backend records it.
     pub fn send_delay(&self) -> f64 {
         MAX_PROCESSING_DELAY + self.timer_lag()
     }
 
-    /// A request with all that is known of it, for a report.
+    /// Describes a request with its attempts and its outcome, for a finding.
     pub fn describe(&self, request: &Request) -> String {
         let terminated_at = self.process(request).and_then(|process| process.terminated_at);
         let since_sigterm = terminated_at.map(|terminated_at| {
@@ -75,8 +77,8 @@
         };
         let attempts: Vec<String> = self.attempts_of(request).iter().map(describe_attempt).collect();
         format!(
-            "{} {:?} by a {} client at n{}.{}, sent at {sent_at:.3}{}, time budget {:.3} s, {:?} after {:.3} s; attempts \
-             {attempts:?}",
+            "{} {:?} by a {} client at n{}.{}, sent at {sent_at:.3} s{}, time budget {:.3} s, {:?} after {:.3} s; \
+             attempts {attempts:?}",
             request.id,
             request.class,
             request.behaviour,
@@ -90,7 +92,7 @@
     }
 }
 
-/// `instant` and so many seconds; a negative number counts as 0.
+/// The time that is `seconds` after `instant`; negative seconds count as 0.
 pub(super) fn after(instant: Instant, seconds: f64) -> Instant {
     instant + Duration::from_secs_f64(seconds.max(0.0))
 }
--- a/crates/soak/src/oracle/finding.rs
+++ b/crates/soak/src/oracle/finding.rs
@@ -1,18 +1,18 @@
-//! A violation that the oracle found.
+//! A violation of a rule that the oracle found.
 
 use std::fmt;
 
-/// Something that broke a rule.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// The name of the rule.
+    /// The name of the violated rule.
     pub rule: &'static str,
-    /// What was observed.
+    /// What was observed, as text.
     pub observation: String,
 }
 
 impl Finding {
-    /// A violation of `rule`.
+    /// Creates a finding for `rule`.
     pub(super) fn new(rule: &'static str, observation: String) -> Self {
         Self { rule, observation }
     }
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -1,7 +1,8 @@
-//! Backends in slow start: none receives more than its budget from gateways that were notified of its restart.
+//! The rule `slow start`: a backend in slow start does not receive more than its budget from gateways that
+//! were notified of its restart.
 //!
-//! The backends of a soak can serve any load. The capacity of one is taken to be the highest rate so far (attempts within a
-//! second, at all backends), divided by the number of backends.
+//! The backends of a soak have no limit of their own. The capacity of one is taken to be the highest rate so
+//! far (attempts within a second, at all backends) divided by the number of backends.
 
 use super::evidence::Evidence;
 use super::finding::Finding;
@@ -10,31 +11,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// More than this fraction of the attempts of an overload must come from notified gateways: the others could not know.
+/// An overload counts only if more than this fraction of its attempts came from notified gateways: the others
+/// could not know of the slow start.
 const NOTIFIED_FRACTION: f64 = 2.0 / 3.0;
-/// Expected counts below this are given the wider allowance.
+/// Expected counts below this get the wider allowance for random variation.
 const FEW_REQUESTS: f64 = 30.0;
 
-/// A backend in slow start that received more than its budget.
+/// An overload of a backend in slow start: it received more than its budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Overload {
-    /// The backend.
+    /// The number of the backend.
     backend: usize,
-    /// When the attempt that was too many was received.
+    /// When the first attempt over the budget was received.
     at: Instant,
-    /// Seconds since the restart.
+    /// Seconds from the restart of the backend to `at`.
     age: f64,
-    /// Attempts within [`OVERLOAD_SECONDS`].
+    /// Attempts within the last [`OVERLOAD_SECONDS`].
     received: usize,
-    /// How many of them were allowed.
+    /// The number of attempts that were allowed in that time.
     allowed: f64,
 }
 
-/// The highest rate up to a moment.
+/// The highest rate of attempts up to a point in time.
 #[derive(Debug, Clone, Copy)]
 struct Peak {
     at: Instant,
-    /// Attempts within a second, at all backends.
+    /// Attempts within one second, at all backends.
     rate: usize,
 }
 
@@ -45,14 +47,16 @@
     let finding = |Overload { backend, at, age, received, allowed }| {
         let at = evidence.seconds(at);
         let observation = format!(
-            "at {at:.3}: s-{backend:04} got {received} of {allowed:.1} attempts at the age of {age:.2} s"
+            "at {at:.3} s: s-{backend:04} received {received} attempts where {allowed:.1} are allowed, \
+             {age:.2} s after its restart"
         );
         Finding::new("slow start", observation)
     };
     evidence.records.backend_restarts.iter().filter_map(overload).map(finding).collect()
 }
 
-/// The most requests that may be received where `expected` are allowed on average: the platform's allowance for chance.
+/// The largest number of requests that may be received if `expected` are allowed on average, with the
+/// platform's allowance for random variation.
 fn allowance(expected: f64) -> f64 {
     if expected < FEW_REQUESTS {
         expected + 3.0 * expected.sqrt() + 3.0
@@ -61,6 +65,7 @@
     }
 }
 
+/// The first overload of a backend after a restart, within its slow start.
 fn first_overload(
     evidence: &Evidence<'_>,
     peaks: &[Peak],
@@ -95,7 +100,7 @@
     None
 }
 
-/// For each attempt, in the order of arrival, the highest rate up to it.
+/// The highest rate up to each attempt, in the order in which backends received the attempts.
 fn peaks(records: &Records) -> Vec<Peak> {
     const SECOND: Duration = Duration::from_secs(1);
     let mut arrivals: Vec<Instant> = records.attempts.iter().map(|attempt| attempt.received_at).collect();
@@ -111,13 +116,13 @@
     arrivals.iter().enumerate().map(peak).collect()
 }
 
-/// The highest rate up to `until`.
+/// The highest rate, in attempts per second, up to `until`.
 fn peak_until(peaks: &[Peak], until: Instant) -> usize {
     let count = peaks.partition_point(|peak| peak.at <= until);
     count.checked_sub(1).map_or(0, |last| peaks[last].rate)
 }
 
-/// Whether the gateway that sent an attempt was notified of the restart before.
+/// Whether the gateway that sent an attempt had been notified of the restart before it.
 fn was_notified(evidence: &Evidence<'_>, attempt: &Attempt, restart: BackendRestart) -> bool {
     let process = evidence.requests.get(attempt.id.as_str()).and_then(|request| evidence.process(request));
     process.is_some_and(|process| {
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -67,8 +67,8 @@
         writeln!(f, "seed {seed}: {nodes} nodes, deadline {deadline:.2} s; outcomes {:?}", self.outcomes)?;
         writeln!(
             f,
-            "  {} attempts; {} processes, {} killed at the end of a shutdown; faults {:?}; {} calls changed; timer lag \
-             {:.0} ms at most",
+            "  {} attempts; {} processes, {} killed at the end of a shutdown; faults {:?}; {} calls changed; \
+             timer lag {:.0} ms at most",
             self.attempts,
             self.processes,
             self.killed,
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -79,8 +79,9 @@
         let length =
             if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
         let text = format!(
-            "{method} /api/{customer:016x} HTTP/1.1\r\nHost: soak\r\nX-Trace-Id: {id}\r\nX-Qos: {}\r\nPlan: {plan_name}\r\n\
-             X-Expires-In: {}u\r\nQuota-Info: units=1,spread={spread},first={first}\r\n{length}\r\n{body}",
+            "{method} /api/{customer:016x} HTTP/1.1\r\nHost: soak\r\nX-Trace-Id: {id}\r\nX-Qos: {}\r\n\
+             Plan: {plan_name}\r\nX-Expires-In: {}u\r\nQuota-Info: units=1,spread={spread},first={first}\r\n\
+             {length}\r\n{body}",
             class.name(),
             (time_budget * MICROS_PER_SECOND) as u64,
         );
