--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -88,6 +88,7 @@
     }
 }
 
+/// The state that a backend shares with the tasks of its connections.
 struct Shared {
     number: usize,
     recorder: Recorder,
@@ -107,7 +108,7 @@
     /// Starts a healthy backend.
     ///
     /// # Errors
-    /// No address can be bound.
+    /// No listener can be opened on loopback.
     pub async fn start(number: usize, recorder: Recorder, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/crates/soak/src/faults/signals.rs
+++ b/crates/soak/src/faults/signals.rs
@@ -1,4 +1,5 @@
-//! The `signal_series` fault: reloads of configurations that are often unusable, and shutdowns right after them.
+//! The `signal_series` fault: reloads of configurations that are often unusable, then a shutdown that is
+//! disturbed by further signals, and sometimes a second shutdown early in the life of the next process.
 
 use super::INVALID_CONFIGS;
 use crate::node::{Node, UnusableConfig};
--- a/crates/soak/src/growth.rs
+++ b/crates/soak/src/growth.rs
@@ -2,9 +2,9 @@
 //! of many, with all the backends of that fleet, under the same traffic at each size.
 
 mod fleet_size;
-mod site;
+mod measurement;
 mod usage;
 
 pub use fleet_size::FleetSize;
-pub use site::{GrowthOptions, measure};
+pub use measurement::{GrowthOptions, measure};
 pub use usage::{Row, Usage, compare};
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -4,9 +4,10 @@
 
 /// The shortest and longest deadline that a plan may have, in seconds.
 const DEADLINE_RANGE_SECONDS: (f64, f64) = (1.0, 3.5);
-/// After SIGTERM the platform waits for the longest deadline, but for no more than this many seconds,
+/// The longest deadline, in seconds, that the platform allows for between SIGTERM and SIGKILL; longer ones
+/// are capped.
 const MAX_SHUTDOWN_DEADLINE_SECONDS: f64 = 3.0;
-/// and then for this many more, before it sends SIGKILL.
+/// Seconds that the platform adds to the capped deadline before it sends SIGKILL.
 const KILL_MARGIN_SECONDS: f64 = 0.7;
 /// Seconds without faults at the start of the soak.
 const FAULT_FREE_SECONDS: f64 = 1.0;
@@ -16,11 +17,11 @@
 const SECONDS_PER_NODE_FAULT: f64 = 3.0;
 /// The minimum number of faults in a plan.
 const MIN_FAULTS: usize = 4;
-/// Hostile plans whose seed is a multiple of this have crowds.
+/// Plans of [`Plan::hostile`] have crowds if their seed is a multiple of this.
 const CROWD_SEED_MULTIPLE: u64 = 3;
-/// A hostile plan has one signal series for this many seconds of its duration, and at least one.
+/// Plans of [`Plan::hostile`] have one signal series for this many seconds of their duration, and at least one.
 const SECONDS_PER_SIGNAL_SERIES: f64 = 2.0;
-/// A hostile plan with crowds has one for this many seconds of its duration, and at least one.
+/// Plans with crowds have one crowd for this many seconds of their duration, and at least one.
 const SECONDS_PER_CROWD: f64 = 4.0;
 /// The minimum number of backends. Larger fleets have up to one more for every [`NODES_PER_BACKEND`] nodes,
 /// at random.
@@ -50,7 +51,7 @@
     CounterUnreachable,
     /// The counter responds slowly to all nodes.
     SlowCounter,
-    /// One in three responses of a backend is invalid, late or missing.
+    /// One in three responses of a backend is invalid, late, an error or missing.
     SickBackend,
     /// A backend accepts requests and responds to none.
     HungBackend,
@@ -158,13 +159,14 @@
 }
 
 impl PlannedFault {
+    /// A fault of a random kind at a random time within `seconds`.
     fn draw(rng: &mut fastrand::Rng, seconds: f64) -> Self {
         let kind = FaultKind::draw(rng);
         Self::draw_of_kind(kind, rng, seconds)
     }
 
-    /// A fault of this kind at a random time; the product of two random numbers makes short faults the most
-    /// frequent.
+    /// A fault of this kind at a random time within `seconds`. The product of two random numbers makes short
+    /// faults the most frequent.
     fn draw_of_kind(kind: FaultKind, rng: &mut fastrand::Rng, seconds: f64) -> Self {
         let at =
             Duration::from_secs_f64(FAULT_FREE_SECONDS + rng.f64() * (seconds - FAULT_FREE_SECONDS).max(0.1));
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -9,9 +9,9 @@
 
 /// The number of customers with a ceiling.
 pub const LIMITED_CUSTOMERS: usize = 4;
-/// The ceiling of such a customer over all nodes, in units per second.
+/// The ceiling of each of these customers, in units per second over all nodes.
 pub const CEILING_RATE: f64 = 30.0;
-/// The burst of that ceiling: units that the customer may use at once.
+/// The burst of that ceiling: units that each of these customers may use at once.
 pub const CEILING_BURST: f64 = 30.0;
 /// Seconds after a node is notified of a drain within which it may still start attempts at the backend.
 pub const DRAIN_GRACE: f64 = 0.5;
@@ -21,9 +21,10 @@
 pub const SLOW_START_FRACTION: f64 = 0.1;
 /// The duration of a slow start, in seconds.
 pub const SLOW_START_SECONDS: f64 = 6.0;
-/// A backend in slow start counts as overloaded if it receives more than this multiple of its current capacity
+/// A backend in slow start is overloaded by more than this multiple of its current capacity within
+/// [`OVERLOAD_SECONDS`].
 pub const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// within this many seconds.
+/// The length of the window in which an overload is measured, in seconds.
 pub const OVERLOAD_SECONDS: f64 = 1.0;
 
 /// Microseconds per second.
