--- a/crates/soak/src/growth.rs
+++ b/crates/soak/src/growth.rs
@@ -1,10 +1,10 @@
-//! What one gateway uses as its fleet grows: one `weirusher node` process that is configured as one of many, with all the
-//! backends of that fleet, under the same traffic at each size.
+//! Resource usage of one gateway by fleet size: a single `weirusher node` process that is configured as one
+//! of many, with all the backends of that fleet, under the same traffic at each size.
 
 mod fleet_size;
-mod site;
+mod measurement;
 mod usage;
 
 pub use fleet_size::FleetSize;
-pub use site::{GrowthOptions, measure};
+pub use measurement::{GrowthOptions, measure};
 pub use usage::{Row, Usage, compare};
