--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,5 @@
-//! The process's one clock: Unix time that does not jump.
+//! The clock of the process: Unix time that is read once, and then advanced by the monotonic clock, so that it never
+//! jumps.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -6,10 +7,10 @@
 use tokio::time::Instant;
 use weirusher_core::ClockAnchor;
 
-/// What stands for a time too far ahead to be represented.
+/// How far after the start a time is taken to be that is too far ahead to be represented.
 const FAR_FUTURE: Duration = Duration::from_secs(3600);
 
-/// Unix time: the system clock's at the start, advanced by the monotonic clock.
+/// Unix time: that of the system clock at the start, advanced by the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -17,7 +18,7 @@
 }
 
 impl Clock {
-    /// A clock that starts at the system clock's time.
+    /// Creates a clock that starts at the time of the system clock.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { origin: Instant::now(), anchor: ClockAnchor::new(unix) }
@@ -28,14 +29,14 @@
         self.anchor.unix_time_after(self.origin.elapsed())
     }
 
-    /// The runtime's instant at which this clock shows `unix_seconds`. A time before the start is the start;
-    /// one that cannot be represented is an hour after it.
+    /// The Tokio instant at which this clock shows `unix_seconds`. A time before the start is mapped to the start, and
+    /// one that cannot be represented to an hour after it.
     pub fn instant(&self, unix_seconds: f64) -> Instant {
         let ahead = unix_seconds - self.anchor.unix_time_after(Duration::ZERO);
         self.origin + Duration::try_from_secs_f64(ahead.max(0.0)).unwrap_or(FAR_FUTURE)
     }
 
-    /// Waits until this clock shows `unix_seconds`; without a time, forever.
+    /// Waits until this clock shows `unix_seconds`; forever if that is `None`.
     pub async fn sleep_until(&self, unix_seconds: Option<f64>) {
         match unix_seconds {
             Some(at) => tokio::time::sleep_until(self.instant(at)).await,
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,8 +1,8 @@
-//! The process's log: lines on standard error, written by a thread of their own.
+//! The process's log: lines on standard error, written by a thread of its own.
 //!
-//! No thread that logs waits for standard error or fails with it. Lines go to a queue that is bounded in lines and bytes; one
-//! that does not fit, exceeds the budget of lines a second or cannot be written is dropped and counted. The log tells how many were
-//! dropped once it can be written again.
+//! Logging never blocks and never fails, whatever happens to standard error. Lines go through a queue that is bounded
+//! in lines and bytes. A line that does not fit, exceeds the rate limit or cannot be written is dropped and counted; the
+//! number of dropped lines is logged once lines can be written again.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -20,12 +20,12 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The filter where RUST_LOG has none.
+/// The filter if `RUST_LOG` is unset or invalid.
 const DEFAULT_FILTER: &str = "warn,weirusher_node=info";
-/// How often [`finish`] looks whether all lines are written.
+/// How often [`finish`] checks whether all lines are written.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
     /// Plain text.
@@ -34,16 +34,16 @@
     Json,
 }
 
-/// The log of this process.
+/// The log of this process; unset until [`start`].
 static LOG: OnceLock<Log> = OnceLock::new();
 
 struct Log {
     queue: Queue,
-    /// Never dropped: that would wait for the writer.
+    /// Held in the static for the life of the process: dropping it would block until the writer thread ends.
     _writer: WorkerGuard,
 }
 
-/// The end of the queue at which lines are put in.
+/// The producers' side of the queue.
 #[derive(Clone)]
 struct Queue {
     writer: NonBlocking,
@@ -53,20 +53,20 @@
 impl Queue {
     fn push(&mut self, line: &[u8]) {
         if self.counts.try_queue(line.len()) {
-            let _ = self.writer.write_all(line); // It never fails, and has room for as many lines as the counts let in.
+            let _ = self.writer.write_all(line); // Never fails: the counts admit no more lines than fit.
         } else {
             self.counts.add_dropped();
         }
     }
 }
 
-/// Makes the writer of each log line.
+/// Creates the writer of each log line, and enforces the rate limit.
 struct QueuedStderr {
     budget: Mutex<LineBudget>,
     queue: Queue,
 }
 
-/// The writer of one line; `None` drops it.
+/// The writer of one line; `None` discards the line.
 struct LineWriter(Option<Queue>);
 
 impl Write for LineWriter {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Starts the log and its thread. Further calls change nothing.
+/// Starts the log and its writer thread. Further calls have no effect.
 pub fn start(format: Format) {
     let counts = Arc::new(LineCounts::default());
     let (writer, guard) = NonBlockingBuilder::default()
@@ -110,7 +110,7 @@
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(io::stderr().is_terminal())
-        .log_internal_errors(false) // They would be written to standard error by the thread that logs.
+        .log_internal_errors(false) // The logging thread would write them to standard error.
         .with_writer(QueuedStderr { budget: Mutex::new(LineBudget::new()), queue });
     match format {
         Format::Text => builder.init(),
@@ -118,14 +118,14 @@
     }
 }
 
-/// Writes a text to standard error in its turn, whatever the filter and the budget of lines.
+/// Writes a text to standard error in order with the log lines, regardless of the filter and the rate limit.
 pub fn print(text: &str) {
     if let Some(log) = LOG.get() {
         log.queue.clone().push(text.as_bytes());
     }
 }
 
-/// Waits until all lines are written, for so long at most.
+/// Waits until all queued lines are written, for at most `timeout`.
 pub fn finish(timeout: Duration) {
     let Some(log) = LOG.get() else { return };
     let end = Instant::now() + timeout;
@@ -134,7 +134,7 @@
     }
 }
 
-/// How many lines were dropped since the start.
+/// The number of lines that were dropped since the start.
 pub fn dropped_lines() -> u64 {
     LOG.get().map_or(0, |log| log.queue.counts.dropped())
 }
--- a/crates/log/src/sink.rs
+++ b/crates/log/src/sink.rs
@@ -1,26 +1,27 @@
-//! The writer's end of the queue: the thread that waits for standard error, and the only one.
+//! The consumer's side of the queue. Its thread is the only one that may block on standard error.
 
 use crate::line_counts::LineCounts;
 use std::io::{self, Write};
 use std::sync::Arc;
 
-/// Writes queued lines to `output`. A line that cannot be written is dropped and counted: there is nowhere to report it.
+/// Writes queued lines to `output`. A line that cannot be written is counted as dropped, since there is nowhere to
+/// report the error.
 pub struct Sink<W> {
     output: W,
     counts: Arc<LineCounts>,
 }
 
 impl<W: Write> Sink<W> {
-    /// A sink for `output`.
+    /// Creates a sink that writes to `output`.
     pub fn new(output: W, counts: Arc<LineCounts>) -> Self {
         Self { output, counts }
     }
 
-    /// Tells of the lines that were dropped since it was last told.
+    /// Logs the number of lines dropped since the last such notice.
     fn report_dropped(&mut self) {
         let dropped = self.counts.unreported();
         if dropped > 0 && writeln!(self.output, "{dropped} log lines were dropped").is_ok() {
-            self.counts.report(dropped);
+            self.counts.add_reported(dropped);
         }
     }
 }
@@ -36,7 +37,7 @@
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        let _ = self.output.flush(); // A failure shows at the next line.
+        let _ = self.output.flush(); // An error recurs with the next line, which is then counted as dropped.
         Ok(())
     }
 }
--- a/crates/log/src/sink/tests.rs
+++ b/crates/log/src/sink/tests.rs
@@ -1,10 +1,10 @@
-//! A sink whose output fails for a while.
+//! A sink whose output fails for some time, and the bounds of the queue.
 
 use super::{LineCounts, Sink};
 use std::io::{self, Write};
 use std::sync::Arc;
 
-/// Fails while it has failures left.
+/// An output whose first `failures` writes fail.
 #[derive(Default)]
 struct Output {
     failures: usize,
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn lines_that_fail_are_counted_and_told_of_once_the_output_works_again() {
+fn failed_lines_are_reported_once_writes_succeed() {
     let counts = Arc::new(LineCounts::default());
     let mut sink = Sink::new(Output { failures: 3, ..Output::default() }, counts.clone());
     for line in ["a\n", "b\n", "c\n", "d\n"] {
         assert!(counts.try_queue(line.len()));
         sink.write_all(line.as_bytes()).unwrap();
     }
-    // The first line fails, then a notice and the second line, then the notice goes through.
+    // Line a fails, then the notice before line b and line b itself; the notice before line c succeeds.
     assert_eq!(sink.output.written, "2 log lines were dropped\nc\nd\n");
     assert_eq!((counts.dropped(), counts.queued_lines()), (2, 0));
 }
@@ -42,7 +42,7 @@
 #[test]
 fn the_queue_is_bounded_in_bytes() {
     let counts = LineCounts::default();
-    assert!(counts.try_queue(8 * 1024 * 1024), "one long line fits an empty queue");
+    assert!(counts.try_queue(8 * 1024 * 1024), "a long line fits into an empty queue");
     assert!(!counts.try_queue(1));
     counts.unqueue(8 * 1024 * 1024);
     assert!((0..4).all(|_| counts.try_queue(256 * 1024)));
--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections.
+//! Outgoing connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,6 +10,6 @@
 /// The connection cannot be established.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    let _ = stream.set_nodelay(true); // Without it small writes are merely delayed.
+    let _ = stream.set_nodelay(true); // A failure is harmless: small writes are delayed by Nagle's algorithm.
     Ok(stream)
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! TCP sockets that tolerate what the operating system may do: addresses that are still in use, accepts that fail for a
-//! while, reads and writes that transfer less than requested, calls that are interrupted.
+//! TCP sockets that tolerate transient errors of the operating system: addresses that are still in use, accepts that
+//! fail for some time, reads and writes that transfer less than requested, and interrupted calls.
 #![deny(unsafe_op_in_unsafe_fn)]
 #![warn(missing_docs)]
 
--- a/crates/net/src/listen.rs
+++ b/crates/net/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening sockets that keep working when a call fails.
+//! Listening sockets that recover from failed calls.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -6,69 +6,70 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// How long binding an address is retried: the previous process may still use it, and the system may lack a resource for a
-/// moment.
+/// How long binding an address is retried: the previous process may still use it, or the system may be short of a
+/// resource for a moment.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two attempts to bind.
 const BIND_PAUSE: Duration = Duration::from_millis(50);
-/// Aborted connections in a row after which each costs a pause.
+/// Number of consecutive aborted connections that are accepted without a pause.
 const MAX_ABORTED_WITHOUT_PAUSE: u32 = 16;
-/// The pause after an aborted connection.
+/// Pause after each further aborted connection.
 const ABORTED_PAUSE: Duration = Duration::from_millis(1);
-/// Pause after an accept that failed because the system lacks a resource.
+/// Pause after an accept that failed because the system is short of a resource, such as file descriptors.
 const ACCEPT_FAILURE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens on an address. Failures are retried for some seconds.
+/// Listens on an address. Failures are retried for 5 s.
 ///
 /// # Errors
-/// The last failure, if none of the attempts succeeded.
+/// The last error, if no attempt succeeded.
 pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
     let deadline = Instant::now() + BIND_TIMEOUT;
-    let mut is_logged = false;
+    let mut warned = false;
     loop {
         let error = match TcpListener::bind(address).await {
             Ok(listener) => return Ok(Listener { listener, failed: 0, aborted: 0 }),
             Err(error) if Instant::now() >= deadline => return Err(error),
             Err(error) => error,
         };
-        if !std::mem::replace(&mut is_logged, true) {
-            tracing::warn!(%error, %address, "cannot listen yet, will retry");
+        if !std::mem::replace(&mut warned, true) {
+            tracing::warn!(%error, %address, "cannot bind the listening address; retrying");
         }
         tokio::time::sleep(BIND_PAUSE).await;
     }
 }
 
-/// Whether an accept failed because of one connection that was aborted, and not because the system lacks a resource.
+/// Whether an accept failed because its connection was aborted or the call was interrupted, as opposed to a shortage of
+/// a system resource.
 fn is_aborted_connection(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted)
 }
 
-/// A listening socket that no failed call ends.
+/// A listening socket that stays open when calls fail.
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
-    /// Accepts that failed since the last connection.
+    /// Number of failed accepts since the last accepted connection, not counting aborted connections.
     failed: u64,
-    /// Aborted connections in a row.
+    /// Number of consecutive aborted connections.
     aborted: u32,
 }
 
 impl Listener {
-    /// The address on which it listens.
+    /// The address on which the socket listens.
     ///
     /// # Errors
-    /// The system does not provide it.
+    /// The system call failed.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Accepts the next connection. Logs when none can be accepted and when they can again. Cancel safe.
+    /// Accepts the next connection. Logs the first failure, and when connections are accepted again. Cancel safe.
     pub async fn accept(&mut self) -> TcpStream {
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => {
                     self.count_accepted();
-                    let _ = stream.set_nodelay(true); // Without it small writes are merely delayed.
+                    let _ = stream.set_nodelay(true); // A failure is harmless: small writes are delayed.
                     return stream;
                 }
                 Err(error) if is_aborted_connection(&error) => self.pause_after_aborted().await,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// One aborted connection must not delay others; many in a row must not keep the process busy.
+    /// A single aborted connection must not delay the next one, and many in a row must not become a busy loop.
     async fn pause_after_aborted(&mut self) {
         self.aborted += 1;
         if self.aborted <= MAX_ABORTED_WITHOUT_PAUSE {
@@ -92,7 +93,7 @@
 
     fn count_failed(&mut self, error: &io::Error) {
         if self.failed == 0 {
-            tracing::warn!(%error, "no connection can be accepted");
+            tracing::warn!(%error, "cannot accept connections");
         }
         self.failed += 1;
     }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection that implements the runtime's I/O traits.
+//! A TCP connection that implements Tokio's I/O traits.
 
 use crate::connect::connect;
 use crate::transfer::{poll_read, poll_write};
@@ -9,12 +9,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection whose reads and writes may transfer less than requested, for any reason.
+/// A connection that tolerates reads and writes that transfer less than requested, for any reason.
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
 impl Stream {
-    /// Connects to an address, as [`connect()`].
+    /// Connects to an address like [`connect()`].
     ///
     /// # Errors
     /// The connection cannot be established.
@@ -22,7 +22,7 @@
         connect(address).await.map(Self)
     }
 
-    /// The socket.
+    /// The underlying socket.
     pub fn socket(&self) -> &TcpStream {
         &self.0
     }
--- a/crates/net/src/tcp_info.rs
+++ b/crates/net/src/tcp_info.rs
@@ -1,15 +1,15 @@
-//! State of a TCP socket that the standard library does not expose. The only unsafe call of the gateway is here, behind a
-//! safe function.
+//! State of a TCP socket that the standard library does not expose. This module contains the only unsafe code of the
+//! gateway, behind a safe function.
 
 use std::os::fd::{AsFd, AsRawFd};
 use std::time::Duration;
 
-/// How long ago a connected socket last received data, read or not (`TCP_INFO`, tcp(7)). `None`: the system does not
-/// provide it.
+/// The time since a connected socket last received data, whether or not the data was read (`TCP_INFO`, see tcp(7)).
+/// `None` if the system does not provide it.
 pub fn since_last_received(socket: impl AsFd) -> Option<Duration> {
     let mut info = std::mem::MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: `info` has the size that `length` states, and the system writes no more than that.
+    // SAFETY: `info` has the size given by `length`, and the system writes no more than that.
     let failed = unsafe {
         libc::getsockopt(
             socket.as_fd().as_raw_fd(),
@@ -23,7 +23,7 @@
     if failed != 0 || (length as usize) < required {
         return None;
     }
-    // SAFETY: the structure has numbers only, and was zeroed before the call.
+    // SAFETY: the structure consists of integers, for which all bit patterns are valid, and was zeroed before the call.
     let info = unsafe { info.assume_init() };
     Some(Duration::from_millis(info.tcpi_last_data_recv.into()))
 }
--- a/crates/net/src/transfer.rs
+++ b/crates/net/src/transfer.rs
@@ -1,7 +1,7 @@
-//! Reads and writes that rely only on the result of the call itself.
+//! Reads and writes that treat a socket as drained or full only when a call would block.
 //!
-//! The runtime's own take a short transfer as a sign that the socket is drained or full, and wait for the system's next
-//! notification. If the transfer was short for another reason, there is no such notification.
+//! Tokio's own I/O takes a short transfer as a sign that the socket is drained or full, and waits for the next
+//! readiness notification of the system. If the transfer was short for another reason, that notification never arrives.
 
 use bytes::{Buf, BytesMut};
 use std::io::{self, ErrorKind, IoSlice};
@@ -9,15 +9,15 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Slices of one vectored write: a head and a body.
+/// Maximum number of slices in a vectored write: a head and a body.
 const MAX_SLICES: usize = 2;
 
-/// Whether a failed call is to be repeated: it would have blocked or was interrupted.
+/// Whether a failed call must be repeated: it would have blocked, or it was interrupted.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-/// Reads the bytes that were received, and waits for some if there are none. `Ok(0)`: the peer has closed its side.
+/// Reads the bytes that have arrived, waiting until there are some. `Ok(0)` means that the peer has closed its side.
 ///
 /// # Errors
 /// The connection failed.
@@ -31,7 +31,7 @@
     }
 }
 
-/// Writes some of the bytes and advances past them.
+/// Writes some of the bytes, and advances `bytes` past them.
 ///
 /// # Errors
 /// The connection failed.
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-/// [`read()`] in the form of the runtime's `AsyncRead`.
+/// [`read()`] with the signature of Tokio's `AsyncRead`.
 ///
 /// # Errors
 /// The connection failed.
@@ -85,7 +85,7 @@
     }
 }
 
-/// [`write()`] in the form of the runtime's `AsyncWrite`.
+/// [`write()`] with the signature of Tokio's `AsyncWrite`.
 ///
 /// # Errors
 /// The connection failed.
--- a/crates/net/tests/tcp_info.rs
+++ b/crates/net/tests/tcp_info.rs
@@ -1,4 +1,4 @@
-//! The time since a socket received data.
+//! The time since a socket last received data, on real sockets.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -6,16 +6,16 @@
 use weirusher_net::since_last_received;
 
 #[test]
-fn the_time_since_data_was_received_includes_the_wait_for_accept() {
+fn the_time_includes_the_wait_for_accept() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     client.write_all(b"x").unwrap();
     let wait = Duration::from_millis(120);
     std::thread::sleep(wait);
-    // The connection was not accepted before.
+    // The connection waited in the listen backlog for this long.
     let (server, _) = listener.accept().unwrap();
     let first = since_last_received(&server).unwrap();
-    // The system counts in ticks of a few milliseconds.
+    // The kernel's clock has a resolution of a few milliseconds.
     assert!(first >= wait - Duration::from_millis(20), "{first:?}");
     client.write_all(b"y").unwrap();
     let second = since_last_received(&server).unwrap();
--- a/crates/panics/src/fault_point.rs
+++ b/crates/panics/src/fault_point.rs
@@ -1,6 +1,7 @@
-//! Places where a test makes the program panic. Only builds with the feature `fault-points` have them: those of tests.
+//! Fault points: named places at which a test can make the program panic. They only exist in builds with the feature
+//! `fault-points`, which tests enable.
 
-/// Panics if a test wants it at this place. Nothing in other builds.
+/// A fault point. Does nothing in builds without the feature `fault-points`.
 #[cfg(not(feature = "fault-points"))]
 #[inline]
 pub fn reach(_place: &'static str) {}
@@ -10,7 +11,7 @@
     static ARMED: std::cell::Cell<Option<&'static str>> = const { std::cell::Cell::new(None) };
 }
 
-/// Panics if a test wants it at this place.
+/// A fault point: panics if this thread has armed `place`, and disarms it.
 ///
 /// # Panics
 /// If the place is armed.
@@ -18,34 +19,34 @@
 pub fn reach(place: &'static str) {
     if ARMED.get() == Some(place) {
         ARMED.set(None);
-        std::panic::panic_any(WantedPanic);
+        std::panic::panic_any(InjectedPanic);
     }
 }
 
-/// The payload of a panic that a test wants.
+/// The payload of an injected panic.
 #[cfg(feature = "fault-points")]
-struct WantedPanic;
+struct InjectedPanic;
 
-/// The next time that this thread reaches the place, it panics, once.
+/// Arms a fault point: this thread panics once, the next time that it reaches `place`.
 #[cfg(feature = "fault-points")]
 pub fn arm(place: &'static str) {
     ARMED.set(Some(place));
 }
 
-/// Whether no panic is due any more.
+/// Whether this thread has no armed fault point: the armed one was reached, or none was armed.
 #[cfg(feature = "fault-points")]
 pub fn was_reached() -> bool {
     ARMED.get().is_none()
 }
 
-/// Panics that a test wants are not printed from now on.
+/// Stops the panic hook from printing injected panics.
 #[cfg(feature = "fault-points")]
 pub fn quiet() {
     static ONCE: std::sync::Once = std::sync::Once::new();
     ONCE.call_once(|| {
         let print = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |info| {
-            if !info.payload().is::<WantedPanic>() {
+            if !info.payload().is::<InjectedPanic>() {
                 print(info);
             }
         }));
--- a/crates/panics/src/hook.rs
+++ b/crates/panics/src/hook.rs
@@ -1,16 +1,16 @@
-//! Panics as lines of the log, and their count.
+//! A panic hook that logs and counts panics.
 
 use std::panic::PanicHookInfo;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 static PANICS: AtomicU64 = AtomicU64::new(0);
 
-/// Logs each panic from now on, in place of writing it to standard error.
+/// Installs a panic hook that logs each panic, instead of writing it to standard error.
 pub fn install_hook() {
     std::panic::set_hook(Box::new(log_panic));
 }
 
-/// How many panics there were since the start.
+/// The number of panics since the hook was installed.
 pub fn count() -> u64 {
     PANICS.load(Relaxed)
 }
--- a/crates/panics/src/lib.rs
+++ b/crates/panics/src/lib.rs
@@ -1,4 +1,4 @@
-//! Panics: caught at the edge of a task, logged and counted, and caused where a test wants one.
+//! Handling of panics: catching them at the boundary of a task, logging and counting them, and injecting them in tests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,10 +1,10 @@
-//! Bodies of HTTP/1.1 messages (RFC 9112, 6 and 7), read from the bytes of a connection as they arrive.
+//! Incremental reading of HTTP/1.1 message bodies (RFC 9112, sections 6 and 7).
 
 use crate::head::HeadSearch;
 use crate::http1::HttpError;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Most bytes of the line with a chunk's size, extensions included.
+/// Maximum length of a chunk's size line in bytes, chunk extensions included.
 const MAX_SIZE_LINE: usize = 1024;
 
 /// How the end of a body is determined.
@@ -12,50 +12,51 @@
 pub enum Framing {
     /// The body has this many bytes (`Content-Length`).
     Length(usize),
-    /// The body is sent in chunks, the last of them empty (`Transfer-Encoding: chunked`).
+    /// The body is sent in chunks; an empty chunk ends it (`Transfer-Encoding: chunked`).
     Chunked,
-    /// The body ends when the connection is closed in order. A reset does not end it.
+    /// The body ends when the peer closes the connection (FIN). A reset leaves the body incomplete.
     UntilClose,
 }
 
-/// What the next byte of a chunked body belongs to.
+/// The part of a chunked body that the next byte belongs to.
 #[derive(Debug)]
 enum ChunkState {
     SizeLine,
-    /// The data of a chunk, of which this many bytes are missing.
+    /// The data of a chunk, with the number of bytes that are still to come.
     Data(usize),
     /// The line break after a chunk's data.
     DataEnd,
     Trailers,
 }
 
-/// Reads one body.
+/// Reads one message body.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
     max_length: usize,
     chunk: ChunkState,
-    /// The part of a body without a stated length that was read so far.
+    /// What was read so far of a body without a `Content-Length`.
     body: BytesMut,
     trailers: HeadSearch,
 }
 
 impl BodyReader {
-    /// A reader of one body of at most `max_length` bytes.
+    /// Creates a reader for one body of at most `max_length` bytes. For [`Framing::Length`] the caller has checked the
+    /// length.
     pub fn new(framing: Framing, max_length: usize) -> Self {
         let (body, trailers) = (BytesMut::new(), HeadSearch::default());
         Self { framing, max_length, chunk: ChunkState::SizeLine, body, trailers }
     }
 
-    /// How many bytes of the body the reader holds, beside those that are still in `src`.
+    /// The number of body bytes that the reader holds, not counting those that are still in the source buffer.
     pub fn buffered(&self) -> usize {
         self.body.len()
     }
 
-    /// Reads from `src`; returns the body once it is complete. Bytes behind it stay in `src`.
+    /// Consumes bytes of `src` and returns the body once it is complete. Bytes after the body stay in `src`.
     ///
     /// # Errors
-    /// A malformed chunk, or a body that is too long.
+    /// A chunk is malformed, or the body is too long.
     pub fn read(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         match self.framing {
             Framing::Length(length) if src.len() < length => {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The connection was closed in order: returns the body if that is how it ends.
+    /// Called when the peer has closed the connection: returns the body if its framing is [`Framing::UntilClose`].
     pub fn finish(&mut self) -> Option<Bytes> {
         (self.framing == Framing::UntilClose).then(|| self.body.split().freeze())
     }
@@ -100,14 +101,14 @@
                         src.advance(2);
                         self.chunk = ChunkState::SizeLine;
                     }
-                    Some(_) => return Err(HttpError::Malformed("a chunk is longer than its size")),
+                    Some(_) => return Err(HttpError::Malformed("a chunk exceeds its size")),
                 },
                 ChunkState::Trailers => return self.read_trailers(src),
             }
         }
     }
 
-    /// Reads the end of the last chunk. Trailers are dropped, and bounded like a head.
+    /// Reads the trailer section after the last chunk. Trailers are discarded; their size is bounded like a head's.
     fn read_trailers(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         let end = match src.get(..2) {
             None => return Ok(None),
@@ -121,7 +122,7 @@
         Ok(Some(self.body.split().freeze()))
     }
 
-    /// Moves the first `count` bytes of `src` to the body.
+    /// Moves the first `count` bytes of `src` to the end of the body.
     fn append(&mut self, count: usize, src: &mut BytesMut) -> Result<(), HttpError> {
         if self.body.len() + count > self.max_length {
             return Err(HttpError::BodyTooLarge);
@@ -131,10 +132,10 @@
     }
 }
 
-/// Takes the line with a chunk's size off `src`, once it is complete.
+/// Removes a chunk's size line from `src` once it is complete, and returns the size.
 fn take_size_line(src: &mut BytesMut) -> Result<Option<u64>, HttpError> {
-    let invalid = || HttpError::Malformed("a chunk has no valid size");
-    // The parser would take an empty line for an empty chunk.
+    let invalid = || HttpError::Malformed("invalid chunk size");
+    // `httparse` accepts an empty line as the size 0.
     if src.first().is_some_and(|first| !first.is_ascii_hexdigit()) {
         return Err(invalid());
     }
--- a/crates/wire/src/eds.rs
+++ b/crates/wire/src/eds.rs
@@ -1,7 +1,7 @@
-//! The endpoint list in the form of Envoy's endpoint discovery service (EDS).
+//! Endpoint lists in the protobuf format of Envoy's endpoint discovery service (EDS).
 //!
-//! One `ClusterLoadAssignment` is a complete list. A locality's zone is that of its endpoints, the health
-//! status `DRAINING` means draining, `UNHEALTHY` and `TIMEOUT` mean removed, and the metadata
+//! One `ClusterLoadAssignment` is a complete list. Endpoints have the zone of their locality. The health status
+//! `DRAINING` maps to draining, `UNHEALTHY` and `TIMEOUT` to removed, every other one to running. The metadata field
 //! `weirusher.started` is the Unix time in seconds of an endpoint's last start.
 
 use envoy_types::pb::envoy::config::core::v3::{
@@ -15,30 +15,30 @@
 use std::net::{IpAddr, SocketAddr};
 use weirusher::{Endpoint, Lifecycle};
 
-/// The type's URL on the wire.
+/// The type URL of a `ClusterLoadAssignment` in a discovery response.
 pub const TYPE_URL: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-/// Endpoints of the longest list; further ones are left out.
+/// Maximum number of endpoints in a list; further ones are ignored.
 pub const MAX_ENDPOINTS: usize = 10_000;
-/// Where an endpoint's metadata has our fields.
+/// The key of this gateway's fields in an endpoint's filter metadata.
 const METADATA_NAMESPACE: &str = "weirusher";
-/// The field with the Unix time of the last start, in seconds.
+/// The metadata field with the Unix time of the endpoint's last start, in seconds.
 const STARTED_FIELD: &str = "started";
 
-/// An endpoint list as it was read, and how many entries could not be used.
+/// A decoded endpoint list, and how many of its entries were not usable.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointList {
     /// The usable endpoints, in the order of the list.
     pub endpoints: Vec<Endpoint>,
-    /// Entries without a usable address.
+    /// Number of entries without a usable address.
     pub invalid: usize,
-    /// Entries whose address is in the list already; the first one counts.
+    /// Number of entries whose address occurs earlier in the list; the first entry is used.
     pub duplicate: usize,
-    /// Entries past [`MAX_ENDPOINTS`].
+    /// Number of entries beyond [`MAX_ENDPOINTS`].
     pub excess: usize,
 }
 
-/// Reads an endpoint list. `zones` names the zones in the order of their numbers; other zones get the numbers
-/// after these.
+/// Decodes an endpoint list. A zone is numbered by its position in `zones`; zones that are not in `zones` get the
+/// numbers after those, in the order in which they occur.
 pub fn read(assignment: &ClusterLoadAssignment, zones: &[String]) -> EndpointList {
     let (mut list, mut seen) = (EndpointList::default(), HashSet::new());
     let mut names: Vec<&str> = zones.iter().map(String::as_str).collect();
@@ -99,8 +99,8 @@
     }
 }
 
-/// An endpoint list for `cluster`; the reverse of [`read`]. Endpoints whose id is not a socket address are
-/// left out.
+/// Encodes an endpoint list for `cluster`; the reverse of [`read`]. Endpoints whose id is not a socket address are
+/// omitted.
 pub fn write(cluster: &str, endpoints: &[Endpoint], zones: &[String]) -> ClusterLoadAssignment {
     let mut by_zone: BTreeMap<u32, Vec<LbEndpoint>> = BTreeMap::new();
     for endpoint in endpoints {
--- a/crates/wire/src/eds/tests.rs
+++ b/crates/wire/src/eds/tests.rs
@@ -1,4 +1,4 @@
-//! Lists written and read back, and entries that cannot be used.
+//! Endpoint lists that are encoded and decoded again, and lists with unusable entries.
 
 use super::*;
 
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -1,24 +1,24 @@
-//! Heads of HTTP/1.1 messages (RFC 9112), parsed in place: nothing is copied.
+//! Zero-copy parsing of HTTP/1.1 message heads (RFC 9112).
 
 use crate::body::Framing;
 use crate::http1::{HttpError, MAX_HEAD_BYTES, MAX_HEADERS};
 
-/// The empty line that ends a head.
+/// The line break of the last header and the empty line that ends a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Finds the end of a head as its bytes arrive. Only new bytes are searched, so that a peer that sends a byte at a time
-/// does not cost a search of the whole head for each.
+/// Finds the end of a head as its bytes arrive. Only new bytes are searched: otherwise a peer that sends one byte at a
+/// time would cause a search of the whole head for each byte.
 #[derive(Debug, Default)]
 pub struct HeadSearch {
-    /// Bytes that were searched without success.
+    /// Number of bytes that were searched without finding the end.
     searched: usize,
 }
 
 impl HeadSearch {
-    /// The length of the head at the start of `src`, its empty line included, once it is complete.
+    /// The length of the head at the start of `src`, including its empty line, once the head is complete.
     ///
     /// # Errors
-    /// It is longer than [`MAX_HEAD_BYTES`].
+    /// The head is longer than [`MAX_HEAD_BYTES`].
     pub fn find_end(&mut self, src: &[u8]) -> Result<Option<usize>, HttpError> {
         let from = self.searched.saturating_sub(HEAD_END.len() - 1).min(src.len());
         let position = src[from..].windows(HEAD_END.len()).position(|window| window == HEAD_END);
@@ -28,15 +28,15 @@
     }
 }
 
-/// Memory for the parsed headers of one head.
+/// Storage for the parsed headers of one head.
 pub type HeaderSlots<'b> = [httparse::Header<'b>; MAX_HEADERS];
 
-/// Header slots before parsing.
+/// Empty storage to pass to a parser.
 pub const EMPTY_HEADERS: HeaderSlots<'static> = [httparse::EMPTY_HEADER; MAX_HEADERS];
 
-/// A header that may occur once occurs twice, or is not visible ASCII.
+/// A header that may occur only once is repeated, or its value has bytes other than visible ASCII and spaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a header occurs twice or is not visible ASCII")]
+#[error("a header is repeated or is not visible ASCII")]
 pub struct InvalidField;
 
 /// The headers of a head.
@@ -52,7 +52,7 @@
     /// The value of a header that may occur once; `None` if it is absent.
     ///
     /// # Errors
-    /// It occurs twice, or is not visible ASCII with spaces.
+    /// It is repeated, or its value has bytes other than visible ASCII and spaces.
     pub fn single(&self, name: &str) -> Result<Option<&'b str>, InvalidField> {
         let mut values =
             self.0.iter().filter(|header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value);
@@ -63,7 +63,7 @@
         std::str::from_utf8(value).map(Some).map_err(|_| InvalidField)
     }
 
-    /// Whether a header occurs.
+    /// Whether a header is present.
     pub fn contains(&self, name: &str) -> bool {
         self.0.iter().any(|header| header.name.eq_ignore_ascii_case(name))
     }
@@ -76,11 +76,12 @@
         self.0.iter().any(|header| header.name.eq_ignore_ascii_case("connection") && has_close(header.value))
     }
 
-    /// How the end of the body is determined (RFC 9112, 6.3); `None` if the head does not say.
+    /// How the end of the body is determined (RFC 9112, section 6.3); `None` if the head has neither a
+    /// `Content-Length` nor a `Transfer-Encoding`.
     ///
     /// # Errors
-    /// Both a length and an encoding are given, which is how requests are smuggled; the encoding is not plain chunked; or
-    /// the length is not a number or above `max_length`.
+    /// Both a length and an encoding are given, which request smuggling relies on; the encoding is anything but a
+    /// single `chunked`; or the length is repeated, not a number or above `max_length`.
     pub fn framing(&self, max_length: usize) -> Result<Option<Framing>, HttpError> {
         if !self.contains("transfer-encoding") {
             return Ok(self.content_length(max_length)?.map(Framing::Length));
@@ -97,7 +98,7 @@
     /// The `Content-Length`; `None` if it is absent.
     ///
     /// # Errors
-    /// It occurs twice or beside a transfer encoding, is not a number, or is above `max_length`.
+    /// It is repeated, not a number or above `max_length`, or the head also has a `Transfer-Encoding`.
     pub fn content_length(&self, max_length: usize) -> Result<Option<usize>, HttpError> {
         if self.contains("transfer-encoding") {
             return Err(HttpError::InvalidLength);
@@ -137,15 +138,15 @@
     if error == httparse::Error::TooManyHeaders { HttpError::HeadTooLarge } else { HttpError::Head(error) }
 }
 
-/// Checks that the parser found the end of the head where [`HeadSearch`] did, and that the version is 1.1: two readers
-/// could disagree about lines that end in a line feed alone, and about older versions.
+/// Checks that the parser found the end of the head where [`HeadSearch`] did, and that the version is 1.1. Other
+/// implementations on the path may read lines that end in a bare line feed, or older versions, in another way.
 fn check_head(
     bytes: &[u8],
     parsed: httparse::Status<usize>,
     minor_version: Option<u8>,
 ) -> Result<(), HttpError> {
     if parsed != httparse::Status::Complete(bytes.len()) {
-        return Err(HttpError::Malformed("the head ends before its empty line"));
+        return Err(HttpError::Malformed("the end of the head is ambiguous"));
     }
     if minor_version != Some(1) {
         return Err(HttpError::Malformed("the version is not 1.1"));
@@ -153,7 +154,7 @@
     Ok(())
 }
 
-/// Parses the head of a request, which `bytes` holds completely.
+/// Parses the head of a request; `bytes` is the whole head and nothing else.
 ///
 /// # Errors
 /// It is not an HTTP/1.1 head, or has more than [`MAX_HEADERS`] headers.
@@ -168,7 +169,7 @@
     Ok(RequestHead { method, target, fields: HeaderFields(parsed.headers) })
 }
 
-/// Parses the head of a response, which `bytes` holds completely.
+/// Parses the head of a response; `bytes` is the whole head and nothing else.
 ///
 /// # Errors
 /// It is not an HTTP/1.1 head, or has more than [`MAX_HEADERS`] headers.
--- a/crates/wire/src/http1.rs
+++ b/crates/wire/src/http1.rs
@@ -1,47 +1,48 @@
-//! Codecs for HTTP/1.1 messages whose bodies have a `Content-Length`.
+//! Codecs for HTTP/1.1 messages with a `Content-Length` or without a body.
 
 use crate::body::{BodyReader, Framing};
 use crate::head::{EMPTY_HEADERS, HeadSearch, HeaderFields, parse_request, parse_response};
 use bytes::{BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Most bytes of a head.
+/// Maximum size of a message head in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most headers of a message.
+/// Maximum number of headers of a message.
 pub const MAX_HEADERS: usize = 64;
-/// Most bytes of a body.
+/// Maximum size of a message body in bytes.
 pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// Why an HTTP connection ends.
+/// Why an HTTP connection has to be closed.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum HttpError {
     /// The connection failed.
-    #[error("connection: {0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// The head cannot be parsed.
     #[error("not HTTP/1.1: {0}")]
     Head(httparse::Error),
-    /// What was received is not HTTP/1.1.
+    /// The message violates HTTP/1.1 in another way.
     #[error("not HTTP/1.1: {0}")]
     Malformed(&'static str),
     /// The head is too long or has too many headers.
-    #[error("a head of more than {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
+    #[error("the head exceeds {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
     HeadTooLarge,
     /// The body is longer than the reader accepts.
-    #[error("a body that is too long")]
+    #[error("the body is too long")]
     BodyTooLarge,
-    /// The length of the body is given twice, as something other than a number, or by an unsupported encoding.
-    #[error("a body whose length is ambiguous or not supported")]
+    /// The `Content-Length` occurs twice, is not a number or conflicts with a `Transfer-Encoding`, or the transfer
+    /// encoding is not supported.
+    #[error("the length of the body is ambiguous or its encoding is not supported")]
     InvalidLength,
 }
 
-/// Headers in order, with names in lower case.
+/// Headers in the order of the message, with names in lower case.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<(String, String)>);
 
 impl Headers {
-    /// The first value of a header; `name` in lower case.
+    /// The first value of a header; `name` must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
@@ -62,7 +63,7 @@
 
     fn write(&self, dst: &mut BytesMut, content_length: usize) {
         for (name, value) in self.0.iter().filter(|(n, _)| n != "content-length") {
-            // A line break in a value would begin another header.
+            // A line break in a name or value would inject another header.
             let clean = |text: &str| text.replace(['\r', '\n'], " ");
             dst.put_slice(format!("{}: {}\r\n", clean(name), clean(value)).as_bytes());
         }
@@ -101,7 +102,7 @@
     }
 }
 
-/// Reads messages; the head of each is parsed once, when it is complete.
+/// Reads messages. The head of each is parsed once, when all of it has arrived.
 #[derive(Debug)]
 struct MessageReader<M> {
     head: Option<(M, BodyReader)>,
--- a/crates/wire/src/resp.rs
+++ b/crates/wire/src/resp.rs
@@ -1,21 +1,21 @@
-//! RESP2, the counter's protocol: the redis-protocol crate within bounds.
+//! RESP2, the protocol of the counter: the codec of the redis-protocol crate, with bounds on frame sizes.
 
 use bytes::{BufMut, Bytes, BytesMut};
 pub use redis_protocol::resp2::types::BytesFrame as Frame;
 use redis_protocol::resp2::{decode::decode_bytes_mut, encode::extend_encode};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes of the largest frame; the commands and responses in use take less than 200.
+/// Maximum size of a frame in bytes. The commands and responses in use take less than 200.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024;
-/// Elements of the longest array.
+/// Maximum number of elements of an array.
 pub const MAX_ELEMENTS: i64 = 64;
-/// Bytes between the parts of a frame.
+/// The separator between the parts of a frame.
 const CRLF: &[u8] = b"\r\n";
-/// The first bytes of the frames that are understood.
+/// The type bytes that begin a RESP2 frame.
 const FRAME_KINDS: &[u8] = b"*$+-:";
 const ARRAY: u8 = b'*';
 const BULK_STRING: u8 = b'$';
-/// The length that stands for a null array or bulk string.
+/// The length of a null array or null bulk string.
 const NULL_LENGTH: i64 = -1;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
@@ -24,13 +24,13 @@
 #[non_exhaustive]
 pub enum RespError {
     /// The connection failed.
-    #[error("connection: {0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// The bytes are not RESP2.
     #[error("not RESP: {0}")]
     Malformed(String),
-    /// A frame exceeds a bound.
-    #[error("a frame of more than {MAX_FRAME_BYTES} bytes or {MAX_ELEMENTS} elements")]
+    /// A frame exceeds [`MAX_FRAME_BYTES`] or [`MAX_ELEMENTS`].
+    #[error("the frame exceeds {MAX_FRAME_BYTES} bytes or {MAX_ELEMENTS} elements")]
     TooLarge,
 }
 
@@ -56,14 +56,14 @@
 /// The first line of a frame.
 struct FrameHead {
     kind: u8,
-    /// The announced length; 0 if the line is the whole frame.
+    /// The announced length of an array or bulk string; 0 for other frames, which consist of this line only.
     length: i64,
-    /// Bytes of the line with its end.
+    /// Length of the line in bytes, including its line break.
     bytes: usize,
 }
 
 impl FrameHead {
-    /// Where the frame ends whose body starts at `start`, once all of it is in `src`. Not for arrays.
+    /// The end of the frame whose body starts at `start`, once all of it is in `src`. Not valid for arrays.
     fn body_end(&self, src: &[u8], start: usize) -> Option<usize> {
         let has_body = self.kind == BULK_STRING && self.length >= 0;
         let end = if has_body { start + self.length as usize + CRLF.len() } else { start };
@@ -71,8 +71,8 @@
     }
 }
 
-/// Where the first frame ends, once all of it is in `src`. Guards memory and stack: announced lengths are
-/// checked before anything is allocated for them, and arrays within arrays are rejected.
+/// The end of the first frame, once all of it is in `src`. Protects the memory and the stack against hostile input:
+/// announced lengths are checked before the decoder allocates memory for them, and nested arrays are rejected.
 fn frame_end(src: &[u8]) -> Result<Option<usize>, RespError> {
     let Some(head) = frame_head(src)? else { return Ok(None) };
     if head.kind != ARRAY {
@@ -85,7 +85,7 @@
     for _ in 0..head.length.max(0) {
         let Some(element) = frame_head(&src[end..])? else { return Ok(None) };
         if element.kind == ARRAY {
-            return Err(RespError::Malformed("an array within an array".into()));
+            return Err(RespError::Malformed("nested array".into()));
         }
         let Some(element_end) = element.body_end(src, end + element.bytes) else { return Ok(None) };
         end = element_end;
@@ -93,11 +93,11 @@
     Ok(Some(end))
 }
 
-/// Reads a frame's first line; `None` if it is not complete yet.
+/// Parses the first line of a frame; `None` if it is not complete yet.
 fn frame_head(src: &[u8]) -> Result<Option<FrameHead>, RespError> {
     let Some((&kind, rest)) = src.split_first() else { return Ok(None) };
     if !FRAME_KINDS.contains(&kind) {
-        return Err(RespError::Malformed(format!("a frame begins with byte {kind:#04x}")));
+        return Err(RespError::Malformed(format!("unknown frame type {kind:#04x}")));
     }
     let Some(end) = rest.windows(CRLF.len()).take(MAX_FRAME_BYTES).position(|w| w == CRLF) else {
         return Ok(None);
@@ -109,7 +109,7 @@
     match std::str::from_utf8(&rest[..end]).ok().and_then(|text| text.parse::<i64>().ok()) {
         Some(length) if length > MAX_FRAME_BYTES as i64 => Err(RespError::TooLarge),
         Some(length) if length >= NULL_LENGTH => Ok(Some(FrameHead { kind, length, bytes })),
-        _ => Err(RespError::Malformed("a length that is no number".into())),
+        _ => Err(RespError::Malformed("invalid length".into())),
     }
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// A command as an array of bulk strings.
+/// Encodes a command as an array of bulk strings.
 pub fn command(words: &[&str]) -> Frame {
     Frame::Array(words.iter().map(|w| Frame::BulkString(Bytes::copy_from_slice(w.as_bytes()))).collect())
 }
@@ -138,7 +138,8 @@
     Some(words)
 }
 
-/// A finite number, in any of the forms in which a server may send it; `None` for an error or another type.
+/// The value of a response that is a finite number, in any form in which a server may send it; `None` for an error
+/// response or another type.
 pub fn number(frame: &Frame) -> Option<f64> {
     let parse = |bytes: &Bytes| std::str::from_utf8(bytes).ok()?.trim().parse::<f64>().ok();
     match frame {
@@ -148,8 +149,8 @@
     }
 }
 
-/// Writes the two commands that add `amount` units to a counter which expires `ttl` seconds after its first
-/// add: the expiry is set together with the key, and only then. Every server of the protocol knows both.
+/// Writes the two commands that add `amount` units to a count, which expires `ttl` seconds after its first add: a `SET`
+/// that creates the key with its expiry unless it exists, and an `INCRBYFLOAT`. Every RESP server supports both.
 pub fn write_add(dst: &mut BytesMut, counter: u64, amount: f64, ttl: f64) {
     let key = format!("w:{counter:x}");
     let ttl_ms = ((ttl * MILLIS_PER_SECOND).ceil().max(1.0) as u64).to_string();
--- a/crates/wire/src/resp/tests.rs
+++ b/crates/wire/src/resp/tests.rs
@@ -1,10 +1,10 @@
-//! Frames in any pieces, lengths out of bounds, commands and numbers.
+//! Frames that arrive in pieces, lengths that are out of bounds, commands and numeric responses.
 
 use super::*;
 use proptest::prelude::{Just, any, prop_assert, prop_assert_eq, prop_oneof, proptest};
 
 #[test]
-fn an_add_is_two_commands_of_the_protocol() {
+fn an_add_is_a_set_and_an_incrbyfloat() {
     let mut bytes = BytesMut::new();
     write_add(&mut bytes, 0xab, -1.5, 2.0);
     let mut codec = RespCodec;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_wrong_type_is_no_number() {
+fn responses_of_other_types_are_not_numbers() {
     let number_of = |text: &str| number(&RespCodec.decode(&mut BytesMut::from(text)).unwrap().unwrap());
     assert_eq!(number_of("$3\r\n1.5\r\n"), Some(1.5));
     assert_eq!(number_of(":7\r\n"), Some(7.0));
@@ -36,7 +36,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_in_any_pieces_give_frames_or_an_error(
+    fn arbitrary_bytes_decode_to_frames_or_an_error(
         bytes in proptest::collection::vec(prop_oneof![any::<u8>(), Just(b'\r'), Just(b'\n'), Just(b'$'),
             Just(b'*'), Just(b'1')], 0..300), piece in 1..40usize) {
         let (mut codec, mut buffer) = (RespCodec, BytesMut::new());
@@ -54,7 +54,7 @@
     }
 
     #[test]
-    fn commands_are_read_back(words_in in proptest::collection::vec("[ -~]{0,20}", 1..8)) {
+    fn encoded_commands_decode_to_the_same_words(words_in in proptest::collection::vec("[ -~]{0,20}", 1..8)) {
         let expected: Vec<&str> = words_in.iter().map(String::as_str).collect();
         let mut bytes = BytesMut::new();
         RespCodec.encode(command(&expected), &mut bytes).unwrap();
--- a/crates/wire/tests/body.rs
+++ b/crates/wire/tests/body.rs
@@ -1,4 +1,4 @@
-//! Bodies in each framing: read the same however their bytes are split, and never beyond the bound.
+//! Bodies of each framing: the result does not depend on how the bytes are split, and the size bound holds.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -6,18 +6,18 @@
 use weirusher_wire::head::{EMPTY_HEADERS, parse_request};
 use weirusher_wire::http1::HttpError;
 
-const MAX: usize = 1000;
+const MAX_LENGTH: usize = 1000;
 
-/// What a reader returns for bytes that arrive in pieces, and what it leaves of them.
+/// The result of a reader for bytes that arrive in pieces, and the bytes that it did not consume.
 fn read(framing: Framing, bytes: &[u8], piece: usize) -> Result<(Option<Bytes>, BytesMut), HttpError> {
-    let (mut reader, mut src) = (BodyReader::new(framing, MAX), BytesMut::new());
+    let (mut reader, mut src) = (BodyReader::new(framing, MAX_LENGTH), BytesMut::new());
     let mut body = reader.read(&mut src)?;
     for part in bytes.chunks(piece.max(1)) {
         src.extend_from_slice(part);
         if body.is_none() {
             body = reader.read(&mut src)?;
         }
-        assert!(reader.buffered() <= MAX);
+        assert!(reader.buffered() <= MAX_LENGTH);
     }
     Ok((body.or_else(|| reader.finish()), src))
 }
@@ -54,9 +54,12 @@
     for large in ["3e9\r\n", "ffffffffffffffff\r\n"] {
         assert!(matches!(chunked(large), Err(HttpError::BodyTooLarge)), "{large:?}");
     }
-    let two = format!("3e8\r\n{}\r\n1\r\n", "x".repeat(MAX));
-    assert!(matches!(chunked(&two), Err(HttpError::BodyTooLarge)), "the sum counts");
-    let endless = vec![b'x'; MAX + 1];
+    let two = format!("3e8\r\n{}\r\n1\r\n", "x".repeat(MAX_LENGTH));
+    assert!(
+        matches!(chunked(&two), Err(HttpError::BodyTooLarge)),
+        "the bound applies to the sum of the chunks"
+    );
+    let endless = vec![b'x'; MAX_LENGTH + 1];
     assert!(matches!(read(Framing::UntilClose, &endless, 64), Err(HttpError::BodyTooLarge)));
 }
 
@@ -68,7 +71,7 @@
         parse_request(head.as_bytes(), &mut slots)
             .unwrap()
             .fields
-            .framing(MAX)
+            .framing(MAX_LENGTH)
             .map_err(|error| error.to_string())
     };
     assert_eq!(framing(""), Ok(None));
@@ -87,7 +90,7 @@
 
 proptest! {
     #[test]
-    fn any_split_of_a_body_reads_the_same(chunks in proptest::collection::vec("[a-z]{1,40}", 0..8),
+    fn the_split_of_a_body_does_not_change_it(chunks in proptest::collection::vec("[a-z]{1,40}", 0..8),
             extension in "(;[a-z]{0,9})?", trailers in "(X-[a-z]{1,9}: [a-z]{0,9}\r\n){0,3}",
             behind in "[ -~]{0,20}", piece in 1..30usize) {
         let whole = chunks.concat();
@@ -105,7 +108,7 @@
     }
 
     #[test]
-    fn any_bytes_are_a_body_an_error_or_a_wait(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = read(Framing::Chunked, &bytes, 7);
     }
 }
--- a/crates/wire/tests/http1.rs
+++ b/crates/wire/tests/http1.rs
@@ -1,4 +1,4 @@
-//! Messages with bodies of a stated length: decoded as they were encoded, never beyond the bound.
+//! Messages with a `Content-Length`: decoding reverses encoding, and the size bounds hold.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -37,17 +37,17 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_back_in_any_pieces(path in "/[a-z/]{0,20}", value in "[!-~]{1,30}",
+    fn an_encoded_request_decodes_from_any_split(path in "/[a-z/]{0,20}", value in "[!-~]{1,30}",
             body in proptest::collection::vec(any::<u8>(), 0..200), piece in 1..50usize) {
         let mut headers = Headers::default();
         headers.add("x-a", &value);
         let request = Request { method: "POST".into(), path, headers, body: body.into() };
         let mut bytes = BytesMut::new();
         ClientCodec::default().encode(request.clone(), &mut bytes).unwrap();
-        let (mut codec, mut held, mut read) = (ServerCodec::default(), BytesMut::new(), None);
+        let (mut codec, mut buffer, mut read) = (ServerCodec::default(), BytesMut::new(), None);
         for part in bytes.chunks(piece) {
-            held.extend_from_slice(part);
-            read = read.or(codec.decode(&mut held).unwrap());
+            buffer.extend_from_slice(part);
+            read = read.or(codec.decode(&mut buffer).unwrap());
         }
         let read = read.unwrap();
         prop_assert_eq!((&read.path, &read.body), (&request.path, &request.body));
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn any_bytes_give_a_message_an_error_or_a_wait(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut text = BytesMut::from(&b"GET / HTTP/1.1\r\n"[..]);
         text.extend_from_slice(&bytes);
         text.extend_from_slice(b"\r\n\r\n");
