--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,8 +1,8 @@
 //! The process's log: lines on standard error, written by a thread of its own.
 //!
 //! Logging never blocks and never fails, whatever happens to standard error. Lines go through a queue that is bounded
-//! in lines and bytes. A line that does not fit, exceeds the rate limit or cannot be written is dropped and counted; the
-//! number of dropped lines is logged once lines can be written again.
+//! in lines and bytes. A line that does not fit, exceeds the rate limit or cannot be written is dropped and counted;
+//! the number of dropped lines is logged once lines can be written again.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/simulation/examples/membership.rs
+++ b/crates/simulation/examples/membership.rs
@@ -1,7 +1,11 @@
-//! Compares failure detectors on one network in virtual time and one seed: this project's, `foca` (SWIM without I/O) as
-//! it ships and tuned to be as fast, and heartbeats from each member to all.
+//! Compares failure detectors on the same simulated network with the same seed. PROTOCOL is one of
+//! - `rings`: the membership protocol of `weirusher-fleet`,
+//! - `foca`: the SWIM implementation of the crate `foca` with its LAN configuration,
+//! - `foca-fast`: `foca` tuned to detect deaths about as fast as `rings`,
+//! - `beats`: heartbeats from each member to all others.
 //!
-//! `cargo run --release -p weirusher-simulation --example membership -- PROTOCOL SIZE LOSS_PERCENT QUIET_SECONDS DEATHS`
+//! `cargo run --release -p weirusher-simulation --example membership --
+//! PROTOCOL SIZE LOSS_PERCENT QUIET_SECONDS DEATHS`
 
 use foca::{Config, Foca, NoCustomBroadcast, Notification, PostcardCodec, Runtime, Timer};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -13,7 +17,7 @@
 use weirusher_simulation::EventQueue;
 use weirusher_simulation::membership::{Belief, LinkQuality, Member, Network, Process, measure};
 
-/// A member as `foca` knows it.
+/// The identity of a member in `foca`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct Id {
     number: u16,
@@ -36,7 +40,7 @@
     }
 }
 
-/// What `foca` wants done, until the network takes it.
+/// The outputs of `foca`, kept until the network collects them.
 #[derive(Default)]
 struct FocaRuntime {
     sent: VecDeque<(u16, Vec<u8>)>,
@@ -62,11 +66,13 @@
     }
 }
 
-/// Milliseconds between two announcements of a member that knows nobody.
+/// Milliseconds between two announcements of a member that knows no other.
 const ANNOUNCE_INTERVAL: Millis = 1_000;
-/// Bytes of the authentication tag in this project's datagrams, so that bytes can be compared.
+/// Size of the authentication tag in the datagrams of `weirusher-fleet`. The other protocols append as many
+/// bytes, so that their traffic is comparable.
 const TAG_BYTES: usize = 16;
 
+/// A member that runs `foca`.
 struct Swim {
     foca: Foca<Id, PostcardCodec, SmallRng, NoCustomBroadcast>,
     runtime: FocaRuntime,
@@ -92,7 +98,8 @@
         }
     }
 
-    fn settle(&mut self, now: Millis) {
+    /// Queues the timers that `foca` has requested.
+    fn queue_timers(&mut self, now: Millis) {
         for (after, timer) in self.runtime.timers.drain(..) {
             self.timers.push(now + after.as_millis() as Millis, timer);
         }
@@ -102,13 +109,13 @@
 impl Process for Swim {
     fn handle_datagram(&mut self, _: u16, bytes: &[u8], now: Millis) {
         let _ = self.foca.handle_data(&bytes[..bytes.len() - TAG_BYTES], &mut self.runtime);
-        self.settle(now);
+        self.queue_timers(now);
     }
 
     fn handle_timeout(&mut self, now: Millis) {
         while let Some((_, timer)) = self.timers.pop_due(now) {
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
-            self.settle(now);
+            self.queue_timers(now);
         }
         if now >= self.announce_at {
             self.announce_at = now + ANNOUNCE_INTERVAL;
@@ -116,7 +123,7 @@
                 let number = self.rng.u16(0..self.size);
                 if number != self.foca.identity().number {
                     let _ = self.foca.announce(Id { number, incarnation: 0 }, &mut self.runtime);
-                    self.settle(now);
+                    self.queue_timers(now);
                 }
             }
         }
@@ -137,12 +144,14 @@
     }
 }
 
-/// Bytes of a heartbeat: a header like this project's, and the tag.
+/// Size of a heartbeat datagram: a header as large as that of `weirusher-fleet`, and the tag.
 const HEARTBEAT_BYTES: usize = 44;
+/// Milliseconds between two heartbeats to the same member.
 const HEARTBEAT_INTERVAL: Millis = 240;
+/// Milliseconds without a heartbeat after which a member is believed dead.
 const SILENCE_TIMEOUT: Millis = 1_700;
 
-/// Each member sends heartbeats to all others, and believes what it receives.
+/// A member that sends heartbeats to all others, and believes a member dead whose heartbeats cease.
 struct AllToAll {
     me: u16,
     last_heard: Vec<Option<Millis>>,
@@ -188,8 +197,8 @@
     }
 }
 
-/// `foca`, tuned to detect a death about as fast as this project.
-fn fast(size: NonZeroU32) -> Config {
+/// The configuration of `foca` that detects deaths about as fast as `weirusher-fleet`.
+fn fast_config(size: NonZeroU32) -> Config {
     let mut config = Config::new_lan(size);
     config.probe_period = Duration::from_millis(250);
     config.probe_rtt = Duration::from_millis(100);
@@ -201,12 +210,12 @@
     config
 }
 
-/// Milliseconds after a start, or after a fault, until beliefs have settled.
+/// Milliseconds after a start or a fault until beliefs are stable.
 const SETTLE_TIME: Millis = 30_000;
-/// Milliseconds in which changes are counted after that.
+/// Milliseconds for which changes of belief are then counted.
 const OBSERVED_TIME: Millis = 120_000;
 
-/// Prints false deaths, and all changes of belief, in two minutes with one fault that does not end.
+/// Prints the number of false deaths and of all changes of belief in two minutes under a fault that does not end.
 fn run_with_permanent_fault<P: Process>(mut net: Network<P>, name: &str, fault: impl Fn(&mut Network<P>)) {
     (0..net.size()).for_each(|member| net.start(member));
     net.run_for(SETTLE_TIME);
@@ -218,7 +227,8 @@
     println!("  {name}: {dead} deaths, {} changes", net.belief_changes.len());
 }
 
-fn ring<P: Process>(net: &mut Network<P>) {
+/// Blocks all datagrams except those from each member to its predecessor, so that each hears only the next.
+fn block_all_but_ring<P: Process>(net: &mut Network<P>) {
     let size = net.size();
     for (from, to) in (0..size).flat_map(|from| (0..size).map(move |to| (from, to))) {
         if from != (to + 1) % size {
@@ -236,7 +246,7 @@
     let link_quality = LinkQuality { loss: loss as f64 / 100.0, ..LinkQuality::default() };
     let measurement = measure(make(size as u16), link_quality, 1000 * quiet, deaths as u32, 2);
     println!("{}", serde_json::to_string(&measurement).expect("a measurement is plain"));
-    run_with_permanent_fault(make(8), "a ring in which each hears the next only", ring);
+    run_with_permanent_fault(make(8), "a ring in which each hears the next only", block_all_but_ring);
     run_with_permanent_fault(make(20), "one does not hear another", |net| net.block(0, 1));
     run_with_permanent_fault(make(20), "one hears nobody", |net| (1..20).for_each(|from| net.block(from, 0)));
 }
@@ -245,17 +255,17 @@
     let mut args = std::env::args().skip(1);
     let protocol = args.next().unwrap_or_default();
     let args: Vec<u64> = args.map(|arg| arg.parse().expect("a whole number")).collect();
-    let cluster = |size: u16| NonZeroU32::new(size.into()).expect("more than none");
+    let cluster_size = |size: u16| NonZeroU32::new(size.into()).expect("more than none");
     match protocol.as_str() {
         "rings" => compare(&args, |size, me, incarnation, now| {
             Member::new(size, me, incarnation, u64::from(me), now)
         }),
         "foca" => compare(&args, move |size, me, incarnation, now| {
-            Swim::new(size, me, incarnation, Config::new_lan(cluster(size)), now)
+            Swim::new(size, me, incarnation, Config::new_lan(cluster_size(size)), now)
         }),
         "foca-fast" => {
             compare(&args, move |size, me, incarnation, now| {
-                Swim::new(size, me, incarnation, fast(cluster(size)), now)
+                Swim::new(size, me, incarnation, fast_config(cluster_size(size)), now)
             });
         }
         "beats" => compare(&args, |size, me, _, now| AllToAll {
--- a/crates/simulation/src/counter.rs
+++ b/crates/simulation/src/counter.rs
@@ -1,4 +1,4 @@
-//! A model of the counter, and of one gateway's connection to it. Times are seconds.
+//! A model of the counter, and of a gateway's connection to it. Times are seconds.
 
 use std::collections::HashMap;
 use weirusher_core::{Backoff, EndedCall, Pipeline};
@@ -9,14 +9,15 @@
     expires_at: f64,
 }
 
-/// The counts of a counter, by name.
+/// The counts that the counter holds, by name.
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     counts: HashMap<u64, Count>,
 }
 
 impl Counts {
-    /// Adds to a count, which begins at 0 where it is new or expired, and returns its total.
+    /// Adds to a count, which starts at 0 if it is new or expired, and returns its total. A new count expires after
+    /// `ttl`.
     pub fn add(&mut self, now: f64, name: u64, amount: f64, ttl: f64) -> f64 {
         let new = Count { total: 0.0, expires_at: now + ttl };
         let count = self.counts.entry(name).or_insert(new);
@@ -32,20 +33,20 @@
     }
 }
 
-/// The condition of the counter.
+/// The state of the counter, as set by faults.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) enum CounterHealth {
     #[default]
     Healthy,
-    /// It takes calls, counts them and answers nothing.
+    /// It counts calls, but never responds to them.
     Silent,
-    /// Connections break at once, and none can be made.
+    /// Existing connections break immediately, and no new ones can be established.
     Unreachable,
-    /// It counts, and closes the connection.
+    /// It counts a call, then closes the connection.
     Reset,
-    /// It counts, and answers with an error.
+    /// It counts a call, then responds with an error.
     WrongType,
-    /// It counts, and answers so many seconds late, one call after the other.
+    /// It counts calls, and takes this many seconds for each response, one after the other.
     Slow(f64),
 }
 
@@ -53,15 +54,17 @@
 pub(crate) struct CounterConnection {
     pub pipeline: Pipeline<u64>,
     pub backoff: Backoff,
-    /// Counts connections and their ends: an event of an earlier one is dropped.
+    /// Incremented at each connect and disconnect. Events of an earlier generation are dropped, except calls that are on
+    /// their way to the counter.
     pub generation: u64,
     pub connected: bool,
-    /// No response will come any more.
+    /// The counter never responds on this connection again.
     pub silent: bool,
-    /// When the last response so far arrives.
+    /// When the latest scheduled response arrives at the gateway.
     pub last_response_at: f64,
+    /// Whether any response arrived on this connection; if so, its end resets the backoff.
     pub any_response: bool,
-    /// When the last call so far arrives at the counter.
+    /// When the latest scheduled call arrives at the counter.
     pub last_call_at: f64,
 }
 
@@ -87,7 +90,7 @@
         self.generation += 1;
     }
 
-    /// Closes the connection. Returns the calls that were in flight, and the seconds until a reconnect.
+    /// Closes the connection. Returns the calls that were in flight, and the seconds until the gateway reconnects.
     pub fn disconnect(&mut self, now: f64) -> (Vec<EndedCall<u64>>, f64) {
         self.connected = false;
         self.generation += 1;
--- a/crates/simulation/src/customer_monitor.rs
+++ b/crates/simulation/src/customer_monitor.rs
@@ -1,9 +1,10 @@
-//! Compares what one customer is served with what a single gateway that sees all its requests would serve.
+//! Compares the requests that the gateways serve to a customer with those that a single gateway would serve that
+//! receives all its requests.
 
 use crate::outcome::CustomerOutcome;
 use crate::schedule::Quota;
 
-/// A token bucket. A level below zero is what the customer was served beyond its quota.
+/// A token bucket. A level below zero is the number of units that the customer was served beyond its quota.
 #[derive(Debug, Clone, Copy)]
 struct TokenBucket {
     quota: Quota,
@@ -23,7 +24,8 @@
         self.level
     }
 
-    /// Takes a unit, whether or not it is there; what the bucket is overdrawn by.
+    /// Takes a unit even from an empty bucket, and returns by how many units the bucket is overdrawn; a
+    /// negative number is the remaining level.
     fn overdraw(&mut self, now: f64) -> f64 {
         self.refill(now);
         self.level -= 1.0;
@@ -31,12 +33,13 @@
     }
 }
 
-/// Follows one customer's requests, of one unit each.
+/// Records one customer's requests, each of one unit.
 pub(crate) struct CustomerMonitor {
-    /// Overdrawn by what was served.
+    /// The quota; every served request takes a unit, so that the bucket is overdrawn by the overshoot.
     served: TokenBucket,
-    /// The bucket of a single gateway.
+    /// The quota as a single gateway would enforce it.
     ideal: TokenBucket,
+    /// The hard ceiling; every served request takes a unit, as with the quota.
     ceiling: Option<TokenBucket>,
     pub outcome: CustomerOutcome,
 }
@@ -51,7 +54,7 @@
         }
     }
 
-    /// The customer sent a request.
+    /// Records that the customer sent a request.
     pub fn handle_request(&mut self, now: f64) {
         self.outcome.requests += 1;
         if self.ideal.refill(now) >= 1.0 {
@@ -60,7 +63,7 @@
         }
     }
 
-    /// A request of the customer was forwarded.
+    /// Records that a request of the customer was forwarded to a backend.
     pub fn handle_forwarded(&mut self, now: f64) {
         self.outcome.served += 1;
         let overshoot = self.served.overdraw(now);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,10 @@
-//! Many gateways in virtual time: the engines that run in service, models of the counter and of each connection to it,
-//! and random schedules of demand, faults and restarts.
+//! Deterministic simulation of many gateways in virtual time: production engines, models of the counter and of each
+//! gateway's connection to it, and random schedules of demand, faults and restarts.
 //!
-//! It checks the bound on what a customer may get beyond its token bucket, and that customers still get what is due to
-//! them. Nothing here reads a clock or a socket: a seed determines the whole run. Times are seconds, except in
-//! [`membership`], which simulates the fleet protocol in milliseconds.
+//! A run checks the bound on how much a customer is served beyond its token bucket (the overshoot), and that
+//! customers still get the requests that they are entitled to. Nothing here reads a clock or a socket: a seed
+//! determines the whole run. Times are seconds, except in [`membership`], which simulates the fleet protocol in
+//! milliseconds.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/simulation/src/membership/measurement.rs
+++ b/crates/simulation/src/membership/measurement.rs
@@ -1,4 +1,4 @@
-//! What is measured of a failure detector: how fast it is, how often it is wrong, and what it sends.
+//! Measurement of a failure detector: detection times, false alarms and traffic.
 
 use super::host::Traffic;
 use super::network::{LinkQuality, Network};
@@ -8,24 +8,24 @@
 use serde::Serialize;
 use weirusher_fleet::Millis;
 
-/// Time until all members know each other after a start, at any size that is measured.
+/// Time after a start until all members know each other, at any measured fleet size.
 const SETTLE_TIME: Millis = 30_000;
-/// Time that a death is given to be known by all.
+/// Time in which all members have to detect a death.
 const DETECTION_LIMIT: Millis = 30_000;
-/// Wrong beliefs about one member within this time are one alarm.
+/// False beliefs about one member that follow each other within this time count as one alarm.
 const ALARM_SPAN: Millis = 10_000;
-/// A member is killed at a random time within this one.
+/// Range of the random delay before a member is killed.
 const DEATH_TIME_SPREAD: Millis = 1_000;
 const MILLIS_PER_HOUR: f64 = 3_600_000.0;
 
-/// The median and the 99th percentile of times in milliseconds.
+/// The median and the 99th percentile of durations in milliseconds.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Percentiles {
-    /// Median.
+    /// The median.
     pub p50: Millis,
-    /// 99th percentile.
+    /// The 99th percentile.
     pub p99: Millis,
-    /// Times that were measured.
+    /// Number of measured durations.
     #[serde(rename = "of")]
     pub count: u64,
 }
@@ -36,31 +36,31 @@
     }
 }
 
-/// What was measured. The JSON keys are those of kept measurements.
+/// The result of a measurement. The JSON keys match those of earlier results on record.
 #[derive(Debug, Clone, Serialize)]
 pub struct Measurement {
-    /// Members.
+    /// Number of members.
     pub members: u16,
-    /// Fraction of datagrams lost.
+    /// Fraction of datagrams that the network lost.
     pub loss: f64,
-    /// From a death until the first member takes the dead one for dead.
+    /// Time from a death until the first member detects it.
     #[serde(rename = "first")]
     pub first_detection: Percentiles,
-    /// From a death until all members do.
+    /// Time from a death until all members have detected it.
     #[serde(rename = "all")]
     pub full_detection: Percentiles,
-    /// Deaths that not all knew of in time.
+    /// Number of deaths that not all members detected in time; a death that no member detected counts twice.
     pub missed: u64,
-    /// Members that were alive and taken for dead by anybody, an hour.
+    /// False alarms an hour: a running member was declared dead by one or more others.
     #[serde(rename = "alarms_an_hour")]
     pub false_alarms_per_hour: f64,
-    /// The same, counted for each member that believed it.
+    /// False beliefs an hour: like the alarms, but counted for each member that held one.
     #[serde(rename = "wrong_an_hour")]
     pub false_beliefs_per_hour: f64,
-    /// Bytes a second that a member sends: the mean, and the most of any.
+    /// Bytes a second that a member sends: the mean and the maximum over the members.
     #[serde(rename = "bytes")]
     pub bytes_per_second: (f64, f64),
-    /// Datagrams a second that a member sends, the mean.
+    /// Datagrams a second that a member sends: the mean over the members.
     #[serde(rename = "datagrams")]
     pub datagrams_per_second: f64,
 }
@@ -69,7 +69,7 @@
     Histogram::new_with_max(DETECTION_LIMIT, 3).expect("three digits are kept")
 }
 
-/// Beliefs that a member is dead while all are alive.
+/// Counts of false beliefs that a member is dead, while all members are alive.
 #[derive(Default)]
 struct FalseAlarms {
     beliefs: u64,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Times from deaths until they were known.
+/// Times from deaths until they were detected.
 struct Detections {
     first: Histogram<u64>,
     all: Histogram<u64>,
@@ -102,9 +102,9 @@
         Self { first: histogram(), all: histogram(), missed: 0 }
     }
 
-    /// Records the changes of belief after a death.
+    /// Evaluates the changes of belief after a death.
     fn record<P: Process>(&mut self, network: &Network<P>, dead: u16, died_at: Millis) {
-        // The last belief of each member is what counts: it may have been wrong before, and changed.
+        // Only the last belief of each member counts: an earlier one may have been revoked.
         let mut detected: Vec<Option<Millis>> = vec![None; usize::from(network.size())];
         for change in network.belief_changes.iter().filter(|c| c.of == dead && c.at >= died_at) {
             detected[usize::from(change.by)] = (change.belief == Belief::Dead).then_some(change.at - died_at);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Bytes and datagrams a second of each member.
+/// Bytes and datagrams a second that each member sent since `before`.
 fn traffic_rates<P: Process>(network: &Network<P>, before: &[Traffic], span: Millis) -> Vec<(f64, f64)> {
     let per_second = |sent: u64| sent as f64 * 1000.0 / span as f64;
     let rates = |(member, before): (u16, &Traffic)| {
@@ -131,8 +131,8 @@
     (0..network.size()).zip(before).map(rates).collect()
 }
 
-/// Runs `quiet` milliseconds without a fault but losses, then `deaths` deaths one after the other, each followed by the
-/// member's restart.
+/// Runs the network for `quiet` milliseconds without any fault but packet loss, then kills `deaths` members one
+/// after the other, and restarts each 30 s after its death.
 pub fn measure<P: Process>(
     mut network: Network<P>,
     link_quality: LinkQuality,
--- a/crates/simulation/src/membership/mod.rs
+++ b/crates/simulation/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Fleets in virtual time: members as they run in service, the network between them, and what goes wrong. All times are
-//! milliseconds.
+//! Simulation of fleet membership in virtual time: production members, and a network between them with faults.
+//! All times are milliseconds.
 
 mod host;
 mod measurement;
--- a/crates/simulation/src/membership/network.rs
+++ b/crates/simulation/src/membership/network.rs
@@ -1,5 +1,5 @@
-//! The event loop: processes, their clocks, and a network that loses, duplicates, delays and partitions, all from one
-//! seed.
+//! The event loop of a simulated fleet: processes, their clocks, and a network that loses, duplicates, delays
+//! and blocks datagrams. One seed determines everything.
 
 use super::host::{Host, Traffic};
 use super::process::{BeliefChange, Process};
@@ -8,26 +8,26 @@
 use std::collections::HashSet;
 use weirusher_fleet::Millis;
 
-/// Milliseconds since the epoch at which every network begins.
+/// Unix time in milliseconds at which every network begins.
 const START: u64 = 1_800_000_000_000;
 
-/// Bounds of a datagram's delay, both included.
+/// The range of a datagram's delay, both bounds included.
 #[derive(Debug, Clone, Copy)]
 pub struct DelayRange {
-    /// Least milliseconds.
+    /// Minimum delay in milliseconds.
     pub min: Millis,
-    /// Most milliseconds.
+    /// Maximum delay in milliseconds.
     pub max: Millis,
 }
 
-/// What happens to every datagram.
+/// Loss, duplication and delay of datagrams, the same on all links.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkQuality {
-    /// The fraction that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The fraction that is duplicated.
+    /// Fraction of datagrams that are duplicated.
     pub duplication: f64,
-    /// The delay. Datagrams are reordered where its bounds differ.
+    /// The delay. Datagrams may be reordered if the bounds differ.
     pub delay: DelayRange,
 }
 
@@ -42,22 +42,22 @@
     Timeout { member: u16, generation: u32 },
 }
 
-/// Starts the process of a member, from its number, its incarnation and its clock.
+/// Creates the process of a member from its number, its incarnation and the time on its clock.
 type StartProcess<P> = Box<dyn Fn(u16, u64, Millis) -> P>;
 
-/// Processes, and the network between them.
+/// The processes of a fleet and the network between them.
 pub struct Network<P> {
-    /// What happens to every datagram.
+    /// Loss, duplication and delay of datagrams.
     pub link_quality: LinkQuality,
-    /// Milliseconds by which the wall clock of processes started from now on stands ahead, or behind.
+    /// Milliseconds by which the wall clock is ahead (negative: behind) for processes that are started from now on.
     pub wall_clock_shift: i64,
-    /// All changes of belief, in order.
+    /// All changes of belief in chronological order, until the caller clears them.
     pub belief_changes: Vec<BeliefChange>,
     start_process: StartProcess<P>,
     hosts: Vec<Host<P>>,
-    /// The partition that each member is in: members of two partitions do not reach each other.
+    /// The partition of each member. Members of different partitions cannot reach each other.
     partitions: Vec<u8>,
-    /// Directions in which nothing passes: from, to.
+    /// Pairs of sender and recipient between which all datagrams are lost.
     blocked: HashSet<(u16, u16)>,
     events: EventQueue<Millis, Event>,
     now: Millis,
@@ -65,8 +65,8 @@
 }
 
 impl<P: Process> Network<P> {
-    /// A network of `size` members, none of which runs yet. `start_process` is given a number, an incarnation and the
-    /// time on the member's clock.
+    /// Creates a network of `size` members, none of which is running. `start_process` is called with a member's
+    /// number, its incarnation and the time on its clock.
     pub fn new(size: u16, seed: u64, start_process: impl Fn(u16, u64, Millis) -> P + 'static) -> Self {
         let mut rng = Rng::with_seed(seed);
         let hosts = (0..size).map(|_| Host::new(&mut rng)).collect();
@@ -84,12 +84,12 @@
         }
     }
 
-    /// The network's time.
+    /// The current time of the network.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// Members.
+    /// Number of members.
     pub fn size(&self) -> u16 {
         self.hosts.len() as u16
     }
@@ -98,7 +98,7 @@
         &mut self.hosts[usize::from(number)]
     }
 
-    /// A member that runs, and its own clock's time.
+    /// A member's process and the time on its clock; `None` if it is not running.
     pub fn member(&mut self, number: u16) -> Option<(&mut P, Millis)> {
         let at = self.now;
         let host = self.host(number);
@@ -106,18 +106,18 @@
         host.process.as_mut().map(|process| (process, now))
     }
 
-    /// Whether a member runs, and is not paused.
+    /// Whether a member is running and not paused.
     pub fn is_running(&self, number: u16) -> bool {
         let host = &self.hosts[usize::from(number)];
         host.process.is_some() && !host.paused
     }
 
-    /// What a member sent since the network began.
+    /// The traffic that a member sent since the network began.
     pub fn traffic(&self, number: u16) -> Traffic {
         self.hosts[usize::from(number)].traffic
     }
 
-    /// Starts a member, in place of the process that ran under its number.
+    /// Starts a member. If it is running, a new process replaces the current one.
     pub fn start(&mut self, number: u16) {
         let incarnation = (START + self.now).saturating_add_signed(self.wall_clock_shift);
         let host = &mut self.hosts[usize::from(number)];
@@ -139,7 +139,8 @@
         self.host(number).paused = true;
     }
 
-    /// Resumes a member (SIGCONT): it finds what arrived meanwhile and its timers overdue, in either order.
+    /// Resumes a paused member (SIGCONT). It handles its overdue timers and the datagrams that arrived during
+    /// the pause, in random order.
     pub fn resume(&mut self, number: u16) {
         let host = self.host(number);
         host.paused = false;
@@ -154,27 +155,27 @@
         self.schedule_timeout(number);
     }
 
-    /// Partitions the members; one partition for all heals the network.
+    /// Assigns each member to a partition; the same partition for all members heals the network.
     pub fn partition(&mut self, partition_of: impl Fn(u16) -> u8) {
         self.partitions = (0..self.size()).map(partition_of).collect();
     }
 
-    /// Blocks one direction between two members.
+    /// Blocks the datagrams from one member to another, but not those in the opposite direction.
     pub fn block(&mut self, from: u16, to: u16) {
         self.blocked.insert((from, to));
     }
 
-    /// Opens all directions that were blocked.
+    /// Removes all blocks between members.
     pub fn unblock_all(&mut self) {
         self.blocked.clear();
     }
 
-    /// Sends any bytes to a member as if from another, past the network's faults.
+    /// Delivers arbitrary bytes to a member as if another had sent them, bypassing the faults of the network.
     pub fn inject(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
         self.events.push(self.now, Event::Datagram { from, to, bytes });
     }
 
-    /// Lets time pass.
+    /// Runs the network for a duration in milliseconds.
     pub fn run_for(&mut self, duration: Millis) {
         let end = self.now + duration;
         while let Some((at, event)) = self.events.pop_due(end) {
@@ -218,7 +219,7 @@
         self.collect_output(to);
     }
 
-    /// Takes what a member sends and believes.
+    /// Takes a member's outgoing datagrams and its changes of belief.
     fn collect_output(&mut self, member: u16) {
         let at = self.now;
         let host = &mut self.hosts[usize::from(member)];
@@ -235,7 +236,7 @@
     }
 
     fn transmit(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
-        // A member that is configured with another fleet size may send to one that does not exist.
+        // A member that is configured with a larger fleet size may send to a member that does not exist.
         let partition = |member: u16| self.partitions.get(usize::from(member));
         let LinkQuality { loss, duplication, delay } = self.link_quality;
         if partition(from) != partition(to) || self.blocked.contains(&(from, to)) || self.rng.f64() < loss {
--- a/crates/simulation/src/membership/process.rs
+++ b/crates/simulation/src/membership/process.rs
@@ -1,56 +1,56 @@
-//! What a process is to the network, whatever protocol it runs.
+//! The interface between the simulated network and a process, for any membership protocol.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use weirusher_fleet::{Event, MemberState, Membership, Millis, Settings};
 
-/// The key of fleets in virtual time.
+/// The authentication key of simulated fleets.
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
-/// Port of the member with number 0.
+/// Port of member 0; the others have the ports that follow.
 const FIRST_PORT: u16 = 1024;
 
-/// What a process believes of a member, in terms that all protocols have.
+/// What a process believes about a member, in terms that all membership protocols share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Belief {
-    /// It is alive.
+    /// The member is alive.
     Alive,
-    /// It is suspected.
+    /// The member is suspected to be dead.
     Suspected,
-    /// It is dead.
+    /// The member is dead.
     Dead,
 }
 
-/// A change of what a process believes.
+/// A change of a process's belief about a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BeliefChange {
-    /// When, on the network's clock.
+    /// When the belief changed, on the network's clock.
     pub at: Millis,
-    /// Which member believes it.
+    /// The member that holds the belief.
     pub by: u16,
-    /// Of which member.
+    /// The member that the belief is about.
     pub of: u16,
-    /// What it believes now.
+    /// The new belief.
     pub belief: Belief,
 }
 
-/// A process without I/O.
+/// A process without I/O of its own, driven by the network.
 pub trait Process {
-    /// Takes in a datagram.
+    /// Handles a datagram from a member.
     fn handle_datagram(&mut self, from: u16, bytes: &[u8], now: Millis);
-    /// Does what is due.
+    /// Runs the timers that are due.
     fn handle_timeout(&mut self, now: Millis);
-    /// When `handle_timeout` is due.
+    /// When `handle_timeout` has to be called next.
     fn poll_timeout(&self) -> Millis;
-    /// The next datagram to send, and to whom.
+    /// The next datagram to send, with its recipient.
     fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)>;
-    /// The members of which the belief changed, with the new one.
+    /// Returns the members about which the belief has changed since the last call, with the new beliefs.
     fn take_belief_changes(&mut self) -> Vec<(u16, Belief)>;
 }
 
-/// A member as it runs in service.
+/// A member that runs the production membership protocol.
 pub struct Member {
     /// The state machine under test.
     pub fleet: Membership,
-    /// Its events besides changes of members' states.
+    /// The events of the membership, except changes of members' states.
     pub events: Vec<Event>,
 }
 
@@ -59,14 +59,14 @@
 }
 
 impl Member {
-    /// Member `me` of a fleet of `size`.
+    /// Creates member `me` of a fleet of `size` members.
     ///
     /// # Panics
-    /// No fleet has this size, or `me` is none of its members.
+    /// `size` is not a valid fleet size, or `me` is not below it.
     pub fn new(size: u16, me: u16, incarnation: u64, seed: u64, now: Millis) -> Self {
         let settings =
             Settings { instance: me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
-        let fleet = Membership::new(settings, incarnation, seed, now).expect("these settings can work");
+        let fleet = Membership::new(settings, incarnation, seed, now).expect("the settings are valid");
         Self { fleet, events: Vec::new() }
     }
 }
--- a/crates/simulation/src/outcome.rs
+++ b/crates/simulation/src/outcome.rs
@@ -5,41 +5,41 @@
 /// The outcome for one customer.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct CustomerOutcome {
-    /// Requests that it sent.
+    /// Number of requests that the customer sent.
     pub requests: u64,
-    /// Requests that were forwarded.
+    /// Number of requests that were forwarded to a backend.
     pub served: u64,
-    /// Requests that a single gateway with the whole token bucket would have forwarded.
+    /// Number of requests that a single gateway with the whole token bucket would have forwarded.
     pub due: u64,
-    /// Most units served beyond its token bucket.
+    /// Maximum number of units served beyond the token bucket.
     pub overshoot: f64,
-    /// When that was, in Unix seconds.
+    /// Unix time in seconds of the maximum overshoot.
     pub overshoot_at: f64,
-    /// Most units served beyond its ceiling.
+    /// Maximum number of units served beyond the hard ceiling.
     pub ceiling_overshoot: f64,
 }
 
 /// The outcome of a schedule.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Outcome {
-    /// By customer.
+    /// The outcome of each customer.
     pub customers: Vec<CustomerOutcome>,
-    /// Calls to the counter.
+    /// Number of calls to the counter.
     pub counter_calls: u64,
-    /// Restarts of gateways.
+    /// Number of gateway restarts.
     pub restarts: u32,
-    /// Requests of all customers.
+    /// Number of requests of all customers.
     pub requests: u64,
 }
 
 impl Outcome {
-    /// Most units that any customer was served beyond its token bucket.
+    /// The maximum overshoot of any customer, in units.
     pub fn worst_overshoot(&self) -> f64 {
         self.customers.iter().map(|customer| customer.overshoot).fold(0.0, f64::max)
     }
 
-    /// Requests served as a fraction of requests due, of all customers. What a customer was served beyond its due does
-    /// not make up for another.
+    /// Requests served as a fraction of requests due, over all customers. Requests served to one customer
+    /// beyond its due do not compensate for another customer's.
     pub fn served_fraction(&self) -> f64 {
         let (served, due): (u64, u64) = self
             .customers
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,4 +1,5 @@
-//! Many schedules, and how their outcomes compare with the bound. The JSON keys are those of `weirusher prove --json`.
+//! Runs many schedules and compares their outcomes with the bound on overshoot. The JSON keys are those of the
+//! output of `weirusher simulate --json`.
 
 use crate::outcome::Outcome;
 use crate::schedule::{DemandPattern, FaultKind, Schedule};
@@ -10,31 +11,31 @@
 use std::time::Duration;
 use weirusher_core::OvershootBound;
 
-/// Worst schedules that a report names.
-const MAX_NAMED: usize = 10;
-/// Between two reports of progress.
+/// Maximum number of schedules in [`Report::worst`].
+const MAX_WORST_SCHEDULES: usize = 10;
+/// Interval between two calls of the progress callback.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
-/// Units of a request.
+/// Units of each request.
 const REQUEST_UNITS: f64 = 1.0;
-/// Slack of a hard ceiling, as a fraction of its burst. One request is allowed in any case.
-const CEILING_SLACK: f64 = 0.1;
+/// Tolerance of a hard ceiling, as a fraction of its burst, but at least one request.
+const CEILING_TOLERANCE: f64 = 0.1;
 
-/// One schedule's outcome beside the bound.
+/// The overshoot of one schedule, and the bound on it.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ScheduleResult {
-    /// Its seed.
+    /// The seed of the schedule.
     pub seed: u64,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u32,
-    /// Most units that a customer was served beyond its token bucket.
+    /// Maximum number of units that a customer was served beyond its token bucket.
     #[serde(rename = "beyond")]
     pub overshoot: f64,
-    /// What the bound allows, in units.
+    /// The bound on the overshoot, in units.
     pub allowed: f64,
-    /// The overshoot in bursts of the customer's quota.
+    /// The overshoot as a multiple of the burst of the quota.
     #[serde(rename = "bursts")]
     pub overshoot_bursts: f64,
-    /// Units beyond the hard ceiling and its slack; 0 where there is no ceiling.
+    /// Units served beyond the hard ceiling and its tolerance; 0 if there is no ceiling.
     #[serde(rename = "ceiling_over")]
     pub ceiling_excess: f64,
 }
@@ -46,11 +47,11 @@
             OvershootBound { burst, instances: f64::from(schedule.gateways), largest_request: REQUEST_UNITS };
         let overshoot = outcome.worst_overshoot();
         let ceiling_burst = schedule.ceiling.map_or(0.0, |ceiling| ceiling.burst);
-        let slack = (CEILING_SLACK * ceiling_burst).max(REQUEST_UNITS);
+        let tolerance = (CEILING_TOLERANCE * ceiling_burst).max(REQUEST_UNITS);
         let excess = outcome
             .customers
             .iter()
-            .map(|customer| customer.ceiling_overshoot - slack)
+            .map(|customer| customer.ceiling_overshoot - tolerance)
             .fold(f64::MIN, f64::max);
         Self {
             seed: schedule.seed,
@@ -66,19 +67,19 @@
         self.overshoot > self.allowed || self.ceiling_excess > 0.0
     }
 
-    /// Orders results: the worst is the one nearest to the bound or farthest beyond it.
-    fn badness(&self) -> f64 {
+    /// The sort key of [`Report::worst`]: how close a result is to the bound, or how far beyond.
+    fn severity(&self) -> f64 {
         self.overshoot / self.allowed + self.ceiling_excess
     }
 }
 
-/// Requests that were due to customers, and those of them that were served.
+/// How many requests were due to customers, and how many of those were served.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, u64)")]
 pub struct Fulfilment {
-    /// Requests due.
+    /// Number of requests due.
     pub due: u64,
-    /// Requests served.
+    /// Number of due requests that were served.
     pub served: u64,
 }
 
@@ -98,23 +99,23 @@
 /// The outcomes of many schedules.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Report {
-    /// Schedules that were run.
+    /// Number of schedules that were run.
     #[serde(rename = "timelines")]
     pub schedules: u64,
-    /// Those beyond the bound, or beyond a ceiling's slack.
+    /// Number of schedules that exceeded the bound, or a ceiling and its tolerance.
     #[serde(rename = "broken")]
     pub violations: u64,
-    /// Those more than one burst beyond (or one request a gateway, if that is more), without a restart or a loss of
-    /// counts. This is the target, which is stricter than the bound.
+    /// Number of schedules without restarts and losses of counts that exceeded the design target, which is
+    /// stricter than the bound: an overshoot of one burst, or of one request for each gateway if that is more.
     #[serde(rename = "past_aim")]
     pub over_target: u64,
-    /// Requests of customers that always stay within their rate.
+    /// Requests of customers whose demand is always within their rate.
     #[serde(rename = "within")]
     pub within_rate: Fulfilment,
     /// Requests of all other customers.
     #[serde(rename = "hot")]
     pub beyond_rate: Fulfilment,
-    /// The worst schedules, the worst first.
+    /// The schedules closest to the bound or farthest beyond it, the worst first.
     pub worst: Vec<ScheduleResult>,
 }
 
@@ -136,8 +137,8 @@
     }
 
     fn keep_worst(&mut self) {
-        self.worst.sort_by(|a, b| b.badness().total_cmp(&a.badness()).then(a.seed.cmp(&b.seed)));
-        self.worst.truncate(MAX_NAMED);
+        self.worst.sort_by(|a, b| b.severity().total_cmp(&a.severity()).then(a.seed.cmp(&b.seed)));
+        self.worst.truncate(MAX_WORST_SCHEDULES);
     }
 
     fn merge(&mut self, other: Self) {
@@ -152,7 +153,7 @@
 }
 
 impl Schedule {
-    /// Faults by which the counter loses its counts.
+    /// Number of faults that make the counter lose its counts.
     fn count_losses(&self) -> u32 {
         let loses =
             |fault: &&crate::Fault| matches!(fault.kind, FaultKind::CountsLost | FaultKind::ReplacedEmpty);
@@ -167,28 +168,28 @@
     (schedule, outcome)
 }
 
-/// Runs the schedules of `count` seeds from `first_seed` on, on so many threads. `progress` is told now and then how many
-/// are finished. The report is the same on any number of threads.
+/// Runs the schedules of `count` consecutive seeds from `first_seed` on `threads` threads. `progress` is called
+/// periodically with the number of finished schedules. The report does not depend on the number of threads.
 ///
 /// # Panics
 /// A run panicked on one of the threads.
 pub fn run_seeds(first_seed: u64, count: u64, threads: usize, mut progress: impl FnMut(u64)) -> Report {
     let (next, finished, report) = (AtomicU64::new(0), AtomicU64::new(0), Mutex::new(Report::default()));
     std::thread::scope(|scope| {
-        let run_some = || {
-            let mut own = Report::default();
+        let run_schedules = || {
+            let mut thread_report = Report::default();
             loop {
                 let number = next.fetch_add(1, Relaxed);
                 if number >= count {
                     break;
                 }
                 let (schedule, outcome) = run_seed(first_seed + number);
-                own.add(&schedule, &outcome);
+                thread_report.add(&schedule, &outcome);
                 finished.fetch_add(1, Relaxed);
             }
-            report.lock().expect("no thread panics").merge(own);
+            report.lock().expect("no thread panics").merge(thread_report);
         };
-        let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(run_some)).collect();
+        let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(run_schedules)).collect();
         while !workers.iter().all(ScopedJoinHandle::is_finished) {
             progress(finished.load(Relaxed));
             std::thread::sleep(PROGRESS_INTERVAL);
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -1,61 +1,63 @@
-//! A schedule: a fleet, its quota, the customers' demand, and which faults happen when. Times are seconds.
+//! Schedules: the number of gateways, the quota, the customers' demand and the faults of a run. Times are seconds.
 
 use fastrand::Rng;
 use serde::Serialize;
 
-/// Gateways of a random schedule, each entry as likely as another.
+/// Numbers of gateways of random schedules; each entry is equally likely.
 const RANDOM_FLEET_SIZES: [u32; 10] = [2, 4, 4, 4, 4, 4, 8, 20, 20, 100];
-/// Seconds that a random schedule takes, and that it is left without faults at its start and at its end.
+/// Duration of a random schedule in seconds.
 const RANDOM_DURATION: f64 = 30.0;
+/// Seconds at the start and at the end of a random schedule in which no fault begins.
 const FAULT_FREE_MARGIN: f64 = 2.0;
-/// The shortest random fault in seconds, and the ratio of the longest to it.
+/// Duration of the shortest random fault in seconds.
 const SHORTEST_FAULT: f64 = 0.05;
+/// Ratio of the longest random fault to the shortest.
 const FAULT_DURATION_RATIO: f64 = 200.0;
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub enum FaultKind {
     /// The counter cannot be reached.
     Unreachable,
-    /// The counter counts and answers nothing.
+    /// The counter counts calls, but never responds.
     Silent,
-    /// The counter counts and answers so many seconds late.
+    /// The counter counts calls, and takes this many seconds for each response.
     Slow(f64),
-    /// The counter counts and closes connections.
+    /// The counter counts a call, then closes the connection.
     Reset,
-    /// The counter counts and answers with another type.
+    /// The counter counts a call, then responds with an error, as it does for a key of the wrong type.
     WrongType,
-    /// The counter loses all counts, at once.
+    /// The counter loses all counts at the start of the fault.
     CountsLost,
-    /// The counter cannot be reached, and comes back without its counts.
+    /// The counter cannot be reached, and has lost its counts when the fault ends.
     ReplacedEmpty,
-    /// A gateway is killed and started anew.
+    /// The gateway with this number is killed and restarted.
     GatewayRestart(usize),
 }
 
-/// A fault.
+/// A fault of a schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fault {
-    /// Seconds from the start.
+    /// Seconds from the start of the run to the start of the fault.
     pub at: f64,
-    /// Seconds that it lasts.
+    /// Duration in seconds.
     pub duration: f64,
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
 }
 
-/// How much of its rate a customer asks for.
+/// A customer's demand over time, as multiples of the rate of its quota.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub enum DemandPattern {
-    /// This multiple of its rate, all the time.
+    /// A constant multiple of the rate.
     Steady(f64),
-    /// One of two multiples of its rate, chosen anew in each period.
+    /// One of two multiples of the rate, chosen at random for each period.
     Alternating {
         /// The smaller multiple.
         low: f64,
         /// The larger multiple.
         high: f64,
-        /// Seconds between two choices.
+        /// Duration of a period in seconds.
         period: f64,
     },
 }
@@ -63,47 +65,47 @@
 /// A customer's demand.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Demand {
-    /// How much it asks for.
+    /// The demand over time.
     pub pattern: DemandPattern,
-    /// How unevenly its requests are distributed over the gateways: 0 is evenly.
+    /// How unevenly its requests are distributed over the gateways; 0 is an even distribution.
     pub skew: f64,
-    /// Seconds after which the requests are distributed anew.
+    /// Seconds after which a new distribution over the gateways is drawn.
     pub redistribute_after: f64,
 }
 
-/// A token bucket's limits.
+/// The parameters of a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Quota {
-    /// Units a second.
+    /// Refill rate in units a second.
     pub rate: f64,
-    /// Units at once.
+    /// Capacity in units.
     pub burst: f64,
 }
 
-/// A schedule.
+/// The input of a simulation run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Schedule {
-    /// Seeds all randomness.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Seconds that are simulated.
+    /// Simulated duration in seconds.
     pub duration: f64,
-    /// Gateways, all of which carry each customer.
+    /// Number of gateways; all of them serve every customer.
     pub gateways: u32,
     /// The quota of each customer.
     pub quota: Quota,
-    /// The hard ceiling of each customer, if there is one.
+    /// The hard ceiling of each customer, if any.
     pub ceiling: Option<Quota>,
-    /// By customer.
+    /// The demand of each customer.
     pub demand: Vec<Demand>,
-    /// In any order.
+    /// The faults, in any order. They may overlap.
     pub faults: Vec<Fault>,
 }
 
 impl Schedule {
-    /// The random schedule of a seed: mostly four gateways, some 20, a few 100.
+    /// The random schedule of a seed: half of the schedules have four gateways, the others 2 to 100.
     ///
     /// # Panics
-    /// Never: each choice is among several values.
+    /// Never: each random choice has a non-empty range.
     pub fn random(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let gateways = RANDOM_FLEET_SIZES[rng.usize(0..RANDOM_FLEET_SIZES.len())];
@@ -117,8 +119,8 @@
         Self { seed, duration: RANDOM_DURATION, gateways, quota, ceiling, demand, faults }
     }
 
-    /// A regular schedule: `customers` that ask for four times their rate, and nine faults of two seconds, eight seconds
-    /// apart.
+    /// A schedule with periodic faults: `customers` customers with a demand of four times their rate, and nine
+    /// faults of 2 s, which begin every 8 s.
     pub fn periodic(kind: FaultKind, gateways: u32, customers: usize, seed: u64) -> Self {
         let demand = Demand { pattern: DemandPattern::Steady(4.0), skew: 0.0, redistribute_after: 1e9 };
         let fault = |n| Fault { at: 5.0 + 8.0 * f64::from(n), duration: 2.0, kind };
@@ -153,7 +155,7 @@
 impl Fault {
     fn random(rng: &mut Rng, gateways: u32) -> Self {
         let at = FAULT_FREE_MARGIN + (RANDOM_DURATION - 2.0 * FAULT_FREE_MARGIN) * rng.f64();
-        // Most are short: those fall between the moments at which gateways decide.
+        // Log-uniform: most faults are short, so that many begin and end between two decisions of a gateway.
         let duration = SHORTEST_FAULT * FAULT_DURATION_RATIO.powf(rng.f64());
         let kind = match rng.u8(0..10) {
             0 | 1 => FaultKind::Unreachable,
--- a/crates/simulation/src/simulator/counter_link.rs
+++ b/crates/simulation/src/simulator/counter_link.rs
@@ -1,33 +1,35 @@
-//! Calls to the counter and their responses, on a connection with delay, timeouts and reconnects.
+//! Calls to the counter and their responses, on connections with delays, timeouts and reconnects.
 
 use super::gateways::COUNTER_TIMEOUT;
 use super::{Event, Simulation};
 use crate::counter::CounterHealth;
 use weirusher::Status;
 
-/// Least seconds one way between a gateway and the counter, and the fraction of it that chance adds at most.
+/// Minimum one-way delay between a gateway and the counter, in seconds.
 const ONE_WAY_DELAY: f64 = 0.0005;
+/// Maximum random addition to the one-way delay, as a fraction of it.
 const DELAY_JITTER: f64 = 0.5;
-/// Seconds that make a call that is given up now count as overdue in spite of rounding.
-const ROUNDING_SLACK: f64 = 1e-9;
+/// Seconds by which a call may time out early: the computed deadline of a call can lie after its timeout event
+/// because of rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What happens on a connection to the counter.
+/// An event on a connection to the counter.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum CounterLinkEvent {
     /// A call arrives at the counter.
     CallArrives { name: u64, amount: f64, ttl: f64 },
-    /// Its response arrives at the gateway.
+    /// The response to a call arrives at the gateway.
     ResponseArrives { status: Status, total: f64 },
-    /// Calls may have timed out.
+    /// One or more calls may have timed out.
     Timeout,
-    /// The gateway connects again.
+    /// The gateway tries to reconnect.
     Reconnect,
 }
 
 impl Simulation<'_> {
     pub(super) fn handle_counter_link(&mut self, instance: usize, generation: u64, event: CounterLinkEvent) {
         if let CounterLinkEvent::CallArrives { name, amount, ttl } = event {
-            // The counter counts also what arrives after its connection broke.
+            // A call that is already on its way is counted even if its connection has broken since.
             return self.handle_call(instance, generation, name, amount, ttl);
         }
         if self.gateways[instance].connection.generation != generation {
@@ -52,7 +54,7 @@
         ONE_WAY_DELAY * (1.0 + DELAY_JITTER * self.rng.f64())
     }
 
-    /// A gateway calls the counter.
+    /// Sends a call of a gateway to the counter.
     pub(super) fn call_counter(&mut self, instance: usize, call: u64, name: u64, amount: f64, ttl: f64) {
         self.outcome.counter_calls += 1;
         let (now, delay) = (self.now, self.one_way_delay());
@@ -63,7 +65,7 @@
         if gateway.connection.pipeline.send(now, call).is_err() {
             return gateway.engine.handle_counter_response(now, call, Status::Rejected, 0.0, 0.0);
         }
-        // Calls keep their order on a connection.
+        // Calls on one connection arrive in order.
         let at = gateway.connection.last_call_at.max(now + delay);
         gateway.connection.last_call_at = at;
         self.push_link_event(at, instance, CounterLinkEvent::CallArrives { name, amount, ttl });
@@ -87,11 +89,11 @@
         if connection.silent {
             return;
         }
-        let slowness = if let CounterHealth::Slow(seconds) = self.counter_health { seconds } else { 0.0 };
-        let at = (connection.last_response_at.max(self.now) + slowness).max(self.now + delay);
+        let extra_delay = if let CounterHealth::Slow(seconds) = self.counter_health { seconds } else { 0.0 };
+        let at = (connection.last_response_at.max(self.now) + extra_delay).max(self.now + delay);
         connection.last_response_at = at;
-        let wrong = self.counter_health == CounterHealth::WrongType;
-        let status = if wrong { Status::Rejected } else { Status::Ok };
+        let wrong_type = self.counter_health == CounterHealth::WrongType;
+        let status = if wrong_type { Status::Rejected } else { Status::Ok };
         self.push_link_event(at, instance, CounterLinkEvent::ResponseArrives { status, total });
     }
 
@@ -106,7 +108,7 @@
 
     fn handle_call_timeout(&mut self, instance: usize) {
         let gateway = &mut self.gateways[instance];
-        for ended in gateway.connection.pipeline.take_timed_out(self.now + ROUNDING_SLACK) {
+        for ended in gateway.connection.pipeline.take_timed_out(self.now + ROUNDING_TOLERANCE) {
             gateway.engine.handle_counter_response(self.now, ended.call, Status::Timeout, 0.0, ended.elapsed);
         }
         let unresponsive = gateway.connection.pipeline.is_unresponsive(self.now);
@@ -119,7 +121,7 @@
         self.settle(instance);
     }
 
-    /// The connection breaks. The gateway reconnects after a backoff.
+    /// Breaks a gateway's connection. The gateway reconnects after a backoff.
     pub(super) fn disconnect(&mut self, instance: usize) {
         let gateway = &mut self.gateways[instance];
         if !gateway.connection.connected {
--- a/crates/simulation/src/simulator/customers.rs
+++ b/crates/simulation/src/simulator/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: when each sends its next request, and to which gateway.
+//! Customers: when each one sends its next request, and to which gateway.
 
 use super::{Event, START, Simulation};
 use crate::customer_monitor::CustomerMonitor;
@@ -7,22 +7,23 @@
 use weirusher::CustomerId;
 use weirusher_core::{Check, InstanceRange};
 
-/// Seconds that a client waits.
+/// Time budget of a request in seconds.
 const TIME_BUDGET: f64 = 3.0;
-/// Most seconds between two requests, so that a customer with little demand notices in time that its demand rose.
+/// Maximum seconds between two requests. The interval is drawn from the demand at the previous request: without
+/// a limit, a customer with a low demand would take long to follow an increase.
 const MAX_REQUEST_INTERVAL: f64 = 2.0;
 
 /// One customer.
 pub(super) struct Customer {
     id: CustomerId,
-    /// Its present demand, as a multiple of its rate.
+    /// The current demand, as a multiple of the rate of the quota.
     demand: f64,
-    /// Running sums of the gateways' weights.
+    /// Prefix sums of the gateways' weights, for drawing the gateway of a request.
     cumulative_weights: Vec<f64>,
     pub monitor: CustomerMonitor,
 }
 
-/// An exponentially distributed number with the mean 1.
+/// Draws an exponentially distributed number with a mean of 1.
 fn exponential(rng: &mut Rng) -> f64 {
     -(1.0 - rng.f64()).ln()
 }
--- a/crates/simulation/src/simulator/faults.rs
+++ b/crates/simulation/src/simulator/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: what each does when it begins and when it ends.
+//! Faults: the effects of each kind when it begins and when it ends.
 
 use super::Simulation;
 use crate::counter::CounterHealth;
@@ -37,7 +37,7 @@
             FaultKind::ReplacedEmpty => self.counts.clear(),
             _ => {}
         }
-        // Where faults overlap, the end of one ends them all.
+        // If faults of the counter overlap, the end of one ends them all.
         self.counter_health = CounterHealth::Healthy;
     }
 }
--- a/crates/simulation/src/simulator/gateways.rs
+++ b/crates/simulation/src/simulator/gateways.rs
@@ -1,26 +1,26 @@
-//! Gateways: the engine of each, and what it wants done.
+//! Gateways: running their engines and carrying out the outputs.
 
 use super::{Event, Simulation};
 use crate::counter::CounterConnection;
 use weirusher::{Class, Endpoint, EndpointListKind, Plan, Settings, Status};
 use weirusher_core::{CheckOutcome, Command, Completion, Engine, EngineOutput, Key, Keyring, Report};
 
-/// Seconds after which a call to the counter is given up.
+/// Timeout of a call to the counter, in seconds.
 pub(super) const COUNTER_TIMEOUT: f64 = 0.05;
-/// Seconds in a tick of the engine's timer wheel.
+/// Tick of the engine's timer wheel, in seconds.
 const TIMER_TICK: f64 = 0.001;
-/// Seconds that a backend works on a request.
+/// Time in seconds that a backend takes for a request.
 const SERVICE_TIME: f64 = 0.01;
 const BACKENDS: u16 = 8;
 const FIRST_BACKEND_PORT: u16 = 7000;
 
-/// One gateway.
+/// A simulated gateway.
 pub(super) struct Gateway {
     pub engine: Engine,
     pub connection: CounterConnection,
-    /// Counts restarts: a timer of an earlier process is dropped.
+    /// Incremented at each restart; timers of an earlier process are dropped.
     pub incarnation: u64,
-    /// When its next timer event is due.
+    /// When the next queued timer event is due; infinity if there is none.
     timer_at: f64,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Does what an engine wants until it wants nothing more, and keeps its timer in the queue.
+    /// Carries out an engine's outputs until there are none left, then queues its next timer.
     pub(super) fn settle(&mut self, instance: usize) {
         loop {
             let outputs: Vec<EngineOutput> = self.gateways[instance].engine.drain_outputs().collect();
@@ -68,7 +68,8 @@
         }
         let gateway = &mut self.gateways[instance];
         if let Some(at) = gateway.engine.next_timeout().filter(|at| *at < gateway.timer_at) {
-            // A timer that is due within the present tick stays due: without this the loop would not advance.
+            // A timer that is due within the current tick would still be due after it was handled now. It is
+            // delayed by a tick, because the virtual clock would not advance otherwise.
             let (at, incarnation) = (at.max(self.now + TIMER_TICK), gateway.incarnation);
             gateway.timer_at = at;
             self.push(at, Event::Timer { instance, incarnation });
--- a/crates/simulation/src/simulator/mod.rs
+++ b/crates/simulation/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: engines, connections, the counter and customers, on one virtual clock in seconds.
+//! The event loop of the simulation: engines, connections, the counter and customers on one virtual clock in seconds.
 
 mod counter_link;
 mod customers;
@@ -16,12 +16,13 @@
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
-/// Unix seconds at which every schedule begins.
+/// Unix time in seconds at which every schedule begins.
 const START: f64 = 1_800_000_000.0;
-/// Keeps the random numbers of a run apart from those of its schedule.
+/// Combined with the seed of a schedule, so that a run does not repeat the random numbers that generated its
+/// schedule.
 const RUN_SEED: u64 = 0x5EED;
 
-/// Unix seconds on the virtual clock, in a total order.
+/// Unix time in seconds on the virtual clock, with a total order.
 #[derive(Debug, Clone, Copy)]
 struct VirtualTime(f64);
 
@@ -51,21 +52,21 @@
     Request {
         customer: usize,
     },
-    /// A customer's requests are distributed over the gateways anew.
+    /// A new distribution of a customer's requests over the gateways is drawn.
     Redistribute {
         customer: usize,
     },
-    /// A customer's demand is chosen anew.
+    /// A customer's demand changes.
     ChangeDemand {
         customer: usize,
     },
-    /// Something happens between a gateway and the counter, on one of its connections.
+    /// An event on a gateway's connection to the counter.
     CounterLink {
         instance: usize,
         generation: u64,
         event: CounterLinkEvent,
     },
-    /// A gateway's engine has a timer due.
+    /// A timer of a gateway's engine is due.
     Timer {
         instance: usize,
         incarnation: u64,
@@ -78,7 +79,7 @@
     },
 }
 
-/// A schedule while it runs.
+/// The state of a running schedule.
 struct Simulation<'a> {
     schedule: &'a Schedule,
     now: f64,
@@ -88,13 +89,13 @@
     counts: Counts,
     counter_health: CounterHealth,
     customers: Vec<Customer>,
-    /// The customer of each check that has no outcome yet, by its caller's number.
+    /// The customer of each check without an outcome, by caller number.
     callers: HashMap<u64, usize>,
     next_caller: u64,
     outcome: Outcome,
 }
 
-/// Runs a schedule to its end.
+/// Runs a schedule until the end of its duration.
 pub fn run(schedule: &Schedule) -> Outcome {
     let mut simulation = Simulation::new(schedule);
     let end = VirtualTime(START + schedule.duration);
--- a/crates/simulation/tests/bound.rs
+++ b/crates/simulation/tests/bound.rs
@@ -1,13 +1,14 @@
-//! The bound on what a customer may get beyond its token bucket, and what it is still served, under random schedules.
+//! The bound on the overshoot of a customer, and the fraction of its due requests that is served, under random and
+//! periodic faults.
 
 use weirusher_core::OvershootBound;
 use weirusher_simulation::{FaultKind, Fulfilment, Schedule, run, run_seed, run_seeds};
 
-/// Schedules that are run.
+/// Number of random schedules.
 const SCHEDULES: u64 = 10_000;
 
 #[test]
-fn no_schedule_exceeds_the_bound_and_what_is_due_is_served() {
+fn random_schedules_keep_the_bound_and_serve_due_requests() {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let report = run_seeds(0, SCHEDULES, threads, |_| {});
     assert_eq!((report.schedules, report.violations), (SCHEDULES, 0), "{:#?}", report.worst);
@@ -16,7 +17,7 @@
     assert!(fraction(report.beyond_rate) >= 0.94, "{:?}", report.beyond_rate);
 }
 
-/// Seeds whose schedules were seen to pass the bound (docs/measurements.md).
+/// Seeds whose schedules kept the bound in the runs of docs/measurements.md.
 #[test]
 fn the_bound_holds_on_the_seeds_that_passed_it() {
     for seed in [1_125_004, 1_160_799, 1_074_323] {
@@ -33,8 +34,9 @@
     }
 }
 
+/// Nine faults in a row cause no more overshoot than a single one may: one burst.
 #[test]
-fn nine_outages_cost_no_more_than_one() {
+fn repeated_faults_do_not_add_up() {
     let quota = OvershootBound { burst: 20.0, instances: 4.0, largest_request: 1.0 };
     for fault in [
         FaultKind::Unreachable,
@@ -45,7 +47,11 @@
     ] {
         let outcome = run(&Schedule::periodic(fault, 4, 3, 1));
         assert!(outcome.worst_overshoot() <= quota.burst, "{fault:?}: {} beyond", outcome.worst_overshoot());
-        assert!(outcome.served_fraction() >= 0.96, "{fault:?}: {} of what is due", outcome.served_fraction());
+        assert!(
+            outcome.served_fraction() >= 0.96,
+            "{fault:?}: {} of due requests served",
+            outcome.served_fraction()
+        );
     }
     let outcome = run(&Schedule::periodic(FaultKind::CountsLost, 4, 3, 1));
     assert!(outcome.worst_overshoot() <= quota.burst, "counts lost: {} beyond", outcome.worst_overshoot());
@@ -56,7 +62,8 @@
     let mut schedule = Schedule::periodic(FaultKind::Unreachable, 4, 1, 3);
     schedule.faults.truncate(1);
     schedule.faults[0].duration = 6.0;
-    // Counted are ten seconds, from burst over rate and two refreshes after the end of the outage.
+    // Measures ten seconds. They begin after the end of the outage, once a full bucket has been used (burst over
+    // rate) and two refresh intervals have passed.
     let from = schedule.faults[0].at
         + schedule.faults[0].duration
         + schedule.quota.burst / schedule.quota.rate
--- a/crates/simulation/tests/report_keys.rs
+++ b/crates/simulation/tests/report_keys.rs
@@ -1,4 +1,4 @@
-//! The JSON keys of a report, pinned: scripts read the output of `weirusher prove --json`.
+//! The JSON keys of a report are stable, because scripts read the output of `weirusher simulate --json`.
 
 use serde_json::Value;
 use weirusher_simulation::run_seeds;
@@ -15,7 +15,10 @@
     let mut found = keys(&report);
     found.sort_unstable();
     assert_eq!(found, expected);
-    assert!(report["within"].as_array().is_some_and(|pair| pair.len() == 2), "due and served: {report}");
+    assert!(
+        report["within"].as_array().is_some_and(|pair| pair.len() == 2),
+        "requests due and served: {report}"
+    );
     let mut expected = ["seed", "gateways", "beyond", "allowed", "bursts", "ceiling_over"];
     expected.sort_unstable();
     let mut found = keys(&report["worst"][0]);
