--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,6 +1,6 @@
-//! The cost of the decisions: one request and its outcome, beside a token bucket in a map.
+//! The cost of the policy for a request and its outcome, compared with a token bucket in a hash map.
 //!
-//! `cargo bench --bench module`. The figure is the ratio to the map; times depend on the machine.
+//! `cargo bench --bench module`. The result is the ratio of the two; the times depend on the machine.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
@@ -9,8 +9,8 @@
     Request, RequestId, Settings, Status, Time,
 };
 
-/// Requests of one measurement.
-const ROUNDS: u32 = 200_000;
+/// Number of requests in a measurement.
+const REQUESTS: u32 = 200_000;
 
 fn settings(gateways: u32) -> Settings {
     let mut settings = Settings::default();
@@ -22,11 +22,11 @@
     settings
 }
 
-fn names(count: usize) -> Vec<CustomerId> {
+fn customer_ids(count: usize) -> Vec<CustomerId> {
     (0..count).map(|i| format!("customer-{i}").into()).collect()
 }
 
-/// A gateway that knows its backends.
+/// A gateway with an endpoint list.
 fn new_gateway(gateways: u32, backends: usize, now: Time) -> Gateway {
     let mut gateway = Gateway::new(settings(gateways), 7).expect("usable settings");
     let endpoint = |i| Endpoint::warm(format!("10.0.{}.{}:8080", i / 250, i % 250));
@@ -65,19 +65,19 @@
     }
 }
 
-/// Nanoseconds for a request and its outcome, with some requests in flight all the time.
-fn decisions(gateways: u32, backends: usize, customers: usize) -> f64 {
+/// Nanoseconds that the policy takes for a request and its outcome, while other requests are in flight.
+fn policy(gateways: u32, backends: usize, customers: usize) -> f64 {
     let mut now = 100.0;
     let mut gateway = new_gateway(gateways, backends, now);
     let (mut rng, mut actions) = (fastrand::Rng::with_seed(1), Vec::new());
-    let names = names(customers);
-    let ids: Vec<RequestId> = (0..ROUNDS).map(|i| format!("{i:x}").into()).collect();
+    let customer_ids = customer_ids(customers);
+    let ids: Vec<RequestId> = (0..REQUESTS).map(|i| format!("{i:x}").into()).collect();
     let mut in_flight = VecDeque::new();
     let max_in_flight = (backends / 4).max(1);
-    let began = Instant::now();
+    let start = Instant::now();
     for id in &ids {
         now += 0.0001;
-        let customer = names[rng.usize(..customers)].clone();
+        let customer = customer_ids[rng.usize(..customers)].clone();
         gateway.handle_event(now, new_request(id, customer, gateways, now), &mut actions);
         for action in actions.drain(..) {
             if let Action::Forward { request, backend, .. } = action {
@@ -91,17 +91,17 @@
             actions.clear();
         }
     }
-    began.elapsed().as_secs_f64() * 1e9 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e9 / f64::from(REQUESTS)
 }
 
-/// Nanoseconds for a token bucket in a map: the least that any rate limiter by customer does.
+/// Nanoseconds for a token bucket in a hash map: the minimum work of any rate limiter with limits for each customer.
 fn token_bucket(customers: usize) -> f64 {
-    let (names, mut rng, mut now) = (names(customers), fastrand::Rng::with_seed(1), 100.0);
+    let (customer_ids, mut rng, mut now) = (customer_ids(customers), fastrand::Rng::with_seed(1), 100.0);
     let mut buckets: HashMap<CustomerId, (f64, f64)> = HashMap::new();
-    let (mut admitted, began) = (0u32, Instant::now());
-    for _ in 0..ROUNDS {
+    let (mut admitted, start) = (0u32, Instant::now());
+    for _ in 0..REQUESTS {
         now += 0.0001;
-        let bucket = buckets.entry(names[rng.usize(..customers)].clone()).or_insert((1e6, now));
+        let bucket = buckets.entry(customer_ids[rng.usize(..customers)].clone()).or_insert((1e6, now));
         bucket.0 = (bucket.0 + (now - bucket.1) * 1e6).min(1e6);
         bucket.1 = now;
         if bucket.0 >= 1.0 {
@@ -110,7 +110,7 @@
         }
     }
     std::hint::black_box(admitted);
-    began.elapsed().as_secs_f64() * 1e9 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e9 / f64::from(REQUESTS)
 }
 
 /// The median of five measurements.
@@ -136,11 +136,11 @@
             (200, 100),
             (200, 100_000),
         ] {
-            let (decisions, token_bucket) =
-                (median(|| decisions(gateways, backends, customers)), median(|| token_bucket(customers)));
+            let (policy, token_bucket) =
+                (median(|| policy(gateways, backends, customers)), median(|| token_bucket(customers)));
             println!(
-                "{gateways:>8} {backends:>8} {customers:>9} {decisions:>12.0} {token_bucket:>12.0} {:>7.1}",
-                decisions / token_bucket
+                "{gateways:>8} {backends:>8} {customers:>9} {policy:>12.0} {token_bucket:>12.0} {:>7.1}",
+                policy / token_bucket
             );
         }
     }
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -1,7 +1,7 @@
-//! Decision traces: drives gateways with random events from fixed seeds and prints a digest of all their
-//! actions.
+//! Regression traces of the policy: feeds gateways with random events from fixed seeds, and prints a digest of all
+//! their actions.
 //!
-//! A change that must not decide anything differently leaves the output as it is, to the byte:
+//! A change that is meant to keep the behavior of the policy must leave the output identical to the byte:
 //! `cargo run --release --example trace`.
 
 use std::collections::BTreeMap;
@@ -11,37 +11,39 @@
     LoadReport, Plan, Request, RequestId, Settings, Status, Time,
 };
 
-/// Requests and lists of one trace.
+/// Number of requests and endpoint lists in a trace.
 const STEPS: u64 = 20_000;
-/// Steps between two endpoint lists.
-const LIST_STEPS: u64 = 2000;
-/// Seconds until a slow counter call is given up.
+/// Every step whose number is a multiple of this is an endpoint list, the others are requests.
+const STEPS_PER_LIST: u64 = 2000;
+/// Timeout of a call to the counter, in seconds.
 const COUNTER_TIMEOUT_SECONDS: f64 = 0.05;
 
-/// A backend fleet, a counter and the events that are due.
-struct World {
+/// The environment of a gateway: its backends, the counter, and the events that are still to come.
+struct Environment {
     rng: fastrand::Rng,
     now: Time,
-    due: Vec<(Time, Event)>,
+    pending_events: Vec<(Time, Event)>,
     counts: BTreeMap<u64, f64>,
+    /// Number of attempts of each request.
     attempts: BTreeMap<RequestId, u32>,
     digest: fnv::FnvHasher,
+    /// Number of actions so far.
     actions: u64,
-    /// When each backend started.
-    starts: Vec<Time>,
-    /// The true units come with the response.
-    settles: bool,
+    /// When each backend was last started.
+    started_at: Vec<Time>,
+    /// Whether responses state the actual units of their requests.
+    settles_units: bool,
 }
 
-/// The kinds of deployment that are traced; the names are printed.
+/// The traced kinds of deployment. Their names are part of the output.
 #[derive(Debug, Clone, Copy)]
 enum Deployment {
-    /// Rates, ceilings and every kind of idempotency.
+    /// Quotas with rates and ceilings, and classes of every kind of idempotency.
     Quotas,
-    /// Limits on concurrent attempts, units settled afterwards, requests beyond the quota that are worth more
-    /// than they cost.
+    /// Limits on concurrent attempts, units that are settled with the response, and requests beyond the quota whose
+    /// weight is higher than their cost.
     Caps,
-    /// No counter; the endpoint list is polled, and keys are remembered by cell.
+    /// No counter, a polled endpoint list, and idempotency keys that backends deduplicate by cell.
     Alone,
 }
 
@@ -98,8 +100,8 @@
     settings
 }
 
-/// The text of an action that the digest is taken of. It is a form of its own, so that a renamed type or
-/// field leaves the digest as it is.
+/// The text form of an action for the digest. It does not use the `Debug` form, so that the digest does not
+/// change when a type or field is renamed.
 fn action_text(action: &Action) -> String {
     match action {
         Action::Forward { request, backend, timeout, start_within } => {
@@ -112,44 +114,44 @@
         Action::SetTimer { token, at } => format!("timer {token} {at:?}"),
         Action::AddToCounter { counter, amount, ttl } => format!("count {counter} {amount:?} {ttl:?}"),
         Action::WatchEndpoints => "watch".to_string(),
-        _ => unreachable!("every action has its text"),
+        _ => unreachable!("every action has a text form"),
     }
 }
 
-impl World {
+impl Environment {
     fn new(kind: Deployment, backends: usize, seed: u64) -> Self {
         Self {
             rng: fastrand::Rng::with_seed(seed),
             now: 100.0,
-            due: Vec::new(),
+            pending_events: Vec::new(),
             counts: BTreeMap::new(),
             attempts: BTreeMap::new(),
             digest: fnv::FnvHasher::default(),
             actions: 0,
-            starts: vec![0.0; backends],
-            settles: matches!(kind, Deployment::Caps),
+            started_at: vec![0.0; backends],
+            settles_units: matches!(kind, Deployment::Caps),
         }
     }
 
-    /// Takes an action into the digest and schedules the event that it leads to.
+    /// Adds an action to the digest, and schedules the event that results from it.
     fn perform(&mut self, action: &Action) {
         self.actions += 1;
         self.digest.write(action_text(action).as_bytes());
         match action {
             Action::Forward { request, backend, timeout, .. } => {
                 let ended = self.end_attempt(request, backend, *timeout);
-                self.due.push(ended);
+                self.pending_events.push(ended);
             }
             Action::AddToCounter { counter, amount, .. } => {
                 let response = self.add_to_counter(*counter, *amount);
-                self.due.push(response);
+                self.pending_events.push(response);
             }
-            Action::SetTimer { token, at } => self.due.push((*at, Event::Timer { token: *token })),
+            Action::SetTimer { token, at } => self.pending_events.push((*at, Event::Timer { token: *token })),
             _ => {}
         }
     }
 
-    /// The end of an attempt, and when it is due.
+    /// Draws the outcome of an attempt; returns its event and when that is due.
     fn end_attempt(&mut self, request: &RequestId, backend: &BackendId, timeout: f64) -> (Time, Event) {
         let drawn = self.rng.f64();
         let work = 0.02 + 0.1 * drawn * drawn;
@@ -165,7 +167,7 @@
         let attempt = *attempts;
         *attempts += 1;
         let request_ended = status == Status::Ok;
-        let true_units = 1.0 + (work * 100.0).floor() / 8.0;
+        let actual_units = 1.0 + (work * 100.0).floor() / 8.0;
         let event = Event::AttemptEnded {
             request: request.clone(),
             attempt,
@@ -173,30 +175,31 @@
             status,
             elapsed,
             request_ended,
-            settled_units: (request_ended && self.settles).then_some(true_units),
+            settled_units: (request_ended && self.settles_units).then_some(actual_units),
             load: LoadReport::default(),
         };
         (self.now + elapsed, event)
     }
 
-    /// The response to a counter call, and when it is due. The counter is too slow for a third of the time.
+    /// Adds to a count; returns the event of the response and when that is due. For a third of the time the
+    /// counter is slow, and calls time out.
     fn add_to_counter(&mut self, counter: u64, amount: f64) -> (Time, Event) {
         let total = self.counts.entry(counter).or_default();
         *total += amount;
-        let slow = (self.now as u64 / 20) % 3 == 0;
+        let is_slow = (self.now as u64 / 20) % 3 == 0;
         let (status, elapsed) =
-            if slow { (Status::Timeout, COUNTER_TIMEOUT_SECONDS) } else { (Status::Ok, 0.002) };
+            if is_slow { (Status::Timeout, COUNTER_TIMEOUT_SECONDS) } else { (Status::Ok, 0.002) };
         (self.now + elapsed, Event::CounterResponse { counter, status, total: *total, elapsed })
     }
 
-    /// A complete endpoint list, of which a few backends have restarted or are draining.
+    /// A complete endpoint list, in which a few backends have restarted or are draining.
     fn endpoint_list(&mut self) -> Event {
-        for start in &mut self.starts {
+        for start in &mut self.started_at {
             if self.rng.u32(..40) == 0 {
                 *start = self.now;
             }
         }
-        let endpoints = (0..self.starts.len()).map(|i| self.endpoint(i)).collect();
+        let endpoints = (0..self.started_at.len()).map(|i| self.endpoint(i)).collect();
         Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints }
     }
 
@@ -206,7 +209,7 @@
             id: format!("10.0.{}.{}:80", i / 250, i % 250).into(),
             zone: (i % 3) as u32,
             cell: (i % 4) as u32,
-            started: self.starts[i],
+            started: self.started_at[i],
             lifecycle: if draining { Lifecycle::Draining } else { Lifecycle::Running },
         }
     }
@@ -226,38 +229,38 @@
         })
     }
 
-    /// Takes the events that are due, in order.
+    /// Removes the events that are due, and returns them in chronological order.
     fn take_due(&mut self) -> Vec<Event> {
         let now = self.now;
         let (mut due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.due).into_iter().partition(|(at, _)| *at <= now);
-        self.due = later;
+            std::mem::take(&mut self.pending_events).into_iter().partition(|(at, _)| *at <= now);
+        self.pending_events = later;
         due.sort_by(|a, b| a.0.total_cmp(&b.0));
         due.into_iter().map(|(_, event)| event).collect()
     }
 }
 
-/// The digest and the number of the actions of one gateway.
+/// Runs one trace; returns the digest and the number of the gateway's actions.
 fn trace(kind: Deployment, gateways: u32, backends: usize, customers: u64, seed: u64) -> (u64, u64) {
     let mut gateway = Gateway::new(deployment(kind, gateways), seed).expect("usable settings");
-    let mut world = World::new(kind, backends, seed);
+    let mut environment = Environment::new(kind, backends, seed);
     let (mut actions, mut requests) = (Vec::new(), 0);
     for step in 0..STEPS {
-        let event = if step % LIST_STEPS == 0 {
-            world.endpoint_list()
+        let event = if step % STEPS_PER_LIST == 0 {
+            environment.endpoint_list()
         } else {
             requests += 1;
-            world.request(requests, gateways, customers)
+            environment.request(requests, gateways, customers)
         };
-        world.now += world.rng.f64() * 0.004;
-        for event in world.take_due().into_iter().chain([event]) {
-            gateway.handle_event(world.now, event, &mut actions);
+        environment.now += environment.rng.f64() * 0.004;
+        for event in environment.take_due().into_iter().chain([event]) {
+            gateway.handle_event(environment.now, event, &mut actions);
             for action in actions.drain(..) {
-                world.perform(&action);
+                environment.perform(&action);
             }
         }
     }
-    (world.digest.finish(), world.actions)
+    (environment.digest.finish(), environment.actions)
 }
 
 fn main() {
--- a/fuzz/fuzz_targets/eds.rs
+++ b/fuzz/fuzz_targets/eds.rs
@@ -1,4 +1,4 @@
-//! Any bytes as an endpoint list: an error, or a list without duplicates.
+//! Arbitrary bytes decode to an error or to an endpoint list without duplicates.
 #![no_main]
 
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -9,7 +9,7 @@
 fuzz_target!(|data: &[u8]| {
     if let Ok(assignment) = ClusterLoadAssignment::decode(data) {
         let list = eds::read(&assignment, &["a".to_string()]);
-        let names: std::collections::HashSet<_> = list.endpoints.iter().map(|s| &s.id).collect();
-        assert_eq!(names.len(), list.endpoints.len());
+        let ids: std::collections::HashSet<_> = list.endpoints.iter().map(|endpoint| &endpoint.id).collect();
+        assert_eq!(ids.len(), list.endpoints.len());
     }
 });
--- a/fuzz/fuzz_targets/fleet.rs
+++ b/fuzz/fuzz_targets/fleet.rs
@@ -1,4 +1,4 @@
-//! Any content with a valid tag from a member: no panic, and no datagram that is too long.
+//! Arbitrary datagrams of a member with a valid authentication tag cause no panic and no oversized datagram in reply.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -9,10 +9,10 @@
 fuzz_target!(|datagrams: Vec<(bool, Vec<u8>)>| {
     let members = (0..4).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
     let settings = Settings { instance: 0, members, key: KEY.to_vec() };
-    let mut membership = Membership::new(settings, 9, 1, 0).expect("these settings can work");
+    let mut membership = Membership::new(settings, 9, 1, 0).expect("the settings are valid");
     let authenticator = Authenticator::new(KEY).expect("the key is long enough");
     for (sequence, (valid_header, content)) in (1u64..).zip(datagrams) {
-        // With a header that is accepted the messages are read as well; without one the fuzzer writes the header too.
+        // With a valid header the fuzzed bytes reach the message decoder; without one they also make up the header.
         let header = Header {
             fleet_size: 4,
             sender: 1,
--- a/fuzz/fuzz_targets/platform.rs
+++ b/fuzz/fuzz_targets/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's parsers take any bytes: a message, an error or a wait, in any pieces the same.
+//! Arbitrary bytes cause no panic in the parsers of the platform, and responses decode the same from any split.
 #![no_main]
 
 use bytes::BytesMut;
@@ -8,22 +8,23 @@
 use weirusher_platform::response::ResponseReader;
 use weirusher_platform::backend;
 
+/// The status codes of the decoded responses; `None` stands for an error.
 fn read(bytes: &[u8], piece: usize) -> Vec<Option<u16>> {
-    let (mut reader, mut held, mut all) = (ResponseReader::new(1024), BytesMut::new(), Vec::new());
+    let (mut reader, mut buffer, mut statuses) = (ResponseReader::new(1024), BytesMut::new(), Vec::new());
     for part in bytes.chunks(piece) {
-        held.extend_from_slice(part);
+        buffer.extend_from_slice(part);
         loop {
-            match reader.read(&mut held) {
-                Ok(Some(response)) => all.push(Some(response.status)),
+            match reader.read(&mut buffer) {
+                Ok(Some(response)) => statuses.push(Some(response.status)),
                 Ok(None) => break,
                 Err(_) => {
-                    all.push(None);
-                    return all;
+                    statuses.push(None);
+                    return statuses;
                 }
             }
         }
     }
-    all
+    statuses
 }
 
 fuzz_target!(|bytes: &[u8]| {
--- a/fuzz/fuzz_targets/ticket.rs
+++ b/fuzz/fuzz_targets/ticket.rs
@@ -1,4 +1,5 @@
-//! No text is a valid ticket unless it was signed; whatever is signed is read back.
+//! Arbitrary text causes no panic in ticket validation, and a ticket that verifies is the same after signing it
+//! again.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
