--- a/benches/module.rs
+++ b/benches/module.rs
@@ -28,7 +28,7 @@
 
 /// A gateway with an endpoint list.
 fn new_gateway(gateways: u32, backends: usize, now: Time) -> Gateway {
-    let mut gateway = Gateway::new(settings(gateways), 7).expect("usable settings");
+    let mut gateway = Gateway::new(settings(gateways), 7).expect("the settings are valid");
     let endpoint = |i| Endpoint::warm(format!("10.0.{}.{}:8080", i / 250, i % 250));
     let list = Event::EndpointList {
         kind: EndpointListKind::Snapshot,
@@ -85,7 +85,7 @@
             }
         }
         if in_flight.len() > max_in_flight {
-            let (request, backend) = in_flight.pop_front().expect("one is in flight");
+            let (request, backend) = in_flight.pop_front().expect("a request is in flight");
             let elapsed = 0.01 + 0.01 * rng.f64();
             gateway.handle_event(now, served(request, backend, elapsed), &mut actions);
             actions.clear();
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,8 +1,8 @@
 //! The process's log: lines on standard error, written by a thread of its own.
 //!
-//! Logging never blocks and never fails, whatever happens to standard error. Lines go through a queue that is bounded
-//! in lines and bytes. A line that does not fit, exceeds the rate limit or cannot be written is dropped and counted;
-//! the number of dropped lines is logged once lines can be written again.
+//! Threads that log never wait for standard error, and never fail because of it. Lines go through a queue that
+//! is bounded in lines and bytes. A line that does not fit, exceeds the rate limit or cannot be written is
+//! dropped and counted; the number of dropped lines is logged once lines can be written again.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -39,7 +39,7 @@
 
 struct Log {
     queue: Queue,
-    /// Held in the static for the life of the process: dropping it would block until the writer thread ends.
+    /// Held in the static for the life of the process: dropping it would wait for the writer thread.
     _writer: WorkerGuard,
 }
 
--- a/crates/net/src/listen.rs
+++ b/crates/net/src/listen.rs
@@ -11,9 +11,9 @@
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two attempts to bind.
 const BIND_PAUSE: Duration = Duration::from_millis(50);
-/// Number of consecutive aborted connections that are accepted without a pause.
+/// Number of consecutive aborted connections after which each further one causes a pause.
 const MAX_ABORTED_WITHOUT_PAUSE: u32 = 16;
-/// Pause after each further aborted connection.
+/// Pause after an aborted connection.
 const ABORTED_PAUSE: Duration = Duration::from_millis(1);
 /// Pause after an accept that failed because the system is short of a resource, such as file descriptors.
 const ACCEPT_FAILURE_PAUSE: Duration = Duration::from_millis(20);
--- a/crates/simulation/examples/membership.rs
+++ b/crates/simulation/examples/membership.rs
@@ -205,7 +205,7 @@
     config.suspect_to_down_after = Duration::from_millis(900);
     config.periodic_gossip = Some(foca::PeriodicParams {
         frequency: Duration::from_millis(100),
-        num_members: NonZeroUsize::new(3).expect("three"),
+        num_members: NonZeroUsize::new(3).expect("three is not zero"),
     });
     config
 }
@@ -238,14 +238,16 @@
 }
 
 fn compare<P: Process + 'static>(args: &[u64], new: impl Fn(u16, u16, u64, Millis) -> P + Clone + 'static) {
-    let [size, loss, quiet, deaths] = *args else { panic!("SIZE LOSS_PERCENT QUIET_SECONDS DEATHS") };
+    let [size, loss, quiet, deaths] = *args else {
+        panic!("expected four numbers: SIZE LOSS_PERCENT QUIET_SECONDS DEATHS")
+    };
     let make = |size: u16| {
         let new = new.clone();
         Network::new(size, 1, move |me, incarnation, now| new(size, me, incarnation, now))
     };
     let link_quality = LinkQuality { loss: loss as f64 / 100.0, ..LinkQuality::default() };
     let measurement = measure(make(size as u16), link_quality, 1000 * quiet, deaths as u32, 2);
-    println!("{}", serde_json::to_string(&measurement).expect("a measurement is plain"));
+    println!("{}", serde_json::to_string(&measurement).expect("a measurement can be serialized"));
     run_with_permanent_fault(make(8), "a ring in which each hears the next only", block_all_but_ring);
     run_with_permanent_fault(make(20), "one does not hear another", |net| net.block(0, 1));
     run_with_permanent_fault(make(20), "one hears nobody", |net| (1..20).for_each(|from| net.block(from, 0)));
@@ -255,7 +257,7 @@
     let mut args = std::env::args().skip(1);
     let protocol = args.next().unwrap_or_default();
     let args: Vec<u64> = args.map(|arg| arg.parse().expect("a whole number")).collect();
-    let cluster_size = |size: u16| NonZeroU32::new(size.into()).expect("more than none");
+    let cluster_size = |size: u16| NonZeroU32::new(size.into()).expect("a fleet has at least one member");
     match protocol.as_str() {
         "rings" => compare(&args, |size, me, incarnation, now| {
             Member::new(size, me, incarnation, u64::from(me), now)
--- a/crates/simulation/src/membership/measurement.rs
+++ b/crates/simulation/src/membership/measurement.rs
@@ -66,7 +66,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(DETECTION_LIMIT, 3).expect("three digits are kept")
+    Histogram::new_with_max(DETECTION_LIMIT, 3).expect("three significant digits are supported")
 }
 
 /// Counts of false beliefs that a member is dead, while all members are alive.
--- a/crates/simulation/src/simulator/gateways.rs
+++ b/crates/simulation/src/simulator/gateways.rs
@@ -37,10 +37,10 @@
         (settings.instance, settings.instances) = (instance as u32, self.schedule.gateways);
         (settings.has_counter, settings.counter_timeout) = (true, COUNTER_TIMEOUT);
         settings.max_attempts = 3;
-        let keyring = Keyring::new(vec![Key { id: 1, secret: vec![7; 32] }]).expect("one key is given");
+        let keyring = Keyring::new(vec![Key { id: 1, secret: vec![7; 32] }]).expect("the keyring has a key");
         let seed = self.rng.u64(..);
         let mut engine =
-            Engine::new(settings, keyring, incarnation, seed, self.now).expect("usable settings");
+            Engine::new(settings, keyring, incarnation, seed, self.now).expect("the settings are valid");
         let backends =
             (0..BACKENDS).map(|n| Endpoint::warm(format!("127.0.0.1:{}", FIRST_BACKEND_PORT + n))).collect();
         engine.handle_endpoint_list(self.now, EndpointListKind::StaleSnapshot, backends);
--- a/examples/fleet_load.rs
+++ b/examples/fleet_load.rs
@@ -170,7 +170,8 @@
         let gateway = |instance: usize| {
             Gateway::new(settings(instance, gateways, mean_service_time), seed ^ (instance as u64 * 7919 + 1))
         };
-        let gateways = (0..gateways).map(|instance| gateway(instance).expect("usable settings")).collect();
+        let gateways =
+            (0..gateways).map(|instance| gateway(instance).expect("the settings are valid")).collect();
         Self {
             now: 0.0,
             rng,
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -242,7 +242,7 @@
 
 /// Runs one trace; returns the digest and the number of the gateway's actions.
 fn trace(kind: Deployment, gateways: u32, backends: usize, customers: u64, seed: u64) -> (u64, u64) {
-    let mut gateway = Gateway::new(deployment(kind, gateways), seed).expect("usable settings");
+    let mut gateway = Gateway::new(deployment(kind, gateways), seed).expect("the settings are valid");
     let mut environment = Environment::new(kind, backends, seed);
     let (mut actions, mut requests) = (Vec::new(), 0);
     for step in 0..STEPS {
--- a/fuzz/fuzz_targets/fleet.rs
+++ b/fuzz/fuzz_targets/fleet.rs
@@ -24,7 +24,7 @@
             hears_recipient: true,
             wants_heartbeats: false,
         };
-        let mut bytes = if valid_header { postcard::to_allocvec(&header).expect("a header is plain") } else { Vec::new() };
+        let mut bytes = if valid_header { postcard::to_allocvec(&header).expect("serializable") } else { Vec::new() };
         bytes.extend(content);
         let now = sequence * 10;
         membership.handle_datagram(([127, 0, 0, 1], 2001).into(), &authenticator.sign(bytes), now);
--- a/fuzz/fuzz_targets/ticket.rs
+++ b/fuzz/fuzz_targets/ticket.rs
@@ -6,7 +6,7 @@
 use weirusher_core::{Key, Keyring, TicketValidator};
 
 fuzz_target!(|text: &str| {
-    let keyring = Keyring::new(vec![Key { id: 1, secret: vec![7; 32] }]).expect("one key is given");
+    let keyring = Keyring::new(vec![Key { id: 1, secret: vec![7; 32] }]).expect("the keyring has a key");
     if let Ok(ticket) = keyring.verify(text) {
         assert_eq!(keyring.verify(&keyring.sign(&ticket)), Ok(ticket));
     }
