--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementations of the commands.
 
 pub mod fake;
 pub mod fleet;
--- a/crates/cli/src/commands/fake.rs
+++ b/crates/cli/src/commands/fake.rs
@@ -1,4 +1,4 @@
-//! `fake`: one fake server alone.
+//! `fake`: runs a single fake server.
 
 mod load;
 
@@ -15,12 +15,11 @@
 use weirusher_core::{Key, Keyring};
 use weirusher_fakes::{Counter, Discovery, FakeBackend, FakeBackendSpec, Recorder, SlowStart};
 
-/// Requests that may wait for a core of a backend.
+/// Requests that may wait for a core of a fake backend.
 const QUEUE_LIMIT: usize = 1000;
-/// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Runs a fake server until it is asked to stop, or a load generator until its load ends.
+/// Runs a fake server until a stop signal arrives, or a load generator until its load ends.
 pub async fn run(fake: Fake) -> Result<ExitCode, CommandError> {
     match fake {
         Fake::Backend(arguments) => run_backend(arguments).await?,
@@ -65,7 +64,7 @@
     Ok(())
 }
 
-/// Prints where a server listens, and waits until it is asked to stop.
+/// Prints the address of a server as JSON, and waits for a stop signal.
 async fn serve_until_stopped(address: SocketAddr) {
     let stop = StopSignals::new();
     print_json(&json!({ "address": address }));
@@ -83,7 +82,7 @@
     CommandError::Fake(error.into())
 }
 
-/// A ticket key of the form `id:secret`.
+/// Parses a ticket key of the form `id:secret`.
 fn parse_key(text: &str) -> Result<Keyring, CommandError> {
     let key = text
         .split_once(':')
--- a/crates/cli/src/commands/fake/load.rs
+++ b/crates/cli/src/commands/fake/load.rs
@@ -1,4 +1,4 @@
-//! `fake load-generator`: a load against gateways that run already.
+//! `fake load-generator`: generates load for gateways that are already running.
 
 use super::{MS_PER_SECOND, fake_failed, require_loopback};
 use crate::arguments::LoadArguments;
@@ -16,23 +16,23 @@
     BehaviourProfile, ClientOutcome, ClientRequest, LoadGenerator, Recorder, RequestOutcome,
 };
 
-/// Requests that may be pending; further ones are not sent, and counted.
+/// Requests that may be pending at once. Further ones are not sent, only counted.
 const MAX_PENDING: usize = 4096;
-/// Largest load, in requests a second.
+/// Largest accepted rate, in requests per second.
 const MAX_RATE: f64 = 10_000.0;
-/// Longest load: it has to end by itself.
+/// Longest accepted duration, in seconds; a load always ends by itself.
 const MAX_SECONDS: f64 = 3600.0;
-/// Seed of the arrivals.
+/// Seed of the random arrival times, customers and gateways.
 const SEED: u64 = 1;
 
-/// What became of a load.
+/// The outcome of a load.
 struct LoadResult {
     outcomes: Vec<RequestOutcome>,
     /// Requests that were not sent because too many were pending.
     not_sent: u64,
 }
 
-/// Plays a load, and prints how its requests ended.
+/// Generates the load and prints the outcomes of its requests.
 pub async fn run(arguments: LoadArguments) -> Result<(), CommandError> {
     let LoadArguments { gateway, customers, rate, seconds, .. } = &arguments;
     require_loopback(gateway)?;
@@ -48,13 +48,13 @@
     let recorder = Recorder::new(sink);
     let generator =
         LoadGenerator::new(gateway, recorder.clone()).map_err(|error| CommandError::Fake(error.into()))?;
-    let result = play(&generator, &requests(&arguments), *rate, *seconds).await;
+    let result = generate(&generator, &requests(&arguments), *rate, *seconds).await;
     recorder.flush();
     print_result(&result);
     Ok(())
 }
 
-/// The requests of the load: one for each pair of customer and gateway.
+/// The requests that the load draws from: one for each pair of customer and gateway.
 fn requests(arguments: &LoadArguments) -> Vec<ClientRequest> {
     let customers = arguments.customers;
     let request = |number: usize| ClientRequest {
@@ -69,8 +69,8 @@
     (0..customers * arguments.gateway.len()).map(request).collect()
 }
 
-/// Plays open arrivals: a request does not wait for the response to the one before.
-async fn play(
+/// Sends requests in an open loop with Poisson arrivals: a request does not wait for earlier responses.
+async fn generate(
     generator: &Arc<LoadGenerator>,
     requests: &[ClientRequest],
     rate: f64,
@@ -99,8 +99,8 @@
 }
 
 fn print_result(result: &LoadResult) {
-    let mut ends: BTreeMap<ClientOutcome, usize> = BTreeMap::new();
-    result.outcomes.iter().for_each(|request| *ends.entry(request.outcome).or_default() += 1);
+    let mut outcomes: BTreeMap<ClientOutcome, usize> = BTreeMap::new();
+    result.outcomes.iter().for_each(|request| *outcomes.entry(request.outcome).or_default() += 1);
     let served = result.outcomes.iter().filter(|request| request.outcome == ClientOutcome::Served);
     let mut latencies_ms: Vec<f64> = served.map(|request| request.latency_seconds * MS_PER_SECOND).collect();
     latencies_ms.sort_by(f64::total_cmp);
@@ -109,7 +109,7 @@
         latencies_ms.get(index.min(latencies_ms.len().saturating_sub(1)))
     };
     print_json(&json!({
-        "tries": result.outcomes.len(), "not_made": result.not_sent, "ends": ends,
+        "tries": result.outcomes.len(), "not_made": result.not_sent, "ends": outcomes,
         "served_p50_ms": quantile(0.5), "served_p99_ms": quantile(0.99),
     }));
 }
--- a/crates/cli/src/commands/gateway.rs
+++ b/crates/cli/src/commands/gateway.rs
@@ -1,4 +1,4 @@
-//! `run`, `node` and `check`: gateways and their configuration.
+//! `run` and `node`, which run a gateway, and `check`, which validates a configuration.
 
 use crate::error::CommandError;
 use crate::output::print_json;
@@ -9,10 +9,10 @@
 use weirusher_config::{Config, ConfigError, FleetConfig};
 use weirusher_node::FleetMembership;
 
-/// Reads of a node's configuration that may hang at once; later ones wait for them.
-const MAX_CONFIG_READS: usize = 8;
+/// Blocking threads of a node, which read its configuration file. When reads hang on all of them, later reloads wait.
+const MAX_CONCURRENT_CONFIG_READS: usize = 8;
 
-/// Parses a configuration file.
+/// Reads and parses a configuration file.
 fn parse_file<T>(file: &Path, parse: fn(&str) -> Result<T, ConfigError>) -> Result<T, CommandError> {
     let text = super::scenario::read_input(file)?;
     parse(&text).map_err(|error| CommandError::Config {
@@ -22,10 +22,10 @@
     })
 }
 
-/// Runs a gateway for external authorisation until it is asked to stop.
+/// Runs a gateway for external authorisation until a stop signal arrives or the gateway fails.
 pub async fn run(file: &Path) -> Result<ExitCode, CommandError> {
     let config = parse_file(file, Config::parse)?;
-    // Before anybody can know that it runs: a signal during the start must not be lost or end the process.
+    // Signal handlers come first, so that a signal during start-up leads to a graceful shutdown.
     let stop = StopSignals::new();
     let running =
         weirusher_ext_authz::start(config).await.map_err(|error| CommandError::Gateway(error.into()))?;
@@ -39,11 +39,11 @@
         () = stop.received() => false,
         () = running.failed() => true,
     };
-    warn_of_pending(running.stop().await);
+    warn_of_unanswered(running.stop().await);
     if panicked { Err(CommandError::Panicked) } else { Ok(ExitCode::SUCCESS) }
 }
 
-/// Runs the gateway on the platform until it is asked to stop, on one thread.
+/// Runs the gateway on the platform, on a single thread, until it is signalled to stop.
 pub fn node(config: &Path, fleet: Option<&Path>) -> Result<ExitCode, CommandError> {
     let fleet = fleet.map(|file| parse_file(file, FleetConfig::parse)).transpose()?;
     let fleet = fleet.map(|config| FleetMembership {
@@ -52,31 +52,31 @@
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .max_blocking_threads(MAX_CONFIG_READS)
+        .max_blocking_threads(MAX_CONCURRENT_CONFIG_READS)
         .build()
         .map_err(CommandError::Runtime)?;
-    let ended = tokio::task::LocalSet::new().block_on(&runtime, weirusher_node::run(config, fleet));
-    runtime.shutdown_background(); // A read of the configuration may hang.
-    warn_of_pending(ended.map_err(|error| CommandError::Gateway(error.into()))?);
+    let result = tokio::task::LocalSet::new().block_on(&runtime, weirusher_node::run(config, fleet));
+    runtime.shutdown_background(); // Does not wait for a read of the configuration that hangs.
+    warn_of_unanswered(result.map_err(|error| CommandError::Gateway(error.into()))?);
     Ok(ExitCode::SUCCESS)
 }
 
-/// Logs requests that had no response when a gateway stopped.
-fn warn_of_pending(pending: usize) {
+/// Logs the number of requests that were still without a response when the gateway stopped.
+fn warn_of_unanswered(pending: usize) {
     if pending > 0 {
-        tracing::warn!(pending, "stopped with requests pending");
+        tracing::warn!(pending, "stopped with requests still pending");
     }
 }
 
-/// Checks a configuration.
+/// Validates a configuration and prints a summary of it.
 pub fn check(file: &Path) -> Result<ExitCode, CommandError> {
     let config = parse_file(file, Config::parse)?;
     let (plans, classes) = (config.settings.plans.len(), config.settings.classes.len());
     let fleet = config.fleet.as_ref().map_or_else(
-        || "no [fleet]: it knows of no other gateway".to_string(),
+        || "no [fleet]: fleet membership is disabled".to_string(),
         |fleet| {
             let (number, size) = (fleet.settings.instance, fleet.settings.members.len());
-            format!("gateway {number} of a fleet of {size}, datagrams at {}", fleet.listen)
+            format!("gateway {number} in a fleet of {size}, membership datagrams at {}", fleet.listen)
         },
     );
     println!("{}: valid; {plans} plans, {classes} classes; {fleet}", file.display());
--- a/crates/cli/src/commands/scenario.rs
+++ b/crates/cli/src/commands/scenario.rs
@@ -1,4 +1,4 @@
-//! `scenario` and `audit`: fault-injection runs and their captures.
+//! `scenario`, which runs a fault-injection scenario, and `audit`, which audits a stored capture.
 
 use crate::error::{CommandError, FAILED};
 use crate::output::print_json;
@@ -22,7 +22,8 @@
     Scenario::parse(&text).map_err(|error| CommandError::Scenario { path: file.to_path_buf(), error })
 }
 
-/// A folder for the files of a run, which must outlive it.
+/// Creates a temporary directory for the files of a run. It is removed when the returned value is dropped, which must
+/// be after the run.
 fn create_work_dir() -> Result<tempfile::TempDir, CommandError> {
     tempfile::tempdir().map_err(CommandError::WorkDir)
 }
@@ -30,21 +31,21 @@
 fn run_options(work_dir: &Path, capture: Option<PathBuf>) -> Result<RunOptions, CommandError> {
     let program = std::env::current_exe().map_err(CommandError::CurrentProgram)?;
     let capture = capture.unwrap_or_else(|| work_dir.join("capture.jsonl"));
-    let visible = std::io::stderr().is_terminal();
+    let show_progress = std::io::stderr().is_terminal();
     let progress = move |Progress { elapsed_seconds, duration_seconds, requests }: Progress| {
-        if visible {
+        if show_progress {
             eprint!("\r{elapsed_seconds:>5.0} of {duration_seconds:.0} s, {requests} requests ");
         }
     };
     Ok(RunOptions { program, work_dir: work_dir.to_path_buf(), capture, progress: Box::new(progress) })
 }
 
-/// Success where no rule was violated.
+/// Success if no rule was violated.
 fn exit_code(report: &AuditReport) -> ExitCode {
     if report.violation_count == 0 { ExitCode::SUCCESS } else { ExitCode::from(FAILED) }
 }
 
-/// Runs a scenario, and prints its result.
+/// Runs a scenario and prints its result.
 pub async fn run(file: &Path, capture: Option<PathBuf>, json: bool) -> Result<ExitCode, CommandError> {
     let scenario = parse_scenario(file)?;
     let work_dir = create_work_dir()?;
@@ -60,12 +61,13 @@
     Ok(exit_code(&result.report))
 }
 
-/// Starts a scenario's fleet without load, prints its addresses, and stops it on a signal or the end of standard input.
+/// Starts a scenario's fleet without load, prints its addresses, and stops it on a signal or end of file on standard
+/// input.
 pub async fn run_without_load(file: &Path, capture: Option<PathBuf>) -> Result<ExitCode, CommandError> {
     let scenario = parse_scenario(file)?;
     let work_dir = create_work_dir()?;
     let options = run_options(work_dir.path(), capture)?;
-    // Signals are watched from before the addresses are printed.
+    // Signal handlers are installed before the addresses are printed: whoever reads those may send a signal at once.
     let stop = Cell::new(None);
     let until = async {
         let stop = stop.take().unwrap_or_else(StopSignals::new);
@@ -84,7 +86,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Audits a stored capture, and prints the report.
+/// Audits a stored capture and prints the report.
 pub fn audit(capture: &Path, json: bool) -> Result<ExitCode, CommandError> {
     let path = || capture.to_path_buf();
     let file = File::open(capture).map_err(|error| CommandError::Input { path: path(), error })?;
--- a/crates/cli/src/commands/simulate.rs
+++ b/crates/cli/src/commands/simulate.rs
@@ -1,4 +1,4 @@
-//! `simulate`: random schedules of counter faults in virtual time.
+//! `simulate`: simulates random schedules of counter faults in virtual time.
 
 use crate::error::FAILED;
 use crate::output::print_json;
@@ -7,16 +7,17 @@
 use std::process::ExitCode;
 use weirusher_simulation::Fulfilment;
 
-/// Simulates so many schedules from a first seed, and prints the result; fails where one exceeds the bound on overshoot.
+/// Simulates `schedules` schedules with consecutive seeds from `first_seed` and prints the result. Fails if one exceeds
+/// the bound on overshoot.
 pub fn run(first_seed: u64, schedules: u64, json: bool) -> ExitCode {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let visible = std::io::stderr().is_terminal();
+    let show_progress = std::io::stderr().is_terminal();
     let report = weirusher_simulation::run_seeds(first_seed, schedules, threads, |done| {
-        if visible {
+        if show_progress {
             eprint!("\r{done} of {schedules} schedules ");
         }
     });
-    if visible {
+    if show_progress {
         eprintln!();
     }
     if json {
@@ -24,8 +25,9 @@
     } else {
         let percent = |Fulfilment { due, served }| 100.0 * served as f64 / due.max(1) as f64;
         println!(
-            "{} schedules from seed {first_seed}: {} beyond the bound, {} beyond one burst without a restart or a \
-             loss of the counter\n  served of what is due: {:.1} % within their rate, {:.1} % beyond it",
+            "{} schedules from seed {first_seed}: {} exceeded the bound, {} overshot by more than one burst without a \
+             restart or a loss of counts\n  due requests that were served: {:.1} % of customers within their rate, \
+             {:.1} % of customers beyond it",
             report.schedules,
             report.violations,
             report.over_target,
@@ -34,7 +36,7 @@
         );
         println!(
             "  {:>10} {:>11} {:>13} {:>7} {:>13}",
-            "seed", "gateways", "units beyond", "bursts", "units allowed"
+            "seed", "gateways", "overshoot", "bursts", "allowed units"
         );
         for run in &report.worst {
             println!(
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails, and its exit code.
+//! Errors of commands, and the exit codes they lead to.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -6,12 +6,12 @@
 use std::process::ExitCode;
 use weirusher_scenarios::{CaptureError, RunError, ScenarioError};
 
-/// Exit code of a command that failed while it ran, or found a rule violated.
+/// Exit code of a command that failed while running or found a rule violated.
 pub const FAILED: u8 = 1;
-/// Exit code where the command line or an input file is not valid.
+/// Exit code for an invalid command line or input file.
 pub const INVALID_INPUT: u8 = 2;
 
-/// Why a command fails.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// An input file cannot be read.
@@ -22,46 +22,49 @@
     Config {
         path: PathBuf,
         count: usize,
-        /// The problems with their lines, for people.
+        /// Human-readable list of the problems, with their lines.
         listing: String,
     },
-    /// A scenario is not valid.
+    /// A scenario is invalid.
     #[error("{}: {error}", path.display())]
     Scenario { path: PathBuf, error: ScenarioError },
     /// A capture cannot be audited.
     #[error("{}: {error}", path.display())]
     Capture { path: PathBuf, error: CaptureError },
-    /// A gateway's admin page has no view of a fleet.
+    /// A gateway's admin server has no view of a fleet, as the gateway is not a member of one.
     #[error("{admin}: {body}")]
     NoFleet { admin: SocketAddr, body: String },
-    /// A fake server is to use an address that others can reach.
+    /// A fake server would use an address that is reachable from other hosts.
     #[error("{0} is not loopback: fake servers use 127.0.0.1 and [::1] only")]
     NotLoopback(IpAddr),
-    /// A ticket key is not of the form.
-    #[error("--key is `id:secret`, such as 1:0123456789abcdef")]
+    /// A ticket key is malformed.
+    #[error("--key must have the form id:secret, such as 1:0123456789abcdef")]
     TicketKey,
-    /// A load is empty or too large.
-    #[error("--rate up to {max_rate}, --seconds up to {max_seconds}, --customers from 1")]
+    /// The load is empty or too large.
+    #[error(
+        "--rate must be above 0 and at most {max_rate}, --seconds above 0 and at most {max_seconds}, --customers at \
+         least 1"
+    )]
     Load { max_rate: f64, max_seconds: f64 },
-    /// A gateway's admin page does not answer.
+    /// A gateway's admin server does not respond.
     #[error("{admin}: {error}")]
     Admin { admin: SocketAddr, error: io::Error },
-    /// A panic may have broken what all requests depend on; the gateway has stopped in order.
+    /// A task that all requests depend on has panicked, and the gateway has shut down gracefully.
     #[error("stopped after a panic")]
     Panicked,
     /// The tokio runtime cannot be built.
-    #[error("no runtime: {0}")]
+    #[error("cannot build the tokio runtime: {0}")]
     Runtime(io::Error),
-    /// The folder for a scenario's files cannot be created.
-    #[error("no folder for the fleet: {0}")]
+    /// The temporary directory for a scenario's files cannot be created.
+    #[error("cannot create a temporary directory for the scenario: {0}")]
     WorkDir(io::Error),
-    /// This program's own path is unknown.
-    #[error("this program cannot be found: {0}")]
+    /// The path of this executable, which scenarios start as gateways, is unknown.
+    #[error("cannot determine the path of this executable: {0}")]
     CurrentProgram(io::Error),
     /// A scenario could not be run.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// A gateway could not be started.
+    /// A gateway could not be started or run.
     #[error(transparent)]
     Gateway(Box<dyn std::error::Error + Send + Sync>),
     /// A fake server failed.
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,10 +13,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The exit code of Rust's runtime after a panic.
+/// The exit code that the Rust runtime uses after a panic.
 const PANIC_EXIT_CODE: u8 = 101;
-/// Longest wait for the last lines of the log. A gateway has written its last response 0.3 s before the platform may kill it.
-const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(250);
+/// Longest wait for the last log lines to be written. A gateway writes its last response at least 0.3 s before the
+/// platform may kill it, and must exit within that time.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
@@ -31,14 +32,14 @@
             output::report_error(&error);
             error.exit_code()
         }
-        Err(_) => ExitCode::from(PANIC_EXIT_CODE), // The panic hook has logged it.
+        Err(_) => ExitCode::from(PANIC_EXIT_CODE), // The panic hook has already logged the panic.
     };
-    weirusher_log::finish(LAST_LINES_TIMEOUT);
+    weirusher_log::finish(LOG_FLUSH_TIMEOUT);
     code
 }
 
 fn run(command: Command) -> Result<ExitCode, CommandError> {
-    // The platform gives a node one core: its tasks share one thread, and need no locks.
+    // `node` builds its own runtime: the platform gives it one core, so its tasks share one thread and need no locks.
     if let Command::Node { config, fleet } = &command {
         return commands::gateway::node(config, fleet.as_deref());
     }
@@ -47,7 +48,7 @@
     let result = runtime.block_on(async {
         match command {
             Command::Run { config } => commands::gateway::run(&config).await,
-            Command::Node { .. } => unreachable!("it has a runtime of its own"),
+            Command::Node { .. } => unreachable!("`node` is handled above, with its own runtime"),
             Command::Fleet { admin, json } => commands::fleet::show(admin, json).await,
             Command::Check { file } => commands::gateway::check(&file),
             Command::Fake { fake } => commands::fake::run(fake).await,
@@ -61,7 +62,7 @@
             Command::Simulate { schedules, from, json } => Ok(commands::simulate::run(from, schedules, json)),
         }
     });
-    // Background tasks must not keep a process that has ended.
+    // Exit without waiting for blocking tasks that are still running.
     runtime.shutdown_background();
     result
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,15 +1,15 @@
-//! What commands print beside their log.
+//! Output of commands other than their log.
 
 use crate::error::CommandError;
 use std::io::Write;
 
-/// Prints one line of JSON to standard output, for the program that started this one.
+/// Prints one line of JSON to standard output, for the program that started this process.
 pub fn print_json(value: &serde_json::Value) {
     let mut out = std::io::stdout().lock();
-    let _ = writeln!(out, "{value}").and_then(|()| out.flush()); // Nobody may be reading any more.
+    let _ = writeln!(out, "{value}").and_then(|()| out.flush()); // The reader may have closed the pipe.
 }
 
-/// Prints why the command failed to standard error.
+/// Prints the reason for a command's failure to standard error.
 pub fn report_error(error: &CommandError) {
     let listing = if let CommandError::Config { listing, .. } = error { listing } else { "" };
     weirusher_log::print(&format!("{listing}weirusher: {error}\n"));
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -1,27 +1,28 @@
-//! The signals that stop a process.
+//! The signals on which a command shuts down.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Watches SIGINT and SIGTERM from the moment it is made, so that no signal after that is lost or ends the process.
+/// A listener for SIGINT and SIGTERM. From its creation on, the signals no longer terminate the process, and one that
+/// arrives before [`StopSignals::received`] is awaited is not lost.
 pub struct StopSignals {
-    /// `None` where signals cannot be watched.
-    watched: Option<(Signal, Signal)>,
+    /// `None` if the signal handlers could not be installed.
+    listeners: Option<(Signal, Signal)>,
 }
 
 impl StopSignals {
-    /// Starts to watch, which takes a tokio runtime.
+    /// Installs the signal handlers. Must be called within a tokio runtime.
     pub fn new() -> Self {
         let signals = (signal(SignalKind::interrupt()), signal(SignalKind::terminate()));
-        let watched = match signals {
+        let listeners = match signals {
             (Ok(interrupt), Ok(terminate)) => Some((interrupt, terminate)),
             (Err(_), _) | (_, Err(_)) => None,
         };
-        Self { watched }
+        Self { listeners }
     }
 
-    /// Waits for a signal; for ever where they cannot be watched.
+    /// Waits for a signal. Never returns if the signal handlers could not be installed.
     pub async fn received(mut self) {
-        let Some((interrupt, terminate)) = &mut self.watched else {
+        let Some((interrupt, terminate)) = &mut self.listeners else {
             return std::future::pending().await;
         };
         tokio::select! {
