--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,31 +1,33 @@
-//! The command line: exit codes, errors, and the names that commands and options had before.
+//! The command line: exit codes, errors, and the former names of commands and options.
 
 #[path = "support/command.rs"]
 mod command;
 #[path = "support/gateway_file.rs"]
 mod gateway_file;
 
-use command::{Running, root, start_listening, weirusher};
+use command::{ChildProcess, repository_root, start_listening, weirusher};
 use gateway_file::gateway_file;
 use std::io::Write;
 use std::process::Output;
 
-/// A scenario of one second with a load of nothing.
-const SHORT_SCENARIO: &str = "name = \"short\"\nseconds = 1\n[fleet]\ngatekeepers = 1\ncheckers = 1\n[[plan]]\nname = \"p\"\n\
-    customers = 1\nrate = 1\nburst = 1\nasks = 0\n[[class]]\nname = \"c\"\naim_ms = 1000\npatience_ms = 3000\n";
+/// A scenario of one second without load.
+const SHORT_SCENARIO: &str = "name = \"short\"\nseconds = 1\n[fleet]\ngatekeepers = 1\ncheckers = 1\n[[plan]]\n\
+    name = \"p\"\ncustomers = 1\nrate = 1\nburst = 1\nasks = 0\n\
+    [[class]]\nname = \"c\"\naim_ms = 1000\npatience_ms = 3000\n";
 
+/// What a command wrote to standard error.
 fn errors(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).to_string()
 }
 
 #[test]
-fn exit_codes_and_errors_are_as_people_expect() {
+fn exit_codes_and_errors() {
     assert_eq!(weirusher(&["nonsense"]).status.code(), Some(2));
     assert!(weirusher(&["--help"]).status.success());
     assert!(weirusher(&["check", "deploy/gatekeeper.toml"]).status.success());
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("bad.toml");
-    let good = std::fs::read_to_string(root().join("deploy/gatekeeper.toml")).unwrap();
+    let good = std::fs::read_to_string(repository_root().join("deploy/gatekeeper.toml")).unwrap();
     let bad = good.replace("gateways = 3", "gatewys = 3").replace("127.0.0.1:9000", "10.0.0.1:9000");
     std::fs::File::create(&file).unwrap().write_all(bad.as_bytes()).unwrap();
     let output = weirusher(&["check", file.to_str().unwrap()]);
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn a_gateway_with_nothing_to_do_stops_at_once_on_sigterm() {
+fn an_idle_gateway_exits_on_sigterm() {
     let dir = tempfile::tempdir().unwrap();
     let file = gateway_file(dir.path());
     let (mut gateway, listening) = start_listening(&["run", "--config", file.to_str().unwrap()]);
@@ -48,13 +50,15 @@
     assert!(gateway.0.wait().unwrap().success());
 }
 
-fn terminate(process: &Running) {
+/// Sends SIGTERM to a process.
+fn terminate(process: &ChildProcess) {
     let id = nix::unistd::Pid::from_raw(process.0.id() as i32);
     nix::sys::signal::kill(id, nix::sys::signal::Signal::SIGTERM).unwrap();
 }
 
+/// The former names of `scenario --no-load`.
 #[test]
-fn rehearse_and_hold_are_scenario_and_no_load() {
+fn rehearse_and_hold_are_aliases() {
     let dir = tempfile::tempdir().unwrap();
     let (file, capture) = (dir.path().join("short.toml"), dir.path().join("capture.jsonl"));
     std::fs::write(&file, SHORT_SCENARIO).unwrap();
@@ -63,7 +67,7 @@
     assert!(output.status.success(), "{}", errors(&output));
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!((&report["day"], &report["broken"]), (&"short".into(), &0.into()));
-    // The capture that it stored is audited alike.
+    // An audit of the stored capture gives the same report.
     let output = weirusher(&["audit", capture, "--json"]);
     assert_eq!(serde_json::from_slice::<serde_json::Value>(&output.stdout).unwrap(), report);
     let (mut fleet, addresses) = start_listening(&["rehearse", file, "--hold"]);
@@ -72,20 +76,22 @@
     assert!(fleet.0.wait().unwrap().success());
 }
 
+/// The former names of `simulate --schedules`.
 #[test]
-fn prove_and_timelines_are_simulate_and_schedules() {
+fn prove_and_timelines_are_aliases() {
     let result = |args: &[&str]| {
         let output = weirusher(args);
         assert!(output.status.success(), "{}", errors(&output));
         serde_json::from_slice::<serde_json::Value>(&output.stdout).unwrap()
     };
-    let old = result(&["prove", "--timelines", "20", "--from", "7", "--json"]);
-    assert_eq!(old["timelines"], 20);
-    assert_eq!(old, result(&["simulate", "--schedules", "20", "--from", "7", "--json"]));
+    let former = result(&["prove", "--timelines", "20", "--from", "7", "--json"]);
+    assert_eq!(former["timelines"], 20);
+    assert_eq!(former, result(&["simulate", "--schedules", "20", "--from", "7", "--json"]));
 }
 
+/// The former names of `fake`, its servers and their options.
 #[test]
-fn standin_and_its_parts_are_fake_servers() {
+fn standin_and_its_servers_are_aliases() {
     let key = ["--key", "1:0123456789abcdef"];
     let checker = ["standin", "checker", "--cold-from", "0.5", "--cold-seconds", "3"];
     let (_checker, listening) = start_listening(&[&checker[..], &key].concat());
@@ -94,13 +100,13 @@
     assert!(listening["address"].is_string(), "{listening}");
     let (_discovery, listening) = start_listening(&["standin", "discovery", "--checker", backend]);
     assert!(listening["address"].is_string(), "{listening}");
-    // Nobody listens there: each request ends as a lost connection.
+    // Nobody listens at this address, so each request ends with a lost connection.
     let edge = ["standin", "edge", "--gatekeeper", "127.0.0.1:9", "--patience-ms", "500", "--seconds", "1"];
     let output = weirusher(&edge);
     assert!(output.status.success(), "{}", errors(&output));
     let printed: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(printed["tries"], printed["ends"]["broken"], "{printed}");
-    // The names of today take the same options.
+    // The current names take the same options.
     let fake = ["fake", "backend", "--slow-start-from", "0.5", "--slow-start-seconds", "3"];
     let (_backend, listening) = start_listening(&[&fake[..], &key].concat());
     assert!(listening["address"].is_string(), "{listening}");
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -1,5 +1,5 @@
-//! Gateways with a membership, by the command line: what it costs when it is off, what `fleet` shows when it is on, and
-//! the errors of a file that is not valid.
+//! Fleet membership by the command line: no sockets or timers when it is off, the output of `fleet` when it is on, and
+//! the errors in an invalid fleet file.
 
 #[path = "support/command.rs"]
 mod command;
@@ -8,7 +8,7 @@
 #[path = "support/platform.rs"]
 mod platform;
 
-use command::{EXE, Running, start_listening, weirusher};
+use command::{ChildProcess, EXE, start_listening, weirusher};
 use gateway_file::gateway_file;
 use platform::configuration;
 use procfs::process::{FDTarget, Process};
@@ -18,10 +18,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Limit for what must happen.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for conditions that a test waits for.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A configuration of gateway 0 of 2, whose list service and counter do not listen.
+/// Writes the configuration of gateway 0 of 2, whose discovery and counter addresses refuse connections.
 fn node_config(dir: &Path) -> PathBuf {
     let (file, nobody) = (dir.join("node.json"), ([127, 0, 0, 1], 9).into());
     let text = configuration(([127, 0, 0, 1], 0).into(), nobody, nobody, 64);
@@ -29,6 +29,7 @@
     file
 }
 
+/// Writes a fleet file for gateway 0 of 2, with a change to its text.
 fn fleet_file(dir: &Path, change: impl Fn(&str) -> String) -> PathBuf {
     let file = dir.join("fleet.toml");
     let text = "[fleet]\nnumber = 0\nlisten = \"127.0.0.1:0\"\nmembers = [\"127.0.0.1:7400\", \"127.0.0.1:7401\"]\n\
@@ -37,27 +38,27 @@
     file
 }
 
-/// How often the descriptors of a process are read, and the pause before each time.
+/// How often the descriptors of a process are sampled, and the pause before each sample.
 const SAMPLES: usize = 20;
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a process has open: number and target of each descriptor.
+/// The open descriptors of a process, by number, with their targets.
 fn descriptors(process: &Process) -> HashMap<i32, FDTarget> {
-    // One that is closed between the listing and the reading is no error.
+    // A descriptor may be closed between listing and reading it.
     process.fd().unwrap().flatten().map(|fd| (fd.fd, fd.target)).collect()
 }
 
-/// What a process costs while it is idle.
+/// The resources that an idle process uses.
 #[derive(Debug)]
 struct IdleCost {
     udp_sockets: usize,
     descriptors: usize,
-    /// How often it woke while it was sampled.
+    /// Voluntary context switches during the sampling.
     wakeups: u64,
 }
 
-/// Measures a process. A descriptor counts that is there at every sample: connections to a list service and a counter
-/// that do not listen have one until they are refused.
+/// Measures an idle process. Only descriptors that are open at every sample count, as each connection attempt to
+/// discovery and the counter uses one until it is refused.
 fn idle_cost(child: &Child) -> IdleCost {
     let process = Process::new(child.id() as i32).unwrap();
     let wakeups = || process.status().unwrap().voluntary_ctxt_switches.unwrap();
@@ -76,8 +77,8 @@
     }
 }
 
-/// A gateway on the platform that serves.
-fn node(dir: &Path, fleet: Option<&Path>) -> Running {
+/// Starts `weirusher node` and waits until it serves.
+fn start_node(dir: &Path, fleet: Option<&Path>) -> ChildProcess {
     let mut command = Command::new(EXE);
     command.args(["node", "--config"]).arg(node_config(dir)).stdout(Stdio::null()).stderr(Stdio::piped());
     if let Some(fleet) = fleet {
@@ -86,33 +87,34 @@
     let mut child = command.spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
     assert!(lines.any(|line| line.unwrap().contains("serving")));
-    // The rest is read, so that the process never waits for a reader.
+    // Reads the rest of the log, so that the pipe does not fill up.
     std::thread::spawn(move || lines.for_each(drop));
-    Running(child)
+    ChildProcess(child)
 }
 
 #[test]
-fn without_a_membership_there_is_no_socket_and_no_timer_for_it() {
+fn without_membership_there_are_no_sockets_and_timers_for_it() {
     let dir = tempfile::tempdir().unwrap();
-    let off = idle_cost(&node(dir.path(), None).0);
+    let off = idle_cost(&start_node(dir.path(), None).0);
     let file = fleet_file(dir.path(), str::to_string);
-    let on = idle_cost(&node(dir.path(), Some(&file)).0);
-    // With it: one socket for datagrams, one for the page, and a timer of 30 ms.
+    let on = idle_cost(&start_node(dir.path(), Some(&file)).0);
+    // Membership adds a UDP socket, the listener of the admin server, and a timer of 30 ms.
     assert_eq!((off.udp_sockets, on.udp_sockets), (0, 1), "{off:?} {on:?}");
     assert_eq!(on.descriptors, off.descriptors + 2, "{off:?} {on:?}");
     assert!(off.wakeups < 20 && on.wakeups > off.wakeups, "{off:?} {on:?}");
 }
 
 #[test]
-fn the_view_of_a_gateway_is_shown() {
+fn fleet_shows_the_view_of_a_gateway() {
     let dir = tempfile::tempdir().unwrap();
     let scenario = dir.path().join("scenario.toml");
-    let text = "name = \"idle\"\nseconds = 1\n[fleet]\ngatekeepers = 3\n[peers]\n[[plan]]\nname = \"p\"\ncustomers = 1\n\
-                rate = 1\nburst = 1\nasks = 0\n[[class]]\nname = \"c\"\naim_ms = 1000\npatience_ms = 3000\n";
+    let text = "name = \"idle\"\nseconds = 1\n[fleet]\ngatekeepers = 3\n[peers]\n[[plan]]\n\
+                name = \"p\"\ncustomers = 1\nrate = 1\nburst = 1\nasks = 0\n\
+                [[class]]\nname = \"c\"\naim_ms = 1000\npatience_ms = 3000\n";
     std::fs::write(&scenario, text).unwrap();
     let (mut fleet, addresses) = start_listening(&["scenario", "--no-load", scenario.to_str().unwrap()]);
     let admin = addresses["admin"][1].as_str().unwrap();
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + TEST_TIMEOUT;
     let shown = loop {
         let output = weirusher(&["fleet", "--admin", admin]);
         let printed = String::from_utf8(output.stdout).unwrap();
@@ -137,8 +139,9 @@
     assert!(fleet.0.wait().unwrap().success());
 }
 
+/// No gateway listens at the address, or the gateway has no membership.
 #[test]
-fn a_gateway_without_a_fleet_or_none_at_all_is_an_error() {
+fn fleet_fails_without_a_gateway_or_membership() {
     let output = weirusher(&["fleet", "--admin", "127.0.0.1:9"]);
     assert_eq!(output.status.code(), Some(1));
     let dir = tempfile::tempdir().unwrap();
@@ -148,11 +151,11 @@
     let output = weirusher(&["fleet", "--admin", listening["admin"].as_str().unwrap()]);
     let errors = String::from_utf8_lossy(&output.stderr).to_string();
     assert_eq!((output.status.code(), errors.contains("no [fleet]")), (Some(2), true), "{errors}");
-    assert_eq!(idle_cost(&gateway.0).udp_sockets, 0, "it has a socket for datagrams");
+    assert_eq!(idle_cost(&gateway.0).udp_sockets, 0, "a gateway without membership has a UDP socket");
 }
 
 #[test]
-fn a_fleet_file_that_is_not_valid_is_rejected_with_its_lines() {
+fn an_invalid_fleet_file_is_rejected_with_line_numbers() {
     let dir = tempfile::tempdir().unwrap();
     let config = node_config(dir.path());
     let start = |change: &dyn Fn(&str) -> String| {
--- a/crates/cli/tests/gateway_kills.rs
+++ b/crates/cli/tests/gateway_kills.rs
@@ -1,4 +1,5 @@
-//! Gateway processes killed at each moment around a decision; audited from the sockets.
+//! Gateway processes that are killed before, during and after the handling of a request. The traffic that the fake
+//! servers and clients captured on their sockets is audited.
 
 use futures::{SinkExt, StreamExt};
 use serde_json::Value;
@@ -21,13 +22,14 @@
 
 const SECRET: &str = "0123456789abcdef0123456789abcdef";
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Limit for what must happen.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for conditions that a test waits for.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// A buffer that a capture is written to.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct CaptureBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Memory {
+impl Write for CaptureBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().write(bytes)
     }
@@ -40,18 +42,21 @@
 struct GatewayProcess {
     child: Child,
     admin: SocketAddr,
-    front: Link,
+    /// The link through which the load generator reaches the gateway; it keeps its address when the gateway restarts.
+    link: Link,
     config: PathBuf,
 }
 
-struct Site {
+/// Gateway processes, and the fake servers and load generator that they are tested with.
+struct Harness {
     gateways: Vec<GatewayProcess>,
     load_generator: Arc<LoadGenerator>,
     recorder: Recorder,
-    memory: Memory,
+    buffer: CaptureBuffer,
     _fakes: (Counter, Discovery, FakeBackend, tempfile::TempDir),
 }
 
+/// Starts a gateway process. Returns it with the addresses of external authorisation and the admin server.
 fn start_process(config: &PathBuf) -> (Child, SocketAddr, SocketAddr) {
     let exe = env!("CARGO_BIN_EXE_weirusher");
     let mut child =
@@ -63,10 +68,11 @@
     (child, address("ext_authz"), address("admin"))
 }
 
-impl Site {
+impl Harness {
+    /// Starts the gateways with one backend, and waits until each has its endpoint list.
     async fn start(gateways: usize, service_seconds: f64) -> Self {
-        let (memory, dir) = (Memory::default(), tempfile::tempdir().unwrap());
-        let recorder = Recorder::new(Some(Box::new(memory.clone())));
+        let (buffer, dir) = (CaptureBuffer::default(), tempfile::tempdir().unwrap());
+        let recorder = Recorder::new(Some(Box::new(buffer.clone())));
         let parameters = AuditParameters {
             plans: vec![[100.0, 100.0, 0.0, 0.0].into()],
             customers: [("school".to_string(), 0)].into(),
@@ -108,29 +114,29 @@
             );
             std::fs::write(&config, text).unwrap();
             let (child, address, admin) = start_process(&config);
-            let front = Link::start(Some(address)).await.unwrap();
-            processes.push(GatewayProcess { child, admin, front, config });
+            let link = Link::start(Some(address)).await.unwrap();
+            processes.push(GatewayProcess { child, admin, link, config });
         }
-        let fronts: Vec<SocketAddr> = processes.iter().map(|p| p.front.address).collect();
-        let load_generator = LoadGenerator::new(&fronts, recorder.clone()).unwrap();
+        let links: Vec<SocketAddr> = processes.iter().map(|p| p.link.address).collect();
+        let load_generator = LoadGenerator::new(&links, recorder.clone()).unwrap();
         let _fakes = (counter, discovery, backend, dir);
-        let site = Self { gateways: processes, load_generator, recorder, memory, _fakes };
+        let harness = Self { gateways: processes, load_generator, recorder, buffer, _fakes };
         for gateway in 0..gateways {
-            site.until(gateway, "/process/lists", 1).await;
+            harness.wait_for_statistic(gateway, "/process/lists", 1).await;
         }
-        site
+        harness
     }
 
-    /// Kills a gateway and starts it again, as a supervisor does.
-    fn kill(&mut self, gateway: usize) {
+    /// Kills a gateway and restarts it, as a supervisor does.
+    fn kill_and_restart(&mut self, gateway: usize) {
         self.recorder.record(CaptureEvent::GatewayRunning { gateway, running: false });
         let process = &mut self.gateways[gateway];
         process.child.kill().unwrap();
         process.child.wait().unwrap();
-        process.front.reset();
+        process.link.reset();
         let (child, address, admin) = start_process(&process.config);
         (process.child, process.admin) = (child, admin);
-        process.front.retarget(Some(address));
+        process.link.retarget(Some(address));
         self.recorder.record(CaptureEvent::GatewayRunning { gateway, running: true });
     }
 
@@ -149,7 +155,8 @@
         tokio::spawn(async move { load_generator.send_request(&request).await.outcome })
     }
 
-    async fn figure(&self, gateway: usize, pointer: &str) -> u64 {
+    /// Reads a number from the statistics page of a gateway, by JSON pointer.
+    async fn statistic(&self, gateway: usize, pointer: &str) -> u64 {
         let stream = TcpStream::connect(self.gateways[gateway].admin).await.unwrap();
         let mut framed = Framed::new(stream, ClientCodec::default());
         let (method, path, headers) = ("GET".into(), "/stats".into(), Headers::default());
@@ -158,19 +165,22 @@
         page.pointer(pointer).and_then(Value::as_u64).unwrap_or_else(|| panic!("{pointer}: {page}"))
     }
 
-    async fn until(&self, gateway: usize, pointer: &str, least: u64) {
-        let end = Instant::now() + LIMIT;
-        while self.figure(gateway, pointer).await < least {
+    /// Waits until a number on the statistics page reaches `least`.
+    async fn wait_for_statistic(&self, gateway: usize, pointer: &str, least: u64) {
+        let end = Instant::now() + TEST_TIMEOUT;
+        while self.statistic(gateway, pointer).await < least {
             assert!(Instant::now() < end, "{pointer} did not reach {least}");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
+    /// The capture so far, as lines of JSON.
     fn capture(&self) -> String {
         self.recorder.flush();
-        String::from_utf8(self.memory.0.lock().unwrap().clone()).unwrap()
+        String::from_utf8(self.buffer.0.lock().unwrap().clone()).unwrap()
     }
 
+    /// Audits the capture so far, which must not violate a rule.
     fn audit(&self) -> AuditReport {
         let capture = self.capture();
         let report = audit(capture.as_bytes()).unwrap();
@@ -178,85 +188,90 @@
         report
     }
 
-    async fn until_runs(&self, least: usize) {
-        let end = Instant::now() + LIMIT;
+    /// Waits until the backend has executed `least` requests.
+    async fn wait_for_executions(&self, least: usize) {
+        let end = Instant::now() + TEST_TIMEOUT;
         while self.capture().matches("\"runs\"").count() < least {
-            assert!(Instant::now() < end, "there were fewer than {least} runs");
+            assert!(Instant::now() < end, "the backend executed fewer than {least} requests");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-impl Drop for Site {
+impl Drop for Harness {
     fn drop(&mut self) {
         for process in &mut self.gateways {
-            let _ = process.child.kill(); // It may have ended.
+            let _ = process.child.kill(); // It may have exited already.
             let _ = process.child.wait();
         }
     }
 }
 
+/// The gateway admits the request, and is killed before its response is sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nothing_runs_where_a_gateway_is_killed_before_its_answer_leaves() {
-    let mut site = Site::start(1, 0.02).await;
-    site.gateways[0].front.set(|f| f.stall_from_target = true);
-    let pending = site.send(0, BehaviourProfile::default());
-    site.until(0, "/ledger/allowed", 1).await;
-    site.kill(0);
-    site.gateways[0].front.set(|f| f.stall_from_target = false);
+async fn a_request_whose_admission_was_not_sent_is_not_executed() {
+    let mut harness = Harness::start(1, 0.02).await;
+    harness.gateways[0].link.set(|f| f.stall_from_target = true);
+    let pending = harness.send(0, BehaviourProfile::default());
+    harness.wait_for_statistic(0, "/ledger/allowed", 1).await;
+    harness.kill_and_restart(0);
+    harness.gateways[0].link.set(|f| f.stall_from_target = false);
     assert_eq!(pending.await.unwrap(), ClientOutcome::ConnectionLost);
-    assert_eq!(site.audit().admissions.get("runs"), None, "the answer never left");
-    // The client sends it again, and it runs once.
-    site.until(0, "/process/lists", 1).await;
-    assert_eq!(site.send(0, BehaviourProfile::default()).await.unwrap(), ClientOutcome::Served);
-    assert_eq!(site.audit().admissions["runs"], 1);
+    assert_eq!(harness.audit().admissions.get("runs"), None, "the response of the gateway was not sent");
+    // The client sends the request again, and it is executed once.
+    harness.wait_for_statistic(0, "/process/lists", 1).await;
+    assert_eq!(harness.send(0, BehaviourProfile::default()).await.unwrap(), ClientOutcome::Served);
+    assert_eq!(harness.audit().admissions["runs"], 1);
 }
 
+/// The client has its response, and the backend executes the request once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_response_comes_once_where_a_gateway_is_killed_during_the_attempt() {
-    let mut site = Site::start(1, 0.4).await;
-    let pending = site.send(0, BehaviourProfile::default());
-    site.until_runs(1).await;
-    site.kill(0);
+async fn a_kill_during_the_attempt_does_not_affect_the_request() {
+    let mut harness = Harness::start(1, 0.4).await;
+    let pending = harness.send(0, BehaviourProfile::default());
+    harness.wait_for_executions(1).await;
+    harness.kill_and_restart(0);
     assert_eq!(pending.await.unwrap(), ClientOutcome::Served);
-    assert_eq!(site.audit().admissions["runs"], 1);
-    // Its report names an earlier incarnation: the new one verifies and counts it, and closes nothing.
-    site.until(0, "/ledger/foreign_reports", 1).await;
-    assert_eq!(site.figure(0, "/ledger/reported").await, 0);
+    assert_eq!(harness.audit().admissions["runs"], 1);
+    // The report of the attempt names an earlier incarnation: the new one verifies and counts it, but closes no entry.
+    harness.wait_for_statistic(0, "/ledger/foreign_reports", 1).await;
+    assert_eq!(harness.statistic(0, "/ledger/reported").await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_report_to_an_earlier_incarnation_is_recognised_as_foreign() {
-    let mut site = Site::start(1, 0.02).await;
+async fn a_report_for_an_earlier_incarnation_is_counted_as_foreign() {
+    let mut harness = Harness::start(1, 0.02).await;
     assert_eq!(
-        site.send(0, BehaviourProfile { report_delay_seconds: 2.0, ..BehaviourProfile::default() })
+        harness
+            .send(0, BehaviourProfile { report_delay_seconds: 2.0, ..BehaviourProfile::default() })
             .await
             .unwrap(),
         ClientOutcome::Served
     );
-    assert_eq!(site.figure(0, "/ledger/reported").await, 0, "the report has not arrived yet");
-    site.kill(0);
-    site.until(0, "/ledger/foreign_reports", 1).await;
-    assert_eq!((site.figure(0, "/owed").await, site.figure(0, "/open").await), (0, 0));
-    assert_eq!(site.audit().admissions["runs"], 1);
+    assert_eq!(harness.statistic(0, "/ledger/reported").await, 0, "the report has not arrived yet");
+    harness.kill_and_restart(0);
+    harness.wait_for_statistic(0, "/ledger/foreign_reports", 1).await;
+    assert_eq!((harness.statistic(0, "/owed").await, harness.statistic(0, "/open").await), (0, 0));
+    assert_eq!(harness.audit().admissions["runs"], 1);
 }
 
+/// Each served request was executed exactly once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_request_has_one_response_and_one_run_where_half_of_the_gateways_are_killed() {
-    let mut site = Site::start(4, 0.3).await;
-    let pending: Vec<_> = (0..40).map(|n| site.send(n % 4, BehaviourProfile::default())).collect();
-    site.until_runs(4).await;
-    site.kill(0);
-    site.kill(2);
+async fn kills_of_half_of_the_gateways_execute_no_request_twice() {
+    let mut harness = Harness::start(4, 0.3).await;
+    let pending: Vec<_> = (0..40).map(|n| harness.send(n % 4, BehaviourProfile::default())).collect();
+    harness.wait_for_executions(4).await;
+    harness.kill_and_restart(0);
+    harness.kill_and_restart(2);
     let mut served = 0;
     for outcome in pending {
-        // With one backend, a gateway of four has few attempts in flight and rejects the rest.
+        // With a single backend, each of four gateways may have few attempts in flight, and rejects the other requests.
         match outcome.await.unwrap() {
             ClientOutcome::Served => served += 1,
             ClientOutcome::ConnectionLost | ClientOutcome::Rejected => {}
             other => panic!("{other:?}"),
         }
     }
-    assert!(served >= 4, "{served} served: two gateways were running");
-    assert_eq!(site.audit().admissions["runs"], served, "what ran was answered");
+    assert!(served >= 4, "{served} served, though two gateways kept running");
+    assert_eq!(harness.audit().admissions["runs"], served, "each executed request was answered");
 }
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,9 +1,9 @@
-//! How CI reads the list of tests that fail for a known fault.
+//! The script with which CI reads KNOWN-RED.txt, the list of tests that fail because of a known fault.
 
 use std::path::Path;
 use std::process::Command;
 
-/// The names in a list; `None` where the list is rejected.
+/// The names of the tests in a list, separated by blanks; `None` if the script rejects the list.
 fn read(list: Option<&str>) -> Option<String> {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("KNOWN-RED.txt");
@@ -16,8 +16,9 @@
     output.status.success().then(|| String::from_utf8(output.stdout).unwrap().trim().to_string())
 }
 
+/// Each line has a test, a cause and the number of an issue. At most three lines are allowed.
 #[test]
-fn a_known_red_line_has_a_test_a_cause_and_an_issue_and_there_are_three_at_most() {
+fn invalid_lists_are_rejected() {
     assert_eq!(read(None).as_deref(), Some(""));
     assert_eq!(read(Some("")).as_deref(), Some(""));
     assert_eq!(read(Some("a::b | it's slow: \"why\" | 38")).as_deref(), Some("a::b"));
--- a/crates/cli/tests/node/close_races.rs
+++ b/crates/cli/tests/node/close_races.rs
@@ -1,34 +1,37 @@
-//! Requests that race with the close of their connection, whatever closes it: each gets its response, or its bytes were not
-//! read, which a reset shows.
+//! Requests that race with the gateway's close of their connection: each gets a response, or a reset, which shows that
+//! it was not read. The cases are named after the connection that is closed.
 
-use crate::support::{Client, ClientResponse, READY, Site, id, parse_response, request};
+use crate::support::{Client, ClientResponse, Harness, READINESS_CHECK, parse_response, request, unique_id};
 use nix::sys::signal::Signal;
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Races at most until requests come on both sides of a close.
+/// Number of attempts to get requests on both sides of a close.
 const MAX_RACES: usize = 5;
-/// Requests around each close, and the time between two.
+/// Number of requests around each close, and the time between them.
 const REQUESTS: u32 = 40;
 const INTERVAL: Duration = Duration::from_millis(3);
-/// A connection that ended in order with unread bytes is reset within this time.
+/// Time within which a connection that was closed with unread bytes is reset after its end of stream.
 const LATE_RESET: Duration = Duration::from_millis(800);
-/// Time after which a connection without a request, or with half of one, is closed.
-const FIRST_REQUEST: Duration = Duration::from_millis(2500);
-/// Time after which an idle connection may be closed for others, and a new one during a shutdown.
-const REUSABLE_AFTER: Duration = Duration::from_millis(250);
+/// Time after which a connection without a complete request is closed.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time after which an idle connection may be closed in favour of others, and a new connection during a shutdown.
+const CLOSABLE_AFTER: Duration = Duration::from_millis(250);
 
+/// The outcome of a request.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 enum Outcome {
+    /// A complete response with this status.
     Response(u16),
+    /// The connection was reset: the gateway did not read the request.
     Unread,
-    /// The request was read, and its connection closed without a response.
+    /// The request was read, and the connection was closed without a response.
     Lost,
 }
 
-/// Sends the rest of a request at a moment.
+/// Sends the rest of a request at the time `at`, and reads until the outcome is known.
 async fn send_at(mut client: Client, rest: String, at: Instant) -> Outcome {
     sleep_until(at).await;
     if tokio::io::AsyncWriteExt::write_all(&mut client.0, rest.as_bytes()).await.is_err() {
@@ -48,7 +51,7 @@
     }
 }
 
-/// Whether a connection that ended in order is reset after that: its request arrived at a closed one.
+/// The outcome after the end of stream: a reset that follows shows that the request arrived at a closed connection.
 async fn outcome_after_end(client: &Client) -> Outcome {
     let until = Instant::now() + LATE_RESET;
     while Instant::now() < until {
@@ -61,7 +64,7 @@
     Outcome::Lost
 }
 
-/// A request whose rest is sent at a moment.
+/// A request whose unsent part, `rest`, is sent at the time `at`.
 struct RacingRequest {
     client: Client,
     id: String,
@@ -69,25 +72,25 @@
     at: Instant,
 }
 
-/// A request that is sent as a whole at a moment.
+/// A request that is sent as a whole at the time `at`.
 fn racing_request(client: Client, at: Instant) -> RacingRequest {
-    let id = id();
+    let id = unique_id();
     let rest = request(&id, "iso", 3000);
     RacingRequest { client, id, rest, at }
 }
 
-/// The moments around one.
-fn around(moment: Instant) -> impl Iterator<Item = Instant> {
+/// Times around a moment, at which requests are sent.
+fn times_around(moment: Instant) -> impl Iterator<Item = Instant> {
     (0..REQUESTS).map(move |nth| moment - INTERVAL * (REQUESTS / 2) + INTERVAL * nth)
 }
 
-/// Sends each request at its moment, and checks that none is lost.
-async fn send_all(site: &Site, requests: Vec<RacingRequest>) -> Vec<Outcome> {
+/// Sends each request at its time, and checks that none is lost.
+async fn send_all(harness: &Harness, requests: Vec<RacingRequest>) -> Vec<Outcome> {
     let sent = requests.into_iter().map(async |r| (r.id, send_at(r.client, r.rest, r.at).await));
     let outcomes = futures::future::join_all(sent).await;
     for (id, outcome) in &outcomes {
         assert_ne!(*outcome, Outcome::Lost, "{id}");
-        let attempts = site.attempts(id);
+        let attempts = harness.attempts(id);
         assert!(
             attempts == 0 || matches!(outcome, Outcome::Response(_)),
             "{id}: {attempts} attempts, {outcome:?}"
@@ -96,14 +99,14 @@
     outcomes.into_iter().map(|(_, outcome)| outcome).collect()
 }
 
-/// Whether there were requests before and after the close.
+/// Whether some requests came before the close and some after it.
 fn both_sides(outcomes: &[Outcome]) -> bool {
     let answered = outcomes.iter().filter(|outcome| matches!(outcome, Outcome::Response(_))).count();
     answered > 0 && answered < outcomes.len()
 }
 
-/// Races until requests came on both sides of the close: one that a busy machine has all on one side shows nothing.
-/// Each race, that one too, checks that no request is lost.
+/// Repeats a race until requests came on both sides of the close. On a busy machine all may come on one side, which
+/// tests nothing. Every repetition checks that no request is lost.
 async fn until_both_sides(mut race: impl AsyncFnMut() -> Vec<Vec<Outcome>>) {
     let mut missed = Vec::new();
     while missed.len() < MAX_RACES {
@@ -113,43 +116,43 @@
         }
         missed.push(outcomes);
     }
-    panic!("all on one side of the close, in each race: {missed:?}");
+    panic!("no race had requests on both sides of the close: {missed:?}");
 }
 
-async fn idle_connection(site: &Site) -> Client {
-    let mut client = site.client().await;
-    assert_eq!(client.exchange(READY).await.unwrap().status, 200);
+async fn idle_connection(harness: &Harness) -> Client {
+    let mut client = harness.client().await;
+    assert_eq!(client.exchange(READINESS_CHECK).await.unwrap().status, 200);
     client
 }
 
 #[tokio::test]
 async fn on_a_new_connection_without_a_request_in_time() {
     until_both_sides(async || {
-        let site = Site::start(2).await;
+        let harness = Harness::start(2).await;
         let accepted = Instant::now();
         let mut requests = Vec::new();
-        for at in around(accepted + FIRST_REQUEST + Duration::from_millis(3)) {
-            requests.push(racing_request(site.client().await, at));
+        for at in times_around(accepted + FIRST_REQUEST_TIMEOUT + Duration::from_millis(3)) {
+            requests.push(racing_request(harness.client().await, at));
         }
-        vec![send_all(&site, requests).await]
+        vec![send_all(&harness, requests).await]
     })
     .await;
 }
 
 #[tokio::test]
 async fn on_a_connection_with_half_a_request() {
-    let site = Site::start(2).await;
+    let harness = Harness::start(2).await;
     let began = Instant::now();
     let mut requests = Vec::new();
-    for (nth, at) in around(began + FIRST_REQUEST + Duration::from_millis(8)).enumerate() {
-        let client = if nth % 2 == 0 { idle_connection(&site).await } else { site.client().await };
+    for (nth, at) in times_around(began + FIRST_REQUEST_TIMEOUT + Duration::from_millis(8)).enumerate() {
+        let client = if nth % 2 == 0 { idle_connection(&harness).await } else { harness.client().await };
         let mut racing = racing_request(client, at);
         let rest = racing.rest.split_off(40);
         racing.client.send(&racing.rest).await;
         requests.push(RacingRequest { rest, ..racing });
     }
-    let outcomes = send_all(&site, requests).await;
-    // One that is completed too late gets a 408, or its rest is not read.
+    let outcomes = send_all(&harness, requests).await;
+    // A request that is completed too late gets a 408, or its rest is not read.
     assert!(
         outcomes.contains(&Outcome::Response(200)) && outcomes.contains(&Outcome::Response(408)),
         "{outcomes:?}"
@@ -158,41 +161,44 @@
 
 #[tokio::test]
 async fn on_an_idle_connection_that_is_closed_for_others() {
-    let site = Site::with(2, 96, &[]).await;
-    // More connections than slots: each one that waits has an idle one closed.
+    let harness = Harness::start_with(2, 96, &[]).await;
+    // More connections than slots: for each one that waits, an idle connection is closed.
     let mut waiting = Vec::new();
     let mut requests = Vec::new();
     let idle = Instant::now();
-    for at in around(idle + REUSABLE_AFTER + Duration::from_millis(10)).take(24) {
-        requests.push(racing_request(idle_connection(&site).await, at));
+    for at in times_around(idle + CLOSABLE_AFTER + Duration::from_millis(10)).take(24) {
+        requests.push(racing_request(idle_connection(&harness).await, at));
     }
     for _ in 0..60 {
-        waiting.push(site.client().await);
+        waiting.push(harness.client().await);
     }
-    send_all(&site, requests).await;
+    send_all(&harness, requests).await;
 }
 
 #[tokio::test]
 async fn on_idle_and_new_connections_as_a_shutdown_begins() {
     until_both_sides(async || {
-        let site = Site::start(2).await;
+        let harness = Harness::start(2).await;
         let mut old = Vec::new();
         for _ in 0..REQUESTS {
-            old.push(idle_connection(&site).await);
+            old.push(idle_connection(&harness).await);
         }
-        // Idle connections are closed with the signal.
+        // Idle connections are closed at the signal.
         let signal = Instant::now() + Duration::from_millis(200);
-        let requests: Vec<_> =
-            old.into_iter().zip(around(signal)).map(|(client, at)| racing_request(client, at)).collect();
+        let requests: Vec<_> = old
+            .into_iter()
+            .zip(times_around(signal))
+            .map(|(client, at)| racing_request(client, at))
+            .collect();
         let mut new = Vec::new();
-        for at in around(signal + REUSABLE_AFTER) {
-            new.push(racing_request(site.client().await, at));
+        for at in times_around(signal + CLOSABLE_AFTER) {
+            new.push(racing_request(harness.client().await, at));
         }
         let shutdown = async {
             sleep_until(signal).await;
-            site.signal(Signal::SIGTERM);
+            harness.signal(Signal::SIGTERM);
         };
-        let (old, new, ()) = tokio::join!(send_all(&site, requests), send_all(&site, new), shutdown);
+        let (old, new, ()) = tokio::join!(send_all(&harness, requests), send_all(&harness, new), shutdown);
         vec![old, new]
     })
     .await;
@@ -200,21 +206,21 @@
 
 #[tokio::test]
 async fn after_a_response_that_closes_and_after_an_error() {
-    let site = Site::start(2).await;
+    let harness = Harness::start(2).await;
     for closing in ["Connection: close\r\n", "Plan: none\r\n"] {
         let mut requests = Vec::new();
         for _ in 0..10 {
-            let mut client = site.client().await;
-            let first = request(&id(), "iso", 3000);
-            // A request right after the last response, before the end of the connection is seen.
+            let mut client = harness.client().await;
+            let first = request(&unique_id(), "iso", 3000);
+            // A request right after the last response, before the client sees the end of the connection.
             client.send(&first.replace("Plan: iso\r\n", &format!("Plan: iso\r\n{closing}"))).await;
             assert!(matches!(client.response().await.expect("a response").status, 200 | 400));
             requests.push(racing_request(client, Instant::now()));
         }
         let sent = requests.into_iter().map(async |r| (r.id, send_at(r.client, r.rest, r.at).await));
         for (id, outcome) in futures::future::join_all(sent).await {
-            assert_eq!(site.attempts(&id), 0);
-            // Bytes after an error are dropped: what they belong to is not known.
+            assert_eq!(harness.attempts(&id), 0);
+            // Bytes after an error response are discarded without a reset, as they cannot be attributed to a request.
             assert!(outcome == Outcome::Unread || closing.starts_with("Plan"), "{outcome:?}");
         }
     }
--- a/crates/cli/tests/node/configuration.rs
+++ b/crates/cli/tests/node/configuration.rs
@@ -1,20 +1,22 @@
-//! Configurations: several reloads, and invalid ones at the start.
+//! Configuration files: repeated reloads, invalid files at the start, and reads that hang.
 
-use crate::platform::{STOP_WITHIN, configuration};
-use crate::process::ended;
-use crate::support::{ANY_PORT, LIMIT, Site, id, last_attempt_at_draining_backend, list, request};
+use crate::platform::{DRAIN_GRACE, configuration};
+use crate::process::wait_for_exit;
+use crate::support::{
+    ANY_PORT, Harness, TEST_TIMEOUT, endpoint_list, last_attempt_at_draining_backend, request, unique_id,
+};
 use nix::sys::signal::Signal;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use weirusher_fakes::{DiscoveryAgent, ScriptedServer, counting};
 
 #[tokio::test]
-async fn the_last_of_several_reloads_is_in_force() {
-    let site = Site::start(2).await;
+async fn the_last_of_several_reloads_is_applied() {
+    let harness = Harness::start(2).await;
     let entries =
-        [("s-0", site.backends[0].address, "SERVING"), ("s-1", site.backends[1].address, "SERVING")];
-    let other = DiscoveryAgent::start(ANY_PORT, 2, list(2, &entries)).await.unwrap();
-    // One counter, at two addresses.
+        [("s-0", harness.backends[0].address, "SERVING"), ("s-1", harness.backends[1].address, "SERVING")];
+    let other = DiscoveryAgent::start(ANY_PORT, 2, endpoint_list(2, &entries)).await.unwrap();
+    // The same counter at two addresses.
     let count = Arc::new(counting());
     let counter = ScriptedServer::start(ANY_PORT, {
         let count = count.clone();
@@ -22,33 +24,33 @@
     })
     .await
     .unwrap();
-    site.counter.set_script(move |request| count(request));
-    let there = configuration(site.listen, other.address(), counter.address, 256);
-    let back = configuration(site.listen, site.discovery.address(), site.counter.address, 256);
-    let mut client = site.client().await;
+    harness.counter.set_script(move |request| count(request));
+    let there = configuration(harness.listen, other.address(), counter.address, 256);
+    let back = configuration(harness.listen, harness.discovery.address(), harness.counter.address, 256);
+    let mut client = harness.client().await;
     for nth in 0..30 {
         let text = match nth % 3 {
             0 => &there,
             1 => &back,
             _ => "{",
         };
-        std::fs::write(&site.file, text).unwrap();
-        site.signal(Signal::SIGHUP);
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200, "{nth}");
+        std::fs::write(&harness.file, text).unwrap();
+        harness.signal(Signal::SIGHUP);
+        assert_eq!(client.exchange(&request(&unique_id(), "iso", 3000)).await.unwrap().status, 200, "{nth}");
     }
-    site.reload(there).await;
-    // The first discovery stops answering, which must not matter: the other one is polled.
-    site.discovery.stop_answering();
-    let last = last_attempt_at_draining_backend(&site, &other).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
-    // The calls that were pending at the former addresses cost no response.
-    assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
+    harness.reload(there).await;
+    // The first discovery stops responding, which must not matter as the gateway polls the other one.
+    harness.discovery.stop_answering();
+    let last = last_attempt_at_draining_backend(&harness, &other).await;
+    assert!(last <= DRAIN_GRACE, "last attempt {last} s after the notification");
+    // Calls that were pending at the former addresses lose no response.
+    assert_eq!(client.exchange(&request(&unique_id(), "iso", 3000)).await.unwrap().status, 200);
 }
 
 #[tokio::test]
-async fn an_invalid_configuration_ends_the_program_at_its_start() {
-    let site = Site::start(1).await;
-    let valid = configuration(site.listen, site.discovery.address(), site.counter.address, 256);
+async fn the_program_exits_at_an_invalid_configuration() {
+    let harness = Harness::start(1).await;
+    let valid = configuration(harness.listen, harness.discovery.address(), harness.counter.address, 256);
     let dir = tempfile::tempdir().unwrap();
     let cases = [
         ("", "EOF"),
@@ -58,7 +60,7 @@
         (&valid.replace("at_most_once", "at_times"), "Effect"),
         (&valid.replace(r#""Slo":2.0"#, r#""Slo":-2.0"#), "aim"),
         (&valid.replace(r#""PeersTotal":1"#, r#""PeersTotal":0"#), "gateways"),
-        // Another process has the address.
+        // The address is already in use.
         (&valid, "cannot listen"),
     ];
     let started = cases.iter().enumerate().map(async |(nth, (text, reason))| {
@@ -69,12 +71,12 @@
             .env("NODE_CONFIG", &file)
             .kill_on_drop(true)
             .output();
-        let output = tokio::time::timeout(LIMIT, run).await.expect("it ends").unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(output.status.code().is_some_and(|code| code != 0), "{nth}: {:?} {said}", output.status);
-        assert!(said.contains(reason), "{nth}: {said}");
-        let named = *reason == "cannot listen" || said.contains(&file.display().to_string());
-        assert!(named || said.contains("settings"), "{nth}: the file is named: {said}");
+        let output = tokio::time::timeout(TEST_TIMEOUT, run).await.expect("the process exits").unwrap();
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(output.status.code().is_some_and(|code| code != 0), "{nth}: {:?} {log}", output.status);
+        assert!(log.contains(reason), "{nth}: {log}");
+        let named = *reason == "cannot listen" || log.contains(&file.display().to_string());
+        assert!(named || log.contains("settings"), "{nth}: the file is not named: {log}");
     });
     futures::future::join_all(started).await;
     let missing = std::process::Command::new(env!("CARGO_BIN_EXE_weirusher"))
@@ -85,37 +87,44 @@
     assert!(!missing.status.success() && String::from_utf8_lossy(&missing.stderr).contains("none"));
 }
 
-/// Guards against a reload that waits for its file in the thread that serves.
+/// Guards against a reload that reads its file on the thread that serves requests. Requests, later reloads and the
+/// shutdown must not wait for a read that hangs.
 #[tokio::test]
-async fn a_configuration_whose_reading_hangs_delays_no_request_no_later_reload_and_no_shutdown() {
-    let mut site = Site::start(2).await;
-    let valid = std::fs::read_to_string(&site.file).unwrap();
-    std::fs::remove_file(&site.file).unwrap();
-    // A pipe that nobody writes to: reading it does not end.
-    nix::unistd::mkfifo(&site.file, nix::sys::stat::Mode::S_IRWXU).unwrap();
-    site.signal(Signal::SIGHUP);
-    let mut client = site.client().await;
+async fn a_hanging_read_of_the_configuration_delays_nothing() {
+    let mut harness = Harness::start(2).await;
+    let valid = std::fs::read_to_string(&harness.file).unwrap();
+    std::fs::remove_file(&harness.file).unwrap();
+    // Reading a named pipe that has no writer blocks.
+    nix::unistd::mkfifo(&harness.file, nix::sys::stat::Mode::S_IRWXU).unwrap();
+    harness.signal(Signal::SIGHUP);
+    let mut client = harness.client().await;
     let mut exchange = async || {
-        let text = request(&id(), "iso", 3000);
+        let text = request(&unique_id(), "iso", 3000);
         let response = tokio::time::timeout(Duration::from_secs(3), client.exchange(&text)).await;
         assert_eq!(response.expect("in time").unwrap().status, 200);
     };
     for _ in 0..20 {
         exchange().await;
     }
-    // A later reload is followed: discovery moves.
-    let moved = DiscoveryAgent::start(ANY_PORT, 7, list(7, &[("s-0", site.backends[0].address, "SERVING")]));
+    // A later reload, which changes the address of discovery, is applied.
+    let moved = DiscoveryAgent::start(
+        ANY_PORT,
+        7,
+        endpoint_list(7, &[("s-0", harness.backends[0].address, "SERVING")]),
+    );
     let moved = moved.await.unwrap();
-    let text = valid.replace(&site.discovery.address().to_string(), &moved.address().to_string());
-    let other = site.file.with_extension("other");
+    let text = valid.replace(&harness.discovery.address().to_string(), &moved.address().to_string());
+    let other = harness.file.with_extension("other");
     std::fs::write(&other, text).unwrap();
-    std::fs::rename(&other, &site.file).unwrap();
-    site.signal(Signal::SIGHUP);
-    tokio::time::timeout(LIMIT, moved.wait_until_list_received(7)).await.expect("the reload is followed");
+    std::fs::rename(&other, &harness.file).unwrap();
+    harness.signal(Signal::SIGHUP);
+    tokio::time::timeout(TEST_TIMEOUT, moved.wait_until_list_received(7))
+        .await
+        .expect("the reload is applied");
     exchange().await;
-    site.signal(Signal::SIGTERM);
+    harness.signal(Signal::SIGTERM);
     let signalled = Instant::now();
     drop(client);
-    assert!(ended(&mut site.child).await.success());
+    assert!(wait_for_exit(&mut harness.child).await.success());
     assert!(signalled.elapsed() < Duration::from_secs(3), "{:?}", signalled.elapsed());
 }
--- a/crates/cli/tests/node/idle_connections.rs
+++ b/crates/cli/tests/node/idle_connections.rs
@@ -1,67 +1,71 @@
-//! Long idle times, and idle connections that backends or middleboxes end.
+//! Long idle times, and idle connections that backends close or middleboxes drop.
 
-use crate::platform::STOP_WITHIN;
+use crate::platform::DRAIN_GRACE;
 use crate::support::{
-    ANY_PORT, Client, ClientResponse, REUSE_PAUSE, Site, delayed_echo, echo, id,
-    last_attempt_at_draining_backend, request, store,
+    ANY_PORT, Client, ClientResponse, Harness, REUSE_PAUSE, delayed_echo, echo,
+    last_attempt_at_draining_backend, request, store_request, unique_id,
 };
 use nix::sys::signal::Signal;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 use weirusher_fakes::{Link, Reply, ScriptedServer};
 
-/// Longer than an idle client connection is kept.
+/// Longer than the idle time-out of client connections.
 const LONG_IDLE: Duration = Duration::from_millis(20_500);
-/// How late a response may be after its deadline.
+/// Time after its deadline within which a response may still arrive.
 const RESPONSE_SLACK: Duration = Duration::from_millis(500);
 
 #[tokio::test]
-async fn after_a_long_idle_time_all_is_as_before() {
-    let site = Site::start(2).await;
-    let mut old = site.client().await;
-    assert_eq!(old.exchange(&store(&id(), "x")).await.unwrap().status, 200);
+async fn requests_drains_and_shutdown_work_after_a_long_idle_time() {
+    let harness = Harness::start(2).await;
+    let mut old = harness.client().await;
+    assert_eq!(old.exchange(&store_request(&unique_id(), "x")).await.unwrap().status, 200);
     tokio::time::sleep(LONG_IDLE).await;
-    old.closed().await;
-    let mut client = site.client().await;
+    old.wait_for_close().await;
+    let mut client = harness.client().await;
     for _ in 0..4 {
-        assert_eq!(client.exchange(&store(&id(), "x")).await.unwrap().status, 200);
+        assert_eq!(client.exchange(&store_request(&unique_id(), "x")).await.unwrap().status, 200);
         tokio::time::sleep(REUSE_PAUSE).await;
     }
-    // A drain is respected, and a shutdown answers what is pending.
-    let last = last_attempt_at_draining_backend(&site, &site.discovery).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
-    site.backends[1].set_script(delayed_echo(200));
-    let (open, mut client) = (id(), site.client().await);
-    client.send(&store(&open, "x")).await;
-    while site.attempts(&open) == 0 {
+    // A drain is respected, and a shutdown answers pending requests.
+    let last = last_attempt_at_draining_backend(&harness, &harness.discovery).await;
+    assert!(last <= DRAIN_GRACE, "last attempt {last} s after the notification");
+    harness.backends[1].set_script(delayed_echo(200));
+    let (open, mut client) = (unique_id(), harness.client().await);
+    client.send(&store_request(&open, "x")).await;
+    while harness.attempts(&open) == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    site.signal(Signal::SIGTERM);
+    harness.signal(Signal::SIGTERM);
     assert_eq!(client.response().await.expect("a complete response").body, format!("done {open}"));
 }
 
 #[tokio::test]
-async fn idle_connections_that_their_backend_closes_or_resets_cost_no_request() {
+async fn idle_connections_closed_by_their_backend_fail_no_request() {
     for resets in [false, true] {
-        let site = Site::start(2).await;
-        site.backends.iter().for_each(|backend| {
+        let harness = Harness::start(2).await;
+        harness.backends.iter().for_each(|backend| {
             backend.set_script(move |request| match echo(request) {
                 Reply::Bytes(bytes) if resets => Reply::BytesThenReset(bytes),
                 Reply::Bytes(bytes) => Reply::BytesThenClose(bytes),
                 other => other,
             });
         });
-        let mut client = site.client().await;
+        let mut client = harness.client().await;
         for _ in 0..8 {
-            let id = id();
-            assert_eq!(client.exchange(&store(&id, "x")).await.unwrap().status, 200, "resets: {resets}");
-            assert_eq!(site.attempts(&id), 1);
+            let id = unique_id();
+            assert_eq!(
+                client.exchange(&store_request(&id, "x")).await.unwrap().status,
+                200,
+                "resets: {resets}"
+            );
+            assert_eq!(harness.attempts(&id), 1);
             tokio::time::sleep(REUSE_PAUSE).await;
         }
     }
 }
 
-/// Sends a request and returns its status; its response must be in time.
+/// Sends a request and returns the status of its response, which must arrive in time.
 async fn status_in_time(client: &mut Client, text: &str, deadline: Duration) -> u16 {
     let sent = Instant::now();
     let ClientResponse { status, .. } = client.exchange(text).await.expect("a complete response");
@@ -69,8 +73,10 @@
     status
 }
 
+/// A middlebox drops all packets of established connections. Each connection fails one attempt at most, and every
+/// request gets a response in time.
 #[tokio::test]
-async fn idle_connections_that_a_middlebox_drops_cost_one_attempt_each_and_no_response() {
+async fn idle_connections_dropped_by_a_middlebox_fail_one_attempt_each() {
     const DEADLINE: Duration = Duration::from_secs(3);
     for is_unsafe in [false, true] {
         let mut backends = Vec::new();
@@ -80,26 +86,26 @@
             backends.push((backend, link));
         }
         let listed = [("s-0", backends[0].1.address), ("s-1", backends[1].1.address)];
-        let site = Site::with(0, 256, &listed).await;
-        let text = |id: &str| if is_unsafe { store(id, "x") } else { request(id, "iso", 3000) };
-        let together = async |many: usize| {
-            let ask = async |_| {
-                let (id, mut client) = (id(), site.client().await);
+        let harness = Harness::start_with(0, 256, &listed).await;
+        let text = |id: &str| if is_unsafe { store_request(id, "x") } else { request(id, "iso", 3000) };
+        let send_concurrently = async |count: usize| {
+            let send = async |_| {
+                let (id, mut client) = (unique_id(), harness.client().await);
                 (status_in_time(&mut client, &text(&id), DEADLINE).await, id)
             };
-            futures::future::join_all((0..many).map(ask)).await
+            futures::future::join_all((0..count).map(send)).await
         };
         let statuses =
             |answers: &[(u16, String)]| answers.iter().map(|(status, _)| *status).collect::<Vec<_>>();
-        assert_eq!(statuses(&together(1).await), [200]);
-        assert_eq!(statuses(&together(2).await), [200; 2]);
+        assert_eq!(statuses(&send_concurrently(1).await), [200]);
+        assert_eq!(statuses(&send_concurrently(2).await), [200; 2]);
         tokio::time::sleep(REUSE_PAUSE).await;
         let pooled: u64 = backends.iter().map(|(backend, _)| backend.connections()).sum();
         backends.iter().for_each(|(_, link)| link.blackhole());
-        // Each dropped connection costs one attempt at most; a new one serves.
+        // Each dropped connection fails one attempt at most; a new connection works.
         let mut failed = 0;
         while failed <= pooled {
-            let answers = together(1).await;
+            let answers = send_concurrently(1).await;
             if statuses(&answers) == [200] {
                 break;
             }
@@ -109,7 +115,7 @@
         tokio::time::sleep(REUSE_PAUSE).await;
         let mut later = 0;
         for _ in 0..pooled + 4 {
-            later += u64::from(statuses(&together(1).await) != [200]);
+            later += u64::from(statuses(&send_concurrently(1).await) != [200]);
         }
         assert!(failed + later <= pooled, "{failed} and {later} requests failed behind {pooled} connections");
         let received: Vec<_> = backends.iter().flat_map(|(backend, _)| backend.received()).collect();
--- a/crates/cli/tests/node/main.rs
+++ b/crates/cli/tests/node/main.rs
@@ -1,4 +1,5 @@
-//! The gateway on the platform as a process between scripted servers; judged from what passed on the sockets.
+//! Black-box tests of `weirusher node`: the gateway runs as a process, with scripted backends, counter and discovery,
+//! and is judged by what passes on its sockets.
 
 #[path = "../support/log_sink.rs"]
 mod log_sink;
--- a/crates/cli/tests/node/resource_limits.rs
+++ b/crates/cli/tests/node/resource_limits.rs
@@ -1,7 +1,8 @@
-//! Limits of the platform: descriptors, one process, the program that the deploy file starts.
+//! Limits of the platform: file descriptors, a single process, kinds of sockets, and the program that the deploy file
+//! starts.
 
-use crate::platform::STOP_WITHIN;
-use crate::support::{Client, Site, delayed_echo, id, last_attempt_at_draining_backend, request};
+use crate::platform::DRAIN_GRACE;
+use crate::support::{Client, Harness, delayed_echo, last_attempt_at_draining_backend, request, unique_id};
 use object::Endianness;
 use object::elf::DT_NEEDED;
 use object::read::elf::{Dyn, ElfFile64, ProgramHeader};
@@ -11,26 +12,29 @@
 use std::time::{Duration, Instant};
 
 #[tokio::test]
-async fn at_the_connection_limit_silent_connections_are_closed_and_requests_are_served() {
-    let site = Site::with(1, 64, &[]).await;
+async fn at_the_connection_limit_silent_connections_are_closed() {
+    let harness = Harness::start_with(1, 64, &[]).await;
     let mut silent = Vec::new();
     for _ in 0..60 {
-        silent.push(site.client().await);
+        silent.push(harness.client().await);
     }
-    assert_eq!(site.client().await.exchange(&request(&id(), "iso", 10_000)).await.unwrap().status, 200);
+    assert_eq!(
+        harness.client().await.exchange(&request(&unique_id(), "iso", 10_000)).await.unwrap().status,
+        200
+    );
 }
 
-/// Clients that send one request and keep their connections, more than there are descriptors: each gets its response in
-/// time.
-async fn idle_clients(site: &Site, many: usize) -> Vec<Client> {
+/// Opens `count` connections one after another, each of which sends one request, gets its response in time, and stays
+/// open. There may be more of them than descriptors.
+async fn idle_clients(harness: &Harness, count: usize) -> Vec<Client> {
     let deadline = Duration::from_millis(1500);
     let mut idle = Vec::new();
-    for nth in 0..many {
-        let mut client = site.client().await;
-        let text = request(&id(), "iso", deadline.as_millis() as u64);
+    for nth in 0..count {
+        let mut client = harness.client().await;
+        let text = request(&unique_id(), "iso", deadline.as_millis() as u64);
         let answer = tokio::time::timeout(deadline, client.exchange(&text)).await;
         assert_eq!(
-            answer.unwrap_or_else(|_| panic!("client {nth} waits past its time")).unwrap().status,
+            answer.unwrap_or_else(|_| panic!("client {nth} has no response at its deadline")).unwrap().status,
             200
         );
         idle.push(client);
@@ -39,47 +43,48 @@
 }
 
 #[tokio::test]
-async fn idle_clients_at_the_descriptor_limit_do_not_keep_lists_from_being_read() {
-    let site = Site::with(2, 64, &[]).await;
-    site.discovery.stop_answering();
-    let idle = idle_clients(&site, 34).await;
-    // There are descriptors for the polls that are sent again, and for requests meanwhile.
-    let last = last_attempt_at_draining_backend(&site, &site.discovery).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
+async fn lists_are_read_while_idle_clients_use_all_descriptors() {
+    let harness = Harness::start_with(2, 64, &[]).await;
+    harness.discovery.stop_answering();
+    let idle = idle_clients(&harness, 34).await;
+    // Descriptors are left for polls that are retried, and for requests meanwhile.
+    let last = last_attempt_at_draining_backend(&harness, &harness.discovery).await;
+    assert!(last <= DRAIN_GRACE, "last attempt {last} s after the notification");
     assert_eq!(idle.len(), 34);
 }
 
+/// With idle clients, and a discovery that does not respond.
 #[tokio::test]
-async fn at_a_very_small_descriptor_limit_idle_clients_and_a_silent_discovery_stay_within_it() {
+async fn a_very_small_descriptor_limit_is_not_exceeded() {
     let limit = 32;
-    let site = Site::with(2, limit, &[]).await;
-    let process = Process::new(site.child.id() as i32).unwrap();
-    let taken = || process.fd_count().unwrap();
-    site.discovery.stop_answering();
+    let harness = Harness::start_with(2, limit, &[]).await;
+    let process = Process::new(harness.child.id() as i32).unwrap();
+    let used = || process.fd_count().unwrap();
+    harness.discovery.stop_answering();
     let mut idle = Vec::new();
     for _ in 0..4 {
-        idle.extend(idle_clients(&site, 4).await);
-        assert!(taken() <= limit, "{} of {limit}", taken());
+        idle.extend(idle_clients(&harness, 4).await);
+        assert!(used() <= limit, "{} of {limit}", used());
     }
-    let last = last_attempt_at_draining_backend(&site, &site.discovery).await;
-    assert!(last <= STOP_WITHIN, "{last} s after it was notified");
-    assert!(taken() <= limit, "{} of {limit}", taken());
+    let last = last_attempt_at_draining_backend(&harness, &harness.discovery).await;
+    assert!(last <= DRAIN_GRACE, "last attempt {last} s after the notification");
+    assert!(used() <= limit, "{} of {limit}", used());
 }
 
 /// The sockets of a process, by their inodes.
 struct Sockets {
     tcp_ipv4: HashSet<u64>,
-    /// Neither TCP over IPv4 nor an unnamed pair.
+    /// Neither TCP over IPv4 nor an unnamed socket pair.
     unlisted: HashSet<u64>,
 }
 
 impl Sockets {
-    /// Reads them from the system's tables. Fails at a socket of a kind that the platform does not have.
+    /// Reads them from /proc. Panics at a kind of socket that the platform does not provide.
     fn of(process: &Process) -> Self {
         let mut open = HashSet::new();
         for fd in process.fd().unwrap() {
             let fd = match fd {
-                Err(ProcError::NotFound(_)) => continue, // Closed as it was read.
+                Err(ProcError::NotFound(_)) => continue, // Closed while the list was read.
                 read => read.unwrap(),
             };
             match fd.target {
@@ -96,10 +101,10 @@
             process.unix().unwrap().into_iter().partition(|entry| entry.path.is_some());
         let refused: HashSet<u64> =
             tcp6.chain(udp).chain(udp6).chain(named.into_iter().map(|entry| entry.inode)).collect();
-        // Tables hold inode 0 for connections that no process has any more.
+        // The tables show inode 0 for connections that no longer belong to a process.
         let foreign: Vec<_> = open.intersection(&refused).collect();
-        assert!(foreign.is_empty(), "neither TCP over IPv4 nor a pair: {foreign:?}");
-        // The signal handler wakes its reader by an unnamed socket pair, which nobody can connect to.
+        assert!(foreign.is_empty(), "neither TCP over IPv4 nor a socket pair: {foreign:?}");
+        // tokio's signal handler uses an unnamed socket pair, which nobody can connect to.
         let pairs: HashSet<u64> = pairs.into_iter().map(|entry| entry.inode).collect();
         let tcp_ipv4: HashSet<u64> = open.intersection(&tcp).copied().collect();
         let unlisted =
@@ -109,36 +114,37 @@
 }
 
 #[tokio::test]
-async fn under_load_it_is_one_process_whose_sockets_are_tcp_over_ipv4() {
-    let site = Site::start(2).await;
-    site.backends[0].set_script(delayed_echo(300));
-    site.backends[1].set_script(delayed_echo(300));
-    let (id, mut client) = (id(), site.client().await);
+async fn the_gateway_is_one_process_with_tcp_over_ipv4_only() {
+    let harness = Harness::start(2).await;
+    harness.backends[0].set_script(delayed_echo(300));
+    harness.backends[1].set_script(delayed_echo(300));
+    let (id, mut client) = (unique_id(), harness.client().await);
     client.send(&request(&id, "iso", 3000)).await;
-    while site.attempts(&id) == 0 || site.counter.connections() == 0 {
+    while harness.attempts(&id) == 0 || harness.counter.connections() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    let process = Process::new(site.child.id() as i32).unwrap();
+    let process = Process::new(harness.child.id() as i32).unwrap();
     let children: Vec<u32> =
         process.tasks().unwrap().flat_map(|task| task.unwrap().children().unwrap()).collect();
     assert!(children.is_empty(), "{children:?}");
     let mut sockets = Sockets::of(&process);
     let over_ipv4 = sockets.tcp_ipv4.len();
-    // A socket that is being made, or was reset a moment ago, is in no table; one of another kind stays.
+    // A socket that is being created or was just reset is in no table for a moment; one of another kind stays unlisted.
     let deadline = Instant::now() + Duration::from_secs(1);
     let mut unlisted = sockets.unlisted;
     while !unlisted.is_empty() {
-        assert!(Instant::now() < deadline, "neither TCP over IPv4 nor a pair: {unlisted:?}");
+        assert!(Instant::now() < deadline, "neither TCP over IPv4 nor a socket pair: {unlisted:?}");
         tokio::time::sleep(Duration::from_millis(5)).await;
         sockets = Sockets::of(&process);
         unlisted.retain(|inode| sockets.unlisted.contains(inode));
     }
-    assert!(over_ipv4 >= 5, "listener, front, backend, counter, discovery: {over_ipv4}");
+    assert!(over_ipv4 >= 5, "listener, client, backend, counter, discovery: {over_ipv4}");
     assert_eq!(client.response().await.unwrap().body, format!("done {id}"));
 }
 
+/// It is a single program that is linked dynamically against the C library, which the fault shim needs for LD_PRELOAD.
 #[test]
-fn the_deploy_file_ends_in_one_program_linked_dynamically_against_the_c_library() {
+fn the_deploy_file_starts_a_dynamically_linked_program() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
     let deploy: toml::Table = deploy.parse().unwrap();
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -1,6 +1,6 @@
-//! A gateway as a process between scripted servers, and its clients.
+//! The test harness: a gateway process with scripted backends, counter and discovery, and clients that talk to it.
 
-use crate::platform::{STOP_WITHIN, configuration};
+use crate::platform::{DRAIN_GRACE, configuration};
 use serde_json::json;
 use std::ffi::OsString;
 use std::io::ErrorKind;
@@ -16,23 +16,24 @@
 use weirusher_wire::http1::Request;
 
 pub const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Longer than a connection to a backend pauses after a response before it is used again.
+/// Longer than the time after a response for which the gateway does not reuse a connection to a backend.
 pub const REUSE_PAUSE: Duration = Duration::from_millis(40);
-/// Limit for what must happen.
-pub const LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for conditions that a test waits for.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The readiness check.
-pub const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+/// A readiness check.
+pub const READINESS_CHECK: &str = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// An address of the loopback network that no other site has, in this process or another, and any port.
+/// An address in 127.0.0.0/8 that no other harness uses, in this process or another one, with port 0.
 pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let site = NEXT.fetch_add(1, Ordering::Relaxed) as u8;
-    SocketAddr::from(([127, high.max(1), low, site], 0))
+    let number = NEXT.fetch_add(1, Ordering::Relaxed) as u8;
+    SocketAddr::from(([127, high.max(1), low, number], 0))
 }
 
-pub struct Site {
+/// A gateway process and the servers that it talks to. Dropping it kills the process.
+pub struct Harness {
     pub child: Child,
     pub listen: SocketAddr,
     pub backends: Vec<ScriptedServer>,
@@ -42,33 +43,33 @@
     _dir: tempfile::TempDir,
 }
 
-/// How the gateway's process is started.
-struct Launch<'a> {
+/// Options for starting the gateway process.
+struct LaunchOptions<'a> {
     environment: &'a [(&'a str, OsString)],
-    /// Start times of the backends in the first list.
-    starts: &'a [i64],
+    /// Start times of the backends in the first endpoint list, in Unix milliseconds.
+    start_times: &'a [i64],
     stderr: Stdio,
 }
 
-impl Default for Launch<'_> {
+impl Default for LaunchOptions<'_> {
     fn default() -> Self {
-        Self { environment: &[], starts: &[], stderr: Stdio::inherit() }
+        Self { environment: &[], start_times: &[], stderr: Stdio::inherit() }
     }
 }
 
-impl Drop for Site {
+impl Drop for Harness {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // It may have ended already.
+        let _ = self.child.kill(); // It may have exited already.
         let _ = self.child.wait();
     }
 }
 
-/// A backend's usual response: the id of the request, so that a mix-up shows.
+/// The default response of a backend. It contains the id of the request, so that tests notice mixed-up responses.
 pub fn echo(request: &Request) -> Reply {
     Reply::ok(&format!("done {}", request.headers.get("x-trace-id").unwrap_or("")))
 }
 
-/// The usual response after a delay.
+/// The default response after a delay.
 pub fn delayed_echo(millis: u64) -> impl Fn(&Request) -> Reply + Send + Sync + 'static {
     move |request| match echo(request) {
         Reply::Bytes(bytes) => Reply::Delayed(Duration::from_millis(millis), bytes),
@@ -76,7 +77,8 @@
     }
 }
 
-pub fn list(index: u64, backends: &[(&str, SocketAddr, &str)]) -> String {
+/// An endpoint list in discovery's JSON form, as version `index`, of backends given as name, address and status.
+pub fn endpoint_list(index: u64, backends: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |(name, address, status): &(&str, SocketAddr, &str)| {
         json!({"name": name, "address": address, "zone": "a", "type": "m", "group": 0, "status": status,
             "weight": 1.0, "since_ms": 0})
@@ -85,72 +87,78 @@
         .to_string()
 }
 
-/// The list with the start times of its backends, in order, in Unix milliseconds.
-pub fn with_starts(list: &str, starts: &[i64]) -> String {
+/// The endpoint list with the given start times of its backends, in order, in Unix milliseconds.
+pub fn with_start_times(list: &str, start_times: &[i64]) -> String {
     let mut list: serde_json::Value = serde_json::from_str(list).unwrap();
-    for (entry, start) in list["endpoints"].as_array_mut().unwrap().iter_mut().zip(starts) {
+    for (entry, start) in list["endpoints"].as_array_mut().unwrap().iter_mut().zip(start_times) {
         entry["since_ms"] = (*start).into();
     }
     list.to_string()
 }
 
-impl Site {
+impl Harness {
+    /// Starts a gateway with `backends` scripted backends, and waits until it is ready.
     pub async fn start(backends: usize) -> Self {
-        Self::with(backends, 256, &[]).await
+        Self::start_with(backends, 256, &[]).await
     }
 
-    /// A site of `backends` scripted backends, and others that listen elsewhere.
-    pub async fn with(backends: usize, sockets: usize, others: &[(&str, SocketAddr)]) -> Self {
-        Self::configured(backends, sockets, others, |text| text).await
+    /// Starts a gateway with `backends` scripted backends; `others` are listed too, by name and address.
+    pub async fn start_with(backends: usize, sockets: usize, others: &[(&str, SocketAddr)]) -> Self {
+        Self::start_with_config(backends, sockets, others, |text| text).await
     }
 
-    /// A site whose configuration is changed before the gateway starts.
-    pub async fn configured(
+    /// The same, with a change to the configuration before the gateway starts.
+    pub async fn start_with_config(
         backends: usize,
         sockets: usize,
         others: &[(&str, SocketAddr)],
         change: impl FnOnce(String) -> String,
     ) -> Self {
-        let site = Self::start_unready(backends, sockets, others, change).await;
-        site.ready().await;
-        site
+        let harness = Self::start_unready(backends, sockets, others, change).await;
+        harness.wait_until_ready().await;
+        harness
     }
 
-    /// A site whose gateway has its clock and system calls under a shim.
-    pub async fn with_shim(backends: usize, shim: &FaultShim, change: impl FnOnce(String) -> String) -> Self {
-        Self::with_shim_and_starts(backends, shim, &[], change).await
+    /// Starts a gateway whose clock and system calls are intercepted by `shim`.
+    pub async fn start_with_shim(
+        backends: usize,
+        shim: &FaultShim,
+        change: impl FnOnce(String) -> String,
+    ) -> Self {
+        Self::start_with_shim_and_times(backends, shim, &[], change).await
     }
 
-    /// The same, with the start times of the backends in the first list.
-    pub async fn with_shim_and_starts(
+    /// The same, with start times of the backends in the first endpoint list.
+    pub async fn start_with_shim_and_times(
         backends: usize,
         shim: &FaultShim,
-        starts: &[i64],
+        start_times: &[i64],
         change: impl FnOnce(String) -> String,
     ) -> Self {
-        let launch = Launch { environment: &shim.environment(), starts, ..Launch::default() };
-        let site = Self::spawn(backends, 256, &[], change, launch).await;
-        site.ready().await;
-        site
+        let options =
+            LaunchOptions { environment: &shim.environment(), start_times, ..LaunchOptions::default() };
+        let harness = Self::spawn(backends, 256, &[], change, options).await;
+        harness.wait_until_ready().await;
+        harness
     }
 
-    /// A site whose gateway logs to `stderr` what passes `filter`.
-    pub async fn with_log(backends: usize, filter: &str, stderr: Stdio) -> Self {
+    /// Starts a gateway that logs to `stderr`, with `filter` as RUST_LOG.
+    pub async fn start_with_log(backends: usize, filter: &str, stderr: Stdio) -> Self {
         let environment = [("RUST_LOG", OsString::from(filter))];
-        let launch = Launch { environment: &environment, stderr, ..Launch::default() };
-        let site = Self::spawn(backends, 256, &[], |text| text, launch).await;
-        site.ready().await;
-        site
+        let options = LaunchOptions { environment: &environment, stderr, ..LaunchOptions::default() };
+        let harness = Self::spawn(backends, 256, &[], |text| text, options).await;
+        harness.wait_until_ready().await;
+        harness
     }
 
-    /// The same without waiting until the gateway is ready.
+    /// Starts a gateway without waiting until it is ready.
     pub async fn start_unready(
         backends: usize,
         sockets: usize,
         others: &[(&str, SocketAddr)],
         change: impl FnOnce(String) -> String,
     ) -> Self {
-        Self::spawn(backends, sockets, others, change, Launch::default()).await
+        Self::spawn(backends, sockets, others, change, LaunchOptions::default()).await
     }
 
     async fn spawn(
@@ -158,20 +166,25 @@
         sockets: usize,
         others: &[(&str, SocketAddr)],
         change: impl FnOnce(String) -> String,
-        launch: Launch<'_>,
+        options: LaunchOptions<'_>,
     ) -> Self {
-        let mut started = Vec::new();
+        let mut servers = Vec::new();
         for _ in 0..backends {
-            started.push(ScriptedServer::start(ANY_PORT, echo).await.unwrap());
+            servers.push(ScriptedServer::start(ANY_PORT, echo).await.unwrap());
         }
         let names: Vec<String> = (0..backends).map(|n| format!("s-{n}")).collect();
-        let own = names.iter().map(String::as_str).zip(started.iter().map(|w| w.address));
+        let own = names.iter().map(String::as_str).zip(servers.iter().map(|server| server.address));
         let entries: Vec<_> =
             own.chain(others.iter().copied()).map(|(name, address)| (name, address, "SERVING")).collect();
-        let discovery =
-            DiscoveryAgent::start(ANY_PORT, 2, with_starts(&list(2, &entries), launch.starts)).await.unwrap();
+        let discovery = DiscoveryAgent::start(
+            ANY_PORT,
+            2,
+            with_start_times(&endpoint_list(2, &entries), options.start_times),
+        )
+        .await
+        .unwrap();
         let counter = ScriptedServer::start(ANY_PORT, counting()).await.unwrap();
-        // A free port of an address that only this site has: nobody else binds there.
+        // The port is free again once the listener is dropped; no other process binds to this address.
         let listen = tokio::net::TcpListener::bind(unique_address()).await.unwrap().local_addr().unwrap();
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("config.json");
@@ -182,16 +195,16 @@
             .arg("node")
             .env("NODE_CONFIG", &file)
             .env("RUST_LOG", std::env::var("NODE_LOG").unwrap_or_else(|_| "warn".into()))
-            .envs(launch.environment.iter().cloned())
+            .envs(options.environment.iter().cloned())
             .stdout(Stdio::null())
-            .stderr(launch.stderr)
+            .stderr(options.stderr)
             .spawn()
             .unwrap();
-        Self { child, listen, backends: started, counter, discovery, file, _dir: dir }
+        Self { child, listen, backends: servers, counter, discovery, file, _dir: dir }
     }
 
-    /// A gateway without a known list whose discovery does not answer; it is not ready.
-    pub async fn without_a_list() -> (Self, ScriptedServer) {
+    /// Starts a gateway that is not ready: its configuration has no endpoint list and its discovery does not respond.
+    pub async fn start_without_list() -> (Self, ScriptedServer) {
         let silent = ScriptedServer::start(ANY_PORT, |_| Reply::NoReply).await.unwrap();
         let change = |text: String| {
             let mut config: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -202,9 +215,9 @@
         (Self::start_unready(1, 256, &[], change).await, silent)
     }
 
-    /// Waits until the gateway is ready and has its first list.
-    pub async fn ready(&self) {
-        let ready = async {
+    /// Waits until the gateway is ready and has its first list from discovery.
+    pub async fn wait_until_ready(&self) {
+        let is_ready = async {
             loop {
                 let mut client = match TcpStream::connect(self.listen).await {
                     Ok(stream) => Client(stream),
@@ -215,13 +228,13 @@
                     Err(error) => panic!("{error}"),
                 };
                 client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await;
-                // Its first list may not have arrived yet.
+                // The gateway is ready with its configured list, before discovery's first list has arrived.
                 if client.response().await.unwrap().status == 200 && !self.discovery.received().is_empty() {
                     return;
                 }
             }
         };
-        tokio::time::timeout(LIMIT, ready).await.unwrap();
+        tokio::time::timeout(TEST_TIMEOUT, is_ready).await.unwrap();
         self.discovery.wait_until_list_received(2).await;
     }
 
@@ -234,39 +247,40 @@
         nix::sys::signal::kill(id, signal).unwrap();
     }
 
-    /// Waits until the process is suspended.
-    pub async fn suspended(&self) {
+    /// Waits until the process is stopped by SIGSTOP.
+    pub async fn wait_until_suspended(&self) {
         let process = procfs::process::Process::new(self.child.id() as i32).unwrap();
         while process.stat().unwrap().state != 'T' {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Reloads the configuration. When this returns it was read; it may not be applied yet.
+    /// Reloads the configuration. On return the gateway has read the file, but may not have applied it yet.
     pub async fn reload(&self, text: String) {
-        // A named pipe: the write ends once the gateway has read it.
+        // The write to a named pipe completes only when the gateway reads it.
         std::fs::remove_file(&self.file).unwrap();
         nix::unistd::mkfifo(&self.file, nix::sys::stat::Mode::S_IRWXU).unwrap();
         self.signal(nix::sys::signal::Signal::SIGHUP);
         let file = self.file.clone();
         let written = tokio::task::spawn_blocking(move || std::fs::write(file, text).unwrap());
-        tokio::time::timeout(LIMIT, written).await.expect("it is read").unwrap();
+        tokio::time::timeout(TEST_TIMEOUT, written).await.expect("the configuration is read").unwrap();
     }
 
-    /// Attempts of the request with this id that backends received.
+    /// Number of attempts of the request with this id that the backends have received.
     pub fn attempts(&self, id: &str) -> usize {
         let received = self.backends.iter().flat_map(ScriptedServer::received);
         received.filter(|received| received.request.headers.get("x-trace-id") == Some(id)).count()
     }
 }
 
+/// A client's connection to the gateway.
 pub struct Client(pub TcpStream);
 
-/// A response as a client reads it.
+/// A response as received by a client.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ClientResponse {
     pub status: u16,
-    /// In lower case.
+    /// Status line and headers, in lower case.
     pub head: String,
     pub body: String,
 }
@@ -276,36 +290,38 @@
         self.0.write_all(bytes.as_bytes()).await.unwrap();
     }
 
-    /// The next complete response; `None`: the connection ended without one.
+    /// Reads the next complete response; `None` if the connection ends before it.
     pub async fn response(&mut self) -> Option<ClientResponse> {
         let mut bytes = Vec::new();
         let read = async {
             loop {
-                if let Some(answer) = parse_response(&bytes) {
-                    return Some(answer);
+                if let Some(response) = parse_response(&bytes) {
+                    return Some(response);
                 }
                 let mut part = [0; 4096];
                 match self.0.read(&mut part).await {
-                    Ok(many @ 1..) => bytes.extend_from_slice(&part[..many]),
+                    Ok(length @ 1..) => bytes.extend_from_slice(&part[..length]),
                     _ => return None,
                 }
             }
         };
-        tokio::time::timeout(LIMIT, read).await.expect("a response or an end")
+        tokio::time::timeout(TEST_TIMEOUT, read).await.expect("a response or the end of the connection")
     }
 
+    /// Sends a request and reads its response.
     pub async fn exchange(&mut self, request: &str) -> Option<ClientResponse> {
         self.send(request).await;
         self.response().await
     }
 
-    /// Waits until the gateway closes the connection, whatever it sends before.
-    pub async fn closed(&mut self) {
+    /// Discards what the gateway sends until it closes the connection.
+    pub async fn wait_for_close(&mut self) {
         let end = async { while matches!(self.0.read(&mut [0; 4096]).await, Ok(1..)) {} };
-        tokio::time::timeout(LIMIT, end).await.expect("a close");
+        tokio::time::timeout(TEST_TIMEOUT, end).await.expect("the gateway closes the connection");
     }
 }
 
+/// Parses a response; `None` if it is incomplete.
 pub fn parse_response(bytes: &[u8]) -> Option<ClientResponse> {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -319,11 +335,13 @@
     })
 }
 
-pub fn id() -> String {
+/// A request id that is unique in this process.
+pub fn unique_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
+/// An idempotent request (class `check`) of a customer with this plan.
 pub fn request(id: &str, plan: &str, deadline_ms: u64) -> String {
     format!(
         "GET /api/00000000b4d65521?a=b HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {id}\r\nX-Qos: check\r\n\
@@ -331,7 +349,8 @@
     )
 }
 
-pub fn store(id: &str, body: &str) -> String {
+/// A request that is not idempotent (class `store`), with a deadline of 3 s.
+pub fn store_request(id: &str, body: &str) -> String {
     format!(
         "POST /api/00000000b4d65521 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {id}\r\nX-Qos: store\r\n\
          Plan: iso\r\nX-Expires-In: 3000m\r\nQuota-Info: units=1,spread=1,first=0\r\nContent-Length: {}\r\n\r\n{body}",
@@ -339,7 +358,7 @@
     )
 }
 
-/// A backend whose connections come up late: its backlog is full. Dropping the streams makes room.
+/// A listener with a full accept backlog, so that connections to it are not established until the streams are dropped.
 pub fn slow_to_connect_backend() -> (tokio::net::TcpListener, Vec<std::net::TcpStream>) {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind(unique_address()).unwrap();
@@ -348,22 +367,23 @@
     let brief = Duration::from_millis(200);
     let connect = || std::net::TcpStream::connect_timeout(&address, brief);
     let waiting: Vec<_> = std::iter::from_fn(|| connect().ok()).take(16).collect();
-    assert!(waiting.len() < 16, "its backlog has an end");
+    assert!(waiting.len() < 16, "the accept backlog is limited");
     (listener, waiting)
 }
 
-/// Sends requests while the agent notifies that `s-0` drains; seconds from the notification until the last attempt at it.
-pub async fn last_attempt_at_draining_backend(site: &Site, agent: &DiscoveryAgent) -> f64 {
-    let serving: Vec<_> = site.backends.iter().map(|backend| backend.address).collect();
-    agent.set_list(3, list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
+/// Sends requests while `agent` notifies the gateway that `s-0` drains. Returns the seconds from the notification to
+/// the last attempt at `s-0`.
+pub async fn last_attempt_at_draining_backend(harness: &Harness, agent: &DiscoveryAgent) -> f64 {
+    let serving: Vec<_> = harness.backends.iter().map(|backend| backend.address).collect();
+    agent.set_list(3, endpoint_list(3, &[("s-0", serving[0], "DRAINING"), ("s-1", serving[1], "SERVING")]));
     agent.resume_answering();
     let notified = std::time::Instant::now();
-    let mut client = site.client().await;
-    while notified.elapsed().as_secs_f64() < 3.5 * STOP_WITHIN {
-        assert_eq!(client.exchange(&request(&id(), "iso", 3000)).await.unwrap().status, 200);
+    let mut client = harness.client().await;
+    while notified.elapsed().as_secs_f64() < 3.5 * DRAIN_GRACE {
+        assert_eq!(client.exchange(&request(&unique_id(), "iso", 3000)).await.unwrap().status, 200);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    site.backends[0]
+    harness.backends[0]
         .received()
         .last()
         .map_or(0.0, |last| last.received_at.saturating_duration_since(notified).as_secs_f64())
--- a/crates/cli/tests/scenarios.rs
+++ b/crates/cli/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios that are shipped in days/, run with real processes; two at a time, so that they do not starve each other.
+//! Runs the shipped scenarios in days/ with real processes. Two run at a time, so that they do not starve each other.
 
 #[path = "support/command.rs"]
 mod command;
@@ -6,16 +6,17 @@
 use command::{start_listening, weirusher};
 use std::sync::{Condvar, Mutex};
 
-/// Scenarios that may run at once.
-const MAX_RUNNING: usize = 2;
+/// Number of scenarios that may run at the same time.
+const MAX_CONCURRENT: usize = 2;
 
-/// Scenarios that run at this moment.
+/// Number of scenarios that are running.
 static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
+/// Runs a scenario, which must violate no rule.
 fn run_scenario(name: &str) {
     {
         let (running, changed) = &RUNNING;
-        let mut running = changed.wait_while(running.lock().unwrap(), |n| *n >= MAX_RUNNING).unwrap();
+        let mut running = changed.wait_while(running.lock().unwrap(), |n| *n >= MAX_CONCURRENT).unwrap();
         *running += 1;
     }
     let output = weirusher(&["scenario", &format!("days/{name}.toml")]);
@@ -34,14 +35,14 @@
 scenarios!(quiet, answers, effects, drains, cold, ceilings, fleet_cut, fleet_die, fleet_pause, fleet_ring);
 
 #[test]
-fn a_fleet_without_load_prints_its_addresses_and_ends_with_its_input() {
+fn a_fleet_without_load_runs_until_its_input_ends() {
     let (mut fleet, addresses) = start_listening(&["scenario", "days/quiet.toml", "--no-load"]);
     for (kind, count) in [("ext_authz", 3), ("access_log", 3), ("counter", 1), ("checkers", 6), ("admin", 3)]
     {
         assert_eq!(addresses[kind].as_array().map(Vec::len), Some(count), "{kind}");
     }
     assert_eq!(addresses["customers"]["small"][0], "small-0");
-    // A load generator outside it serves its customers.
+    // A separate load generator sends requests of the scenario's customers.
     let first = addresses["ext_authz"][0].as_str().unwrap();
     let load = ["--gateway", first, "--prefix", "small-", "--rate", "20", "--seconds", "2"];
     let output = weirusher(&[&["fake", "load-generator"], &load[..]].concat());
--- a/crates/cli/tests/support/gateway_file.rs
+++ b/crates/cli/tests/support/gateway_file.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-/// A configuration file in `dir`: the gateway of deploy/, at any free ports.
+/// Writes a configuration file into `dir`: deploy/gatekeeper.toml, with any free ports and without an endpoint cache.
 pub fn gateway_file(dir: &Path) -> PathBuf {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/gatekeeper.toml");
     let text = std::fs::read_to_string(deploy).unwrap();
--- a/crates/cli/tests/support/log_sink.rs
+++ b/crates/cli/tests/support/log_sink.rs
@@ -1,28 +1,28 @@
-//! Sinks for a process's log that do not take its lines.
+//! Standard error streams that block or fail when a process writes its log to them.
 
 use nix::fcntl::{FcntlArg, fcntl};
 use std::fs::OpenOptions;
 use std::io::PipeReader;
 use std::process::Stdio;
 
-/// Bytes of the smallest pipe.
-const PIPE_BYTES: i32 = 4096;
+/// Capacity of the smallest pipe that Linux provides, in bytes.
+const MIN_PIPE_BYTES: i32 = 4096;
 
-/// A pipe that is full after some lines. Nobody reads it as long as the reader is not used.
+/// A pipe that is full after a few lines, unless the test reads from the reader.
 pub fn unread_pipe() -> (PipeReader, Stdio) {
     let (reader, writer) = std::io::pipe().unwrap();
-    fcntl(&writer, FcntlArg::F_SETPIPE_SZ(PIPE_BYTES)).unwrap();
+    fcntl(&writer, FcntlArg::F_SETPIPE_SZ(MIN_PIPE_BYTES)).unwrap();
     (reader, writer.into())
 }
 
-/// A pipe whose reader has gone.
+/// A pipe whose reading end is closed: writes fail with EPIPE.
 pub fn broken_pipe() -> Stdio {
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
     writer.into()
 }
 
-/// A device without space.
+/// A device without space: writes fail with ENOSPC.
 pub fn full_device() -> Stdio {
     OpenOptions::new().write(true).open("/dev/full").unwrap().into()
 }
--- a/crates/cli/tests/support/platform.rs
+++ b/crates/cli/tests/support/platform.rs
@@ -1,14 +1,14 @@
-//! Configurations of the platform that tests start from.
+//! The platform configuration that tests start from.
 
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// Seconds after a drain was notified within which new attempts may still begin at the backend.
-pub const STOP_WITHIN: f64 = 2.0;
-/// Limit for a connection to a backend, in seconds.
+/// Seconds after the notification of a drain within which new attempts may still begin at the backend.
+pub const DRAIN_GRACE: f64 = 2.0;
+/// Time limit for connecting to a backend, in seconds.
 const CONNECT_TIMEOUT: f64 = 10.0;
 
-/// A platform configuration.
+/// The configuration of gateway `n0`, the only one of its fleet, with an empty endpoint list, as JSON.
 pub fn configuration(
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -24,7 +24,7 @@
             "Domain": {"HasCounter": true, "CountLimit": 0.5, "MaxUnits": 1.0},
             "Limits": {"SendCap": 4, "SecondCopies": true, "Cancelling": true, "RetryAfter": true,
                 "MaxRetryAfter": 1.0, "ConnIdle": 30.0, "ConnectTimeout": CONNECT_TIMEOUT},
-            "Rules": {"StopSendingWithin": STOP_WITHIN},
+            "Rules": {"StopSendingWithin": DRAIN_GRACE},
             "Classes": [{"Name": "check", "Effect": "idempotent", "Slo": 2.0},
                 {"Name": "store", "Effect": "at_most_once", "Slo": 2.0}],
             "Plans": [{"Name": "iso", "QuotaRate": 1000.0, "Depth": 1000.0, "Pays": 1.0},
--- a/crates/cli/tests/support/process.rs
+++ b/crates/cli/tests/support/process.rs
@@ -1,18 +1,18 @@
-//! Waiting for processes.
+//! Waits for processes to exit.
 
 use std::process::{Child, ExitStatus};
 use std::time::Duration;
 
-/// Limit for a process that is to end.
-const END_LIMIT: Duration = Duration::from_secs(30);
+/// Time limit for the exit of a process.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until a process has ended, whatever ends it, and returns how.
-pub async fn ended(child: &mut Child) -> ExitStatus {
-    let ended = async {
+/// Waits until a process has exited or was killed, and returns its exit status.
+pub async fn wait_for_exit(child: &mut Child) -> ExitStatus {
+    let exited = async {
         while child.try_wait().unwrap().is_none() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(END_LIMIT, ended).await.expect("it ends");
+    tokio::time::timeout(EXIT_TIMEOUT, exited).await.expect("the process exits");
     child.wait().unwrap()
 }
