--- a/crates/cli/tests/endpoint_cache.rs
+++ b/crates/cli/tests/endpoint_cache.rs
@@ -159,7 +159,7 @@
         assert_eq!(harness.stored_backends(), OLD, "{call:?} {errno}: the old list must stay complete");
         harness.shim.end(fault);
         harness.wait_until_stored(&NEW).await;
-        assert!(gateway.0.try_wait().unwrap().is_none(), "the gateway keeps running");
+        assert!(gateway.0.try_wait().unwrap().is_none(), "the gateway has exited");
     }
 }
 
--- a/crates/cli/tests/gateway_kills.rs
+++ b/crates/cli/tests/gateway_kills.rs
@@ -217,7 +217,7 @@
     harness.kill_and_restart(0);
     harness.gateways[0].link.set(|f| f.stall_from_target = false);
     assert_eq!(pending.await.unwrap(), ClientOutcome::ConnectionLost);
-    assert_eq!(harness.audit().admissions.get("runs"), None, "the response of the gateway was not sent");
+    assert_eq!(harness.audit().admissions.get("runs"), None, "executed though the admission was not sent");
     // The client sends the request again, and it is executed once.
     harness.wait_for_statistic(0, "/process/lists", 1).await;
     assert_eq!(harness.send(0, BehaviourProfile::default()).await.unwrap(), ClientOutcome::Served);
@@ -273,5 +273,9 @@
         }
     }
     assert!(served >= 4, "{served} served, though two gateways kept running");
-    assert_eq!(harness.audit().admissions["runs"], served, "each executed request was answered");
+    assert_eq!(
+        harness.audit().admissions["runs"],
+        served,
+        "each served request must be executed exactly once"
+    );
 }
--- a/crates/cli/tests/node/backends.rs
+++ b/crates/cli/tests/node/backends.rs
@@ -157,7 +157,7 @@
     for n in 1..=5 {
         let id = unique_id();
         assert_eq!(client.exchange(&request(&id, "iso", 3000)).await.unwrap().body, format!("done {id}"));
-        assert_eq!(harness.backends[0].connections(), n, "each request uses a new connection");
+        assert_eq!(harness.backends[0].connections(), n, "each request must use a new connection");
     }
 }
 
@@ -223,7 +223,11 @@
     for mut client in clients {
         assert_eq!(client.response().await.unwrap().status, 200);
     }
-    assert_eq!(harness.backends[0].received().len(), 2, "both requests go to the backend that stays");
+    assert_eq!(
+        harness.backends[0].received().len(),
+        2,
+        "both requests must go to the backend that does not drain"
+    );
     assert!(!received.is_finished(), "the draining backend received a request");
 }
 
@@ -384,5 +388,5 @@
         assert_eq!(client.exchange(&request(&unique_id(), "iso", 20_000)).await.unwrap().status, 200);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(harness.counter.received()[1].connection, 1, "the connection was reused");
+    assert_eq!(harness.counter.received()[1].connection, 1, "the connection must be reused");
 }
--- a/crates/cli/tests/node/clients.rs
+++ b/crates/cli/tests/node/clients.rs
@@ -37,7 +37,7 @@
             .all(|c| c.request.path == "/api/00000000b4d65521?a=b")
     );
     let connections: u64 = harness.backends.iter().map(ScriptedServer::connections).sum();
-    assert!(connections <= 2, "connections are reused: {connections}");
+    assert!(connections <= 2, "connections must be reused, but {connections} were opened");
 }
 
 #[tokio::test]
@@ -202,6 +202,7 @@
     assert_eq!(harness.attempts(&id), 1);
 }
 
+/// The gateway closes them within three seconds; the test allows ten.
 #[tokio::test]
 async fn silent_connections_and_incomplete_requests_are_closed() {
     let harness = Harness::start(1).await;
--- a/crates/cli/tests/node/discovery.rs
+++ b/crates/cli/tests/node/discovery.rs
@@ -32,7 +32,11 @@
         tokio::time::sleep(REUSE_PAUSE).await;
     }
     assert_eq!(harness.backends[1].received().len(), drained, "a draining backend got requests");
-    assert_eq!(harness.backends[0].connections(), before + 1, "the new backend has a new connection");
+    assert_eq!(
+        harness.backends[0].connections(),
+        before + 1,
+        "expected one new connection, to the new backend"
+    );
 }
 
 /// A reload names a discovery agent that does not respond to the first poll, and later responds with the drain.
@@ -311,7 +315,7 @@
         assert_eq!(
             harness.backends[0].received().len(),
             before,
-            "notified {DRAIN_GRACE} s before, drained before the requests: {drained_first}"
+            "attempts at a backend that drains since {DRAIN_GRACE} s; drained before the requests: {drained_first}"
         );
     }
 }
--- a/crates/cli/tests/node/shutdown_deadline.rs
+++ b/crates/cli/tests/node/shutdown_deadline.rs
@@ -189,7 +189,7 @@
     };
     let statuses = timeout_at(kill, answers).await.expect("the connection ends before the kill");
     assert_eq!(statuses.len(), ids.len(), "{statuses:?}");
-    assert_eq!(statuses[0], (200, false), "the first response keeps the connection, as others follow");
-    assert!(statuses[2].1, "the last one closes the connection: {statuses:?}");
-    assert!(kill_at(&mut harness, kill).await, "the process exits before the kill");
+    assert_eq!(statuses[0], (200, false), "the first response must keep the connection, as others follow");
+    assert!(statuses[2].1, "the last response must close the connection: {statuses:?}");
+    assert!(kill_at(&mut harness, kill).await, "the process did not exit before the kill");
 }
--- a/crates/cli/tests/node/wall_clock.rs
+++ b/crates/cli/tests/node/wall_clock.rs
@@ -101,7 +101,7 @@
         let share = share_of_last_backend(&harness, MEASURING_TIME).await;
         assert!(
             share <= MAX_INITIAL_SHARE,
-            "{share:.3} with a clock off by {at_start} s at the start, stepped by {step} s"
+            "share of {share:.3} with a clock off by {at_start} s at the start, stepped by {step} s"
         );
     }
 }
@@ -114,7 +114,10 @@
         harness.discovery.set_list(4, list_with_start_times(&harness, 4, &[0, 0, 0, now_ms(offset)]));
         harness.discovery.wait_until_list_received(4).await;
         let share = share_of_last_backend(&harness, MEASURING_TIME).await;
-        assert!(share <= MAX_INITIAL_SHARE, "{share:.3} with a start time that is off by {offset} s");
+        assert!(
+            share <= MAX_INITIAL_SHARE,
+            "share of {share:.3} with a start time that is off by {offset} s"
+        );
     }
 }
 
@@ -127,13 +130,16 @@
             Harness::start_with_shim_and_times(4, &shim, &[0, 0, 0, now_ms(before)], with_slow_start).await;
         delay_responses(&harness);
         let warm = share_of_last_backend(&harness, 1.0).await;
-        assert!(warm > MAX_INITIAL_SHARE, "{warm:.3} though it has run for a minute or longer");
+        assert!(
+            warm > MAX_INITIAL_SHARE,
+            "share of {warm:.3} though the backend has run for a minute or longer"
+        );
         harness.discovery.set_list(3, list_with_start_times(&harness, 3, &[0, 0, 0, now_ms(now)]));
         harness.discovery.wait_until_list_received(3).await;
         let share = share_of_last_backend(&harness, MEASURING_TIME).await;
         assert!(
             share <= MAX_INITIAL_SHARE,
-            "{share:.3} after start times {before} s and then {now} s from now"
+            "share of {share:.3} after start times {before} s and then {now} s from now"
         );
     }
 }
@@ -151,7 +157,7 @@
     harness.discovery.wait_until_list_received(4).await;
     share_of_last_backend(&harness, 1.2).await;
     let share = share_of_last_backend(&harness, 1.0).await;
-    assert!(share > 0.15, "{share:.3} after slow start");
+    assert!(share > 0.15, "share of {share:.3} after slow start");
 }
 
 /// Sends requests of a customer with a quota of one request until one is rejected.
