--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -101,7 +101,7 @@
                         src.advance(2);
                         self.chunk = ChunkState::SizeLine;
                     }
-                    Some(_) => return Err(HttpError::Malformed("a chunk exceeds its size")),
+                    Some(_) => return Err(HttpError::Malformed("a chunk is longer than its size")),
                 },
                 ChunkState::Trailers => return self.read_trailers(src),
             }
@@ -134,7 +134,7 @@
 
 /// Removes a chunk's size line from `src` once it is complete, and returns the size.
 fn take_size_line(src: &mut BytesMut) -> Result<Option<u64>, HttpError> {
-    let invalid = || HttpError::Malformed("invalid chunk size");
+    let invalid = || HttpError::Malformed("a chunk has no valid size");
     // `httparse` accepts an empty line as the size 0.
     if src.first().is_some_and(|first| !first.is_ascii_hexdigit()) {
         return Err(invalid());
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -36,7 +36,7 @@
 
 /// A header that may occur only once is repeated, or its value has bytes other than visible ASCII and spaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("a header is repeated or is not visible ASCII")]
+#[error("a header occurs twice or is not visible ASCII")]
 pub struct InvalidField;
 
 /// The headers of a head.
@@ -146,7 +146,7 @@
     minor_version: Option<u8>,
 ) -> Result<(), HttpError> {
     if parsed != httparse::Status::Complete(bytes.len()) {
-        return Err(HttpError::Malformed("the end of the head is ambiguous"));
+        return Err(HttpError::Malformed("the head ends before its empty line"));
     }
     if minor_version != Some(1) {
         return Err(HttpError::Malformed("the version is not 1.1"));
--- a/crates/wire/src/http1.rs
+++ b/crates/wire/src/http1.rs
@@ -17,7 +17,7 @@
 #[non_exhaustive]
 pub enum HttpError {
     /// The connection failed.
-    #[error("connection failed: {0}")]
+    #[error("connection: {0}")]
     Io(#[from] std::io::Error),
     /// The head cannot be parsed.
     #[error("not HTTP/1.1: {0}")]
@@ -26,14 +26,14 @@
     #[error("not HTTP/1.1: {0}")]
     Malformed(&'static str),
     /// The head is too long or has too many headers.
-    #[error("the head exceeds {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
+    #[error("a head of more than {MAX_HEAD_BYTES} bytes or {MAX_HEADERS} headers")]
     HeadTooLarge,
     /// The body is longer than the reader accepts.
-    #[error("the body is too long")]
+    #[error("a body that is too long")]
     BodyTooLarge,
     /// The `Content-Length` occurs twice, is not a number or conflicts with a `Transfer-Encoding`, or the transfer
     /// encoding is not supported.
-    #[error("the length of the body is ambiguous or its encoding is not supported")]
+    #[error("a body whose length is ambiguous or not supported")]
     InvalidLength,
 }
 
