--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 #[non_exhaustive]
 pub struct Config {
-    /// The settings of the decision logic, except for values that are known only when the process starts.
+    /// The settings of the policy, except for values that are known only when the process starts.
     pub settings: Settings,
     /// The listening address of the gRPC services.
     pub ext_authz_address: SocketAddr,
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -146,7 +146,7 @@
     /// Creates the context of a node.
     ///
     /// # Errors
-    /// The decision module rejects the settings.
+    /// The policy rejects the settings.
     pub fn new(config: &Config) -> Result<Rc<Self>, EngineError> {
         let (clock, budget) = (Clock::start(), ResourceBudget::new(&config.limits));
         let (platform, settings) = (&config.platform, &config.platform.settings);
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -105,7 +105,7 @@
         let route = self.connections.borrow_mut().send(self.node.now(), call, counter);
         let connection = match route {
             Route::Existing(connection) | Route::New(connection) => connection,
-            // The call fails immediately, so that the decision module uses its local fallback limit.
+            // The call fails immediately, so that the policy uses its local fallback limit.
             Route::Unavailable => {
                 return self.node.handle_counter_response(call, Status::ConnectFailed, 0.0, 0.0);
             }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -158,7 +158,7 @@
         if !std::mem::take(&mut self.logged_errors).is_empty() {
             tracing::info!("discovery responds again");
         }
-        // Most responses contain no change; they are not passed to the decision module.
+        // Most responses contain no change; they are not passed to the policy.
         if update.kind != EndpointListKind::Delta || !update.addresses.is_empty() {
             self.node.handle_endpoint_list(update);
         } else {
--- a/crates/node/src/run_error.rs
+++ b/crates/node/src/run_error.rs
@@ -22,7 +22,7 @@
     /// The node cannot listen on the address for clients.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The decision module rejects the settings.
+    /// The policy rejects the settings.
     #[error("invalid configuration {0}: {1}")]
     Settings(PathBuf, EngineError),
     /// The fleet membership cannot start.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -49,7 +49,7 @@
     /// The endpoint list that this instance last used. An invalid list does not prevent a start or a reload,
     /// because discovery provides a newer one.
     pub cached_list: Result<Option<ListUpdate>, ListError>,
-    /// The platform's settings, including those of the decision module.
+    /// The platform's settings, including those of the policy.
     pub platform: PlatformSettings,
 }
 
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -59,7 +59,7 @@
 pub struct ListUpdate {
     /// Whether the list is complete or contains changes only.
     pub kind: EndpointListKind,
-    /// The entries, for the decision module.
+    /// The entries, for the policy.
     pub endpoints: Vec<Endpoint>,
     /// The addresses of the entries.
     pub addresses: Vec<EndpointAddress>,
--- a/crates/platform/src/list/entry.rs
+++ b/crates/platform/src/list/entry.rs
@@ -83,7 +83,7 @@
         self.status == EntryStatus::Unknown
     }
 
-    /// Converts the entry for the decision module, and returns it with the address of the backend.
+    /// Converts the entry for the policy, and returns it with the address of the backend.
     pub(super) fn into_endpoint(self, name: BackendId, zones: &[String]) -> (Endpoint, EndpointAddress) {
         let lifecycle = match self.status {
             EntryStatus::Serving => Lifecycle::Running,
--- a/src/bin/weirusher-benchlink/decode.rs
+++ b/src/bin/weirusher-benchlink/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes wire messages to events of the decision logic, one function per message.
+//! Decodes wire messages to events of the policy, one function per message.
 
 use crate::error::MessageError;
 use crate::fields::Fields;
@@ -12,7 +12,7 @@
 /// Endpoint lists, keyed by page number.
 pub type Pages = BTreeMap<u64, Vec<Endpoint>>;
 
-/// Decodes a message for one gateway. Returns `None` for a message that the decision logic does not use.
+/// Decodes a message for one gateway. Returns `None` for a message that the policy does not use.
 pub fn event(name: &str, values: &[Value], pages: &Pages) -> Result<Option<Event>, MessageError> {
     let event = match name {
         "PEERS_KNOWN" => endpoint_list(&Fields::new("PEERS_KNOWN", values), pages)?,
@@ -22,7 +22,7 @@
         "LEFT" => client_gone(&Fields::new("LEFT", values))?,
         "ELAPSED" => timer(&Fields::new("ELAPSED", values))?,
         "TALLIED" => counter_response(&Fields::new("TALLIED", values))?,
-        // Results of health checks and messages from other gateways: the decision logic requests neither.
+        // Results of health checks and messages from other gateways: the policy requests neither.
         "HEALTH_RESULT" | "NOTE_FROM" => return Ok(None),
         _ => return Err(MessageError::UnknownEvent(name.to_string())),
     };
--- a/src/bin/weirusher-benchlink/encode.rs
+++ b/src/bin/weirusher-benchlink/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes actions of the decision logic as wire messages.
+//! Encodes actions of the policy as wire messages.
 
 use serde_json::{Value, json};
 use weirusher::Action;
--- a/src/bin/weirusher-benchlink/main.rs
+++ b/src/bin/weirusher-benchlink/main.rs
@@ -1,5 +1,5 @@
 //! Adapter to the operators' simulator. Reads batches of messages from standard input, one line of JSON each,
-//! passes them to the decision logic, and writes the resulting actions to standard output, one line of JSON
+//! passes them to the policy, and writes the resulting actions to standard output, one line of JSON
 //! per batch. It makes no decisions of its own.
 #![forbid(unsafe_code)]
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision logic: settings at construction, then events in and actions out.
+//! The interface of the policy: settings at construction, then events in and actions out.
 //!
 //! Times are seconds on the caller's monotonic clock, quantities are quota units, and fractions are from 0 to
 //! 1.
--- a/src/platform_settings.rs
+++ b/src/platform_settings.rs
@@ -10,11 +10,11 @@
 /// Default for the seconds after which a draining backend must get no new requests.
 const DEFAULT_DRAIN_GRACE_SECONDS: f64 = 0.5;
 
-/// A settings object: the settings of the decision logic, and further settings of the proxy.
+/// A settings object: the settings of the policy, and further settings of the proxy.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct PlatformSettings {
-    /// The settings of the decision logic.
+    /// The settings of the policy.
     pub settings: Settings,
     /// Names of the classes, by index.
     pub classes: Vec<String>,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The decision logic of a gateway, one module per rule; the interface types are in `src/interface.rs`.
+//! The policy of a gateway, one module per rule; the interface types are in `src/interface.rs`.
 //!
 //! A new request passes `admission` and `quota`: it spends units of its customer's `lease`, waits for a new
 //! lease, or is decided by the local `fallback` limit and the `ceiling`. `counter` and `call_pacing` make the
@@ -72,7 +72,7 @@
 use subset::subset_start;
 use timers::Timers;
 
-/// The state and decision logic of one gateway.
+/// The policy of one gateway, with its state.
 #[derive(Debug)]
 pub struct Gateway {
     settings: Settings,
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -1,4 +1,4 @@
-//! Tuning constants of the decision logic. All other parameters are derived from the settings.
+//! Tuning constants of the policy. All other parameters are derived from the settings.
 //!
 //! Constants that end in `_SECONDS` are durations; those that end in `_FRACTION` are fractions, from 0 to 1,
 //! of the quantity that their comment names. Units are quota units.
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision logic, which is driven by events alone.
+//! Tests of the policy, which is driven by events alone.
 
 mod fleet;
 mod harness;
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,4 +1,4 @@
-//! The operators' requirements on the source of the decision logic: small modules, each with a head comment, all
+//! The operators' requirements on the source of the policy: small modules, each with a head comment, all
 //! listed under `policy` in the deploy file.
 
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 /// Maximum number of characters in a line.
 const MAX_CHARACTERS: usize = 110;
 
-/// Paths of the modules of the decision logic, relative to the root of the repository.
+/// Paths of the modules of the policy, relative to the root of the repository.
 fn modules() -> BTreeSet<String> {
     let files = fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy")).unwrap();
     files.map(|file| format!("src/policy/{}", file.unwrap().file_name().to_string_lossy())).collect()
