--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use std::process::ExitCode;
 use std::time::Duration;
-use weirusher_fleet::{Counters, MemberState, MemberView, View};
+use weirusher_fleet::{DatagramCounters, MemberState, MemberView, View};
 use weirusher_peers::page;
 
 /// Time limit for the response of the admin server.
@@ -113,7 +113,7 @@
 }
 
 /// Counts of rejected datagrams by reason. Reasons that have not occurred are omitted.
-fn format_rejections(counters: &Counters) -> String {
+fn format_rejections(counters: &DatagramCounters) -> String {
     let reasons = [
         ("oversized", counters.oversized),
         ("wrong sender address", counters.wrong_sender),
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -12,5 +12,5 @@
 /// Prints the reason for a command's failure to standard error.
 pub fn report_error(error: &CommandError) {
     let listing = if let CommandError::Config { listing, .. } = error { listing } else { "" };
-    weirusher_log::print(&format!("{listing}weirusher: {error}\n"));
+    weirusher_log::write_line(&format!("{listing}weirusher: {error}\n"));
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::table::{self, Table};
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use weirusher_fleet::{MAX_MEMBERS, MIN_KEY_BYTES, Settings};
+use weirusher_fleet::{MAX_MEMBERS, MIN_KEY_BYTES, MembershipSettings};
 
 /// Maximum of `clock_shift_seconds` in either direction: one year, as no clock is assumed to be further off.
 const MAX_CLOCK_SHIFT_SECONDS: f64 = 366.0 * 86_400.0;
@@ -20,7 +20,7 @@
     /// The listening address of the admin page of a `node`. `None` for `run`, which has one in `[listen]`.
     pub admin: Option<SocketAddr>,
     /// The number of this gateway, the members and the key.
-    pub settings: Settings,
+    pub settings: MembershipSettings,
     /// Seconds that are added to the wall clock. Set by fault-injection runs to simulate a wrong clock.
     pub clock_shift_seconds: f64,
 }
@@ -68,7 +68,7 @@
         let instance = u16::try_from(number).unwrap_or(u16::MAX);
         // A missing address was reported as a problem, so this placeholder is never used.
         let unused = SocketAddr::from(([127, 0, 0, 1], 0));
-        let settings = Settings { instance, members, key };
+        let settings = MembershipSettings { instance, members, key };
         Some(Self { listen: listen.unwrap_or(unused), admin, settings, clock_shift_seconds })
     }
 }
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -150,7 +150,7 @@
 
     /// Records that the gateway closed a connection on which `unanswered` requests had no response although
     /// their client was still connected.
-    pub fn connection_closed(&mut self, unanswered: usize) {
+    pub fn record_connection_closed(&mut self, unanswered: usize) {
         self.violations.add(Violation::ClosedUnanswered, unanswered as u64);
     }
 }
--- a/crates/core/src/proxy.rs
+++ b/crates/core/src/proxy.rs
@@ -175,7 +175,7 @@
     /// Records that the gateway closed a connection on which `unanswered` requests had no response although
     /// their client was still connected.
     pub fn handle_connection_closed(&mut self, unanswered: usize) {
-        self.guard.connection_closed(unanswered);
+        self.guard.record_connection_closed(unanswered);
     }
 
     /// Handles the end of an attempt. Returns `true` if the client gets this attempt's response.
@@ -366,7 +366,7 @@
                 self.outputs.push(ProxyOutput::Forward(new));
             }
             Err(violation) => {
-                self.outputs.push(ProxyOutput::Prevented { request: id.clone(), attempt, violation });
+                self.outputs.push(ProxyOutput::AttemptPrevented { request: id.clone(), attempt, violation });
                 self.handle_attempt_ended(now, &id, attempt, Status::NotSent, LoadReport::default());
             }
         }
--- a/crates/core/src/proxy/output.rs
+++ b/crates/core/src/proxy/output.rs
@@ -59,7 +59,7 @@
     },
     /// An attempt was not started because it would have broken a rule. To be logged as an error of the
     /// policy.
-    Prevented {
+    AttemptPrevented {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -77,7 +77,7 @@
 pub struct ConnectionSlots {
     capacity: usize,
     connections: BTreeMap<SlotId, SlotEntry>,
-    /// Connections without an open request that [`ConnectionSlots::evict`] has not returned yet.
+    /// Connections without an open request that [`ConnectionSlots::take_evicted`] has not returned yet.
     evictable: BTreeSet<SlotEntry>,
     shutdown: Option<Shutdown>,
 }
@@ -158,7 +158,7 @@
     /// Returns the connections to be closed now: those past the timeout of their state and, while all slots
     /// are taken, those that have been without an open request for longest. They keep their slots until
     /// [`Self::remove`] and are not returned again.
-    pub fn evict(&mut self, now: Time) -> Vec<SlotId> {
+    pub fn take_evicted(&mut self, now: Time) -> Vec<SlotId> {
         let mut evicted = Vec::new();
         for state in EVICTABLE {
             while let Some(id) = self.evict_longest(state, now, self.timeout(state)) {
@@ -175,7 +175,7 @@
         evicted
     }
 
-    /// When [`ConnectionSlots::evict`] must be called next.
+    /// When [`ConnectionSlots::take_evicted`] must be called next.
     pub fn next_eviction(&self) -> Option<Time> {
         let full = !self.has_free();
         let due = |state| {
--- a/crates/core/tests/guard.rs
+++ b/crates/core/tests/guard.rs
@@ -123,6 +123,6 @@
         assert_eq!(guard.check_attempt(now, 7, &[maybe]), Err(Violation::UnsafeRetry));
     }
     let mut guard = guard(keyed, true, 1.0);
-    guard.connection_closed(2);
+    guard.record_connection_closed(2);
     assert_eq!(guard.violations().closed_unanswered, 2);
 }
--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -131,7 +131,7 @@
                 ProxyOutput::Abort { request: id, attempt } => {
                     self.in_flight.retain(|attempts| *attempts != (id.clone(), attempt));
                 }
-                ProxyOutput::Prevented { request: id, attempt, violation } => {
+                ProxyOutput::AttemptPrevented { request: id, attempt, violation } => {
                     panic!("attempt {attempt} of {id}: {violation}")
                 }
                 ProxyOutput::Respond { request: id, .. } => self.answer(id),
--- a/crates/ext-authz/src/engine_task.rs
+++ b/crates/ext-authz/src/engine_task.rs
@@ -159,7 +159,7 @@
         let now = self.clock.now();
         match event {
             ServiceEvent::Check(pending) => {
-                weirusher_panics::reach("engine");
+                weirusher_panics::fault_point("engine");
                 let PendingCheck { caller, check, outcome } = *pending;
                 self.pending_checks.insert(caller, outcome);
                 self.engine.handle_check(now, caller, &check);
--- a/crates/ext-authz/src/services/access_log.rs
+++ b/crates/ext-authz/src/services/access_log.rs
@@ -61,7 +61,7 @@
             };
             let Some(message) = message else { break };
             let Some(LogEntries::HttpLogs(entries)) = message.log_entries else { continue };
-            weirusher_panics::reach("reports read");
+            weirusher_panics::fault_point("reports read");
             for entry in &entries.log_entry {
                 match attempt_report(&self.rules.ticket_header, entry) {
                     Some(report) => {
--- a/crates/ext-authz/src/services/ext_authz.rs
+++ b/crates/ext-authz/src/services/ext_authz.rs
@@ -94,9 +94,9 @@
         }
         let engine = self.engine.clone();
         let mut waiter = OutcomeWaiter { caller, outcome, engine, delivery: None, responded: false };
-        weirusher_panics::reach("check pending");
+        weirusher_panics::fault_point("check pending");
         let outcome = waiter.wait().await;
-        weirusher_panics::reach("check decided");
+        weirusher_panics::fault_point("check decided");
         let response = match outcome {
             Some(CheckOutcome::Allowed(grant)) => allowed(&self.rules, &grant),
             Some(CheckOutcome::Rejected { retry_after }) => rejected(retry_after),
--- a/crates/ext-authz/tests/panics.rs
+++ b/crates/ext-authz/tests/panics.rs
@@ -15,7 +15,7 @@
 use tonic::transport::{Channel, Endpoint};
 use weirusher_config::Config;
 use weirusher_ext_authz::GatewayHandle;
-use weirusher_panics::{arm, quiet, was_reached};
+use weirusher_panics::{arm, fault_triggered, silence_injected_panics};
 
 /// Time limit for anything that a test waits for.
 const LIMIT: Duration = Duration::from_secs(20);
@@ -36,7 +36,7 @@
 
 /// Starts a gateway with a cached list of one backend, an unreachable discovery and no counter.
 async fn start_gateway() -> Fixture {
-    quiet();
+    silence_injected_panics();
     let dir = tempfile::tempdir().unwrap();
     let cache = dir.path().join("endpoints.json");
     std::fs::write(&cache, r#"[{"address": "127.0.0.1:9", "zone": 0, "started": 0.0}]"#).unwrap();
@@ -99,7 +99,7 @@
     for round in 0..1000 {
         arm(if round % 2 == 0 { "check pending" } else { "check decided" });
         assert_eq!(fixture.check().await, Some(UNAVAILABLE), "round {round}");
-        assert!(was_reached());
+        assert!(fault_triggered());
     }
     while fixture.metric("", "owed").await > granted_before {
         tokio::time::sleep(Duration::from_millis(2)).await;
@@ -118,7 +118,7 @@
     let fixture = start_gateway().await;
     arm("reports read");
     assert_eq!(fixture.report().await, Code::Internal);
-    assert!(was_reached());
+    assert!(fault_triggered());
     assert_eq!(fixture.report().await, Code::Ok);
     assert_eq!(fixture.check().await, Some(OK));
 }
@@ -129,7 +129,7 @@
     let fixture = start_gateway().await;
     arm("engine");
     assert!(fixture.check().await.is_some(), "the check that caused the panic gets a response");
-    assert!(was_reached());
+    assert!(fault_triggered());
     tokio::time::timeout(LIMIT, fixture.gateway.failed()).await.expect("the panic is reported");
     assert!(fixture.check().await.is_some(), "a check before the stop gets a response");
     let Fixture { gateway, channel, .. } = fixture;
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -23,10 +23,10 @@
 use crate::reachability::IsolationDetector;
 use crate::registers::{Registers, SelfReport};
 use crate::send_budget::SendBudget;
-use crate::settings::{Settings, SettingsError};
+use crate::settings::{MembershipSettings, SettingsError};
 use crate::shared_state::SharedState;
 use crate::token_bucket::TokenBucket;
-use crate::view::Counters;
+use crate::view::DatagramCounters;
 use fastrand::Rng;
 use incarnation::{OwnIncarnation, STARTUP_PERIOD};
 use schedule::Schedule;
@@ -66,7 +66,7 @@
     alive_count: usize,
     send_budget: SendBudget,
     receive_limit: TokenBucket,
-    counters: Counters,
+    counters: DatagramCounters,
     outbox: VecDeque<(SocketAddr, Vec<u8>)>,
     events: VecDeque<Event>,
 }
@@ -78,10 +78,15 @@
     ///
     /// # Errors
     /// The settings are not valid.
-    pub fn new(settings: Settings, incarnation: u64, seed: u64, now: Millis) -> Result<Self, SettingsError> {
+    pub fn new(
+        settings: MembershipSettings,
+        incarnation: u64,
+        seed: u64,
+        now: Millis,
+    ) -> Result<Self, SettingsError> {
         let size = settings.fleet_size()?;
         let numbers = settings.numbers_by_address()?;
-        let Settings { instance: me, members: addresses, key } = settings;
+        let MembershipSettings { instance: me, members: addresses, key } = settings;
         let mut rng = Rng::with_seed(seed);
         Ok(Self {
             me,
@@ -105,7 +110,7 @@
             alive_count: 1,
             send_budget: SendBudget::new(now),
             receive_limit: TokenBucket::new(inbound::RECEIVE_RATE, now),
-            counters: Counters::default(),
+            counters: DatagramCounters::default(),
             outbox: VecDeque::new(),
             events: VecDeque::new(),
         })
@@ -122,8 +127,8 @@
     }
 
     /// Counts of datagrams sent, received, rejected and deferred since the process started.
-    pub fn counters(&self) -> Counters {
-        Counters { gossip_dropped: self.gossip.dropped(), ..self.counters }
+    pub fn counters(&self) -> DatagramCounters {
+        DatagramCounters { gossip_dropped: self.gossip.dropped(), ..self.counters }
     }
 
     /// Returns the next datagram to send and its destination. Call this until it returns `None` after each
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -9,7 +9,7 @@
 
 /// The startup settings of one member.
 #[derive(Debug, Clone)]
-pub struct Settings {
+pub struct MembershipSettings {
     /// This member's number: its index in `members`.
     pub instance: u16,
     /// The address that each member listens on and sends from, indexed by member number. Includes this
@@ -37,7 +37,7 @@
     ShortKey(usize),
 }
 
-impl Settings {
+impl MembershipSettings {
     /// Returns the number of members, after checking it and this member's own number.
     pub(crate) fn fleet_size(&self) -> Result<u16, SettingsError> {
         let count = self.members.len();
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -8,7 +8,7 @@
 
 /// Counts of datagrams sent, received, rejected and deferred since the process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Counters {
+pub struct DatagramCounters {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes of the datagrams sent.
@@ -95,7 +95,7 @@
     /// All other members.
     pub members: Vec<MemberView>,
     /// Counts of datagrams sent, received, rejected and deferred since the process started.
-    pub counters: Counters,
+    pub counters: DatagramCounters,
     /// Gossip messages queued for sending.
     #[serde(rename = "rumors")]
     pub gossip_queued: usize,
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 use weirusher_fleet::{
-    AGE_DEAD, Authenticator, CompactHeartbeat, Datagram, Header, MemberState, Membership, Message, OBSERVERS,
-    Rate, ReplayWindow, Rings, Settings, TokenBucket,
+    AGE_DEAD, Authenticator, CompactHeartbeat, Datagram, Header, MemberState, Membership, MembershipSettings,
+    Message, OBSERVERS, Rate, ReplayWindow, Rings, TokenBucket,
 };
 
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
@@ -25,7 +25,7 @@
 
 fn membership() -> Membership {
     let members = (0..4).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
-    Membership::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap()
+    Membership::new(MembershipSettings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap()
 }
 
 fn signed(datagram: &Datagram) -> Vec<u8> {
@@ -118,7 +118,7 @@
 fn state_after_relayed_deaths(age: u16) -> MemberState {
     let members = (0..8).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
     let mut membership =
-        Membership::new(Settings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap();
+        Membership::new(MembershipSettings { instance: 0, members, key: KEY.to_vec() }, 9, 1, 0).unwrap();
     let start = 100_000;
     let receive = |membership: &mut Membership, from: u16, messages: Vec<Message>, now: u64| {
         let header = Header { fleet_size: 8, sequence: now, heartbeat: now as u32, ..header(from, 0) };
@@ -262,7 +262,8 @@
     let neighbours = [rings.observers(0, |_| false), rings.subjects(0, |_| false)].concat();
     let subscriber = (1..SIZE).find(|member| !neighbours.contains(member)).unwrap();
     let address = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 2000 + n));
-    let settings = Settings { instance: 0, members: (0..SIZE).map(address).collect(), key: KEY.to_vec() };
+    let settings =
+        MembershipSettings { instance: 0, members: (0..SIZE).map(address).collect(), key: KEY.to_vec() };
     let mut membership = Membership::new(settings, 9, 1, 0).unwrap();
     let request = Datagram {
         header: Header { fleet_size: SIZE, wants_heartbeats: true, ..header(subscriber, 0) },
@@ -286,7 +287,7 @@
 fn invalid_settings_are_rejected() {
     let start = |me, ports: &[u16], key: &[u8]| {
         let members = ports.iter().map(|port| ([127, 0, 0, 1], *port).into()).collect();
-        Membership::new(Settings { instance: me, members, key: key.to_vec() }, 1, 1, 0)
+        Membership::new(MembershipSettings { instance: me, members, key: key.to_vec() }, 1, 1, 0)
             .map(|_| ())
             .unwrap_err()
             .to_string()
--- a/crates/fleet/tests/fault_tolerance.rs
+++ b/crates/fleet/tests/fault_tolerance.rs
@@ -25,12 +25,12 @@
 }
 
 fn state(net: &mut Net, by: u16, of: u16) -> MemberState {
-    net.member(by).expect("member is running").0.fleet.table().state(of)
+    net.member(by).expect("member is running").0.membership.table().state(of)
 }
 
 fn reachability(net: &mut Net, of: u16) -> weirusher_fleet::Reachability {
     let (member, now) = net.member(of).expect("member is running");
-    member.fleet.reachability(now)
+    member.membership.reachability(now)
 }
 
 fn all_alive(net: &mut Net) -> bool {
@@ -103,9 +103,9 @@
     net.run_for(2_000);
     assert_eq!(death_count(&net), 0);
     assert!(all_alive(&mut net));
-    let now = net.member(4).unwrap().0.fleet.incarnation();
+    let now = net.member(4).unwrap().0.membership.incarnation();
     for by in (0..20).filter(|by| *by != 4) {
-        assert_eq!(net.member(by).unwrap().0.fleet.table().latest(4).incarnation, now);
+        assert_eq!(net.member(by).unwrap().0.membership.table().latest(4).incarnation, now);
     }
 }
 
@@ -113,14 +113,14 @@
 #[test]
 fn restart_with_clock_set_back_takes_a_later_incarnation() {
     let mut net = converged(20, 4);
-    let before = net.member(4).unwrap().0.fleet.incarnation();
+    let before = net.member(4).unwrap().0.membership.incarnation();
     net.kill(4);
     net.run_for(50);
     net.wall_clock_shift = -86_400_000;
     net.start(4);
     net.run_for(1_000);
     let (member, _) = net.member(4).unwrap();
-    assert!(member.fleet.incarnation() > before);
+    assert!(member.membership.incarnation() > before);
     assert!(matches!(member.events[..], [Event::IncarnationRaised(_)]), "{:?}", member.events);
     assert!(all_alive(&mut net));
 }
@@ -130,7 +130,7 @@
     let mut net = converged(12, 5);
     let (receiver, sender) = (0, {
         let (member, now) = net.member(0).unwrap();
-        let view = member.fleet.view(now);
+        let view = member.membership.view(now);
         view.members
             .iter()
             .find(|m| m.last_received_ms.is_some_and(|ms| ms < HEARTBEAT_INTERVAL + 50))
@@ -143,7 +143,7 @@
     assert_eq!(state(&mut net, sender, receiver), MemberState::Alive);
     // The sender learns through other members that it is not heard.
     let (member, now) = net.member(sender).unwrap();
-    let view = member.fleet.view(now);
+    let view = member.membership.view(now);
     assert!(view.members.iter().any(|m| m.number == receiver && m.reports_unheard), "{view:?}");
     net.belief_changes.clear();
     net.run_for(120_000);
@@ -152,7 +152,7 @@
     net.unblock_all();
     net.run_for(5_000);
     let (member, now) = net.member(sender).unwrap();
-    assert!(!member.fleet.view(now).members.iter().any(|m| m.reports_unheard));
+    assert!(!member.membership.view(now).members.iter().any(|m| m.reports_unheard));
 }
 
 #[test]
@@ -260,7 +260,7 @@
 fn paused_process_detects_the_pause_before_acting() {
     for pause in [5_000, 60_000] {
         let mut net = converged(16, 9);
-        let before = net.member(2).unwrap().0.fleet.incarnation();
+        let before = net.member(2).unwrap().0.membership.incarnation();
         net.pause(2);
         net.run_for(pause);
         assert!(all_believe(&mut net, 2, MemberState::Dead));
@@ -275,7 +275,7 @@
         );
         assert!(reachability.fraction() == 0.0);
         let (member, _) = net.member(2).unwrap();
-        assert_eq!(member.fleet.incarnation(), before + 1);
+        assert_eq!(member.membership.incarnation(), before + 1);
         assert!(
             matches!(member.events[..], [Event::Paused(ms), ..] if ms + SUSPECT_TIMEOUT > pause),
             "{:?}",
@@ -294,27 +294,27 @@
     net.run_for(5_000);
     // Another process with the same member number was started in the meantime. The network holds only one process per
     // number, so the old process is simulated outside of it, and gets a datagram that another member sent.
-    let old_incarnation = net.member(2).unwrap().0.fleet.incarnation();
+    let old_incarnation = net.member(2).unwrap().0.membership.incarnation();
     let mut old_process = Member::new(16, 2, old_incarnation, 99, 0);
     for at in (0..4_000).step_by(30) {
-        old_process.fleet.handle_timeout(at);
+        old_process.membership.handle_timeout(at);
     }
     net.start(2);
     net.run_for(3_000);
-    let new_incarnation = net.member(2).unwrap().0.fleet.incarnation();
+    let new_incarnation = net.member(2).unwrap().0.membership.incarnation();
     let (_, datagram) = next_datagram(&mut net, 5, 2);
-    old_process.fleet.handle_datagram(datagram.0, &datagram.1, 4_010);
+    old_process.membership.handle_datagram(datagram.0, &datagram.1, 4_010);
     assert!(
-        std::iter::from_fn(|| old_process.fleet.poll_event())
+        std::iter::from_fn(|| old_process.membership.poll_event())
             .any(|event| event == Event::Superseded(new_incarnation))
     );
     assert!(
-        old_process.fleet.reachability(4_020).superseded
-            && old_process.fleet.reachability(4_020).fraction() == 0.0
+        old_process.membership.reachability(4_020).superseded
+            && old_process.membership.reachability(4_020).fraction() == 0.0
     );
-    while old_process.fleet.poll_transmit().is_some() {}
-    (4_020..9_000).step_by(30).for_each(|at| old_process.fleet.handle_timeout(at));
-    assert!(old_process.fleet.poll_transmit().is_none(), "the superseded process still sends datagrams");
+    while old_process.membership.poll_transmit().is_some() {}
+    (4_020..9_000).step_by(30).for_each(|at| old_process.membership.handle_timeout(at));
+    assert!(old_process.membership.poll_transmit().is_none(), "the superseded process still sends datagrams");
 }
 
 /// Takes the next datagram that `from` sends to `to`, and returns it with its source address.
@@ -322,8 +322,8 @@
     let (member, now) = net.member(from).expect("member is running");
     let source: std::net::SocketAddr = ([127, 0, 0, 1], 1024 + from).into();
     for step in (0..60_000).step_by(30) {
-        member.fleet.handle_timeout(now + step);
-        while let Some((address, bytes)) = member.fleet.poll_transmit() {
+        member.membership.handle_timeout(now + step);
+        while let Some((address, bytes)) = member.membership.poll_transmit() {
             if address.port() == 1024 + to {
                 return (from, (source, bytes));
             }
@@ -384,7 +384,7 @@
 fn invalid_and_excess_datagrams_are_rejected() {
     let mut net = converged(12, 14);
     let (_, (_, valid)) = next_datagram(&mut net, 5, 2);
-    let counters = |net: &mut Net| net.member(2).unwrap().0.fleet.counters();
+    let counters = |net: &mut Net| net.member(2).unwrap().0.membership.counters();
     let before = counters(&mut net);
     net.inject(5, 2, valid.clone());
     net.inject(5, 2, valid.clone());
@@ -428,7 +428,7 @@
     net.inject(5, 2, old);
     net.run_for(1_000);
     assert_eq!(state(&mut net, 2, 5), MemberState::Dead);
-    assert!(net.member(2).unwrap().0.fleet.counters().stale_recipient > 0);
+    assert!(net.member(2).unwrap().0.membership.counters().stale_recipient > 0);
 }
 
 #[test]
@@ -439,9 +439,9 @@
     (0..6).for_each(|member| net.start(member));
     net.run_for(5_000);
     let (member, _) = net.member(0).unwrap();
-    assert!(member.fleet.counters().wrong_fleet_size > 0);
+    assert!(member.membership.counters().wrong_fleet_size > 0);
     assert!(member.events.contains(&Event::FleetSizeMismatch { member: 5, size: 7 }));
-    assert_ne!(member.fleet.table().state(5), MemberState::Alive);
+    assert_ne!(member.membership.table().state(5), MemberState::Alive);
 }
 
 #[test]
--- a/crates/fleet/tests/model_checking.rs
+++ b/crates/fleet/tests/model_checking.rs
@@ -216,7 +216,7 @@
         others.into_iter().all(|of| {
             let (member, _) = net.member(*by).expect("member is running");
             let expected = if running.contains(&of) { MemberState::Alive } else { MemberState::Dead };
-            member.fleet.table().state(of) == expected
+            member.membership.table().state(of) == expected
         })
     })
 }
--- a/crates/fleet/tests/shared_state.rs
+++ b/crates/fleet/tests/shared_state.rs
@@ -2,7 +2,9 @@
 //! digests reveal all differences.
 
 use proptest::prelude::*;
-use weirusher_fleet::{MAX_DATAGRAM_BYTES, Membership, Registers, SelfReport, Settings, SharedState};
+use weirusher_fleet::{
+    MAX_DATAGRAM_BYTES, Membership, MembershipSettings, Registers, SelfReport, SharedState,
+};
 
 const SIZE: u16 = 150;
 const MAX_VALUE_BYTES: usize = 48;
@@ -126,7 +128,7 @@
     let mut memberships: Vec<Membership> = (0..2)
         .map(|me| {
             let members = (0..MEMBERS).map(address).collect();
-            let settings = Settings { instance: me, members, key: vec![7; 32] };
+            let settings = MembershipSettings { instance: me, members, key: vec![7; 32] };
             Membership::new(settings, 100 + u64::from(me), u64::from(me), 0).unwrap()
         })
         .collect();
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -119,7 +119,7 @@
 }
 
 /// Writes a text to standard error in order with the log lines, regardless of the filter and the rate limit.
-pub fn print(text: &str) {
+pub fn write_line(text: &str) {
     if let Some(log) = LOG.get() {
         log.queue.clone().push(text.as_bytes());
     }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -71,7 +71,7 @@
             tokio::time::sleep(STALE_LIST_DELAY).await;
         }
         let connection = BackendConnection::acquire(node, &endpoint, self.write_timeout).await?;
-        weirusher_panics::reach("attempt unsent");
+        weirusher_panics::fault_point("attempt unsent");
         let limits = match node.check_send(&self.id, self.number, &endpoint) {
             Ok(limits) => limits,
             Err(error) => {
@@ -86,7 +86,7 @@
         let mut buffer = BytesMut::with_capacity(BUFFER_CAPACITY);
         self.write_request(stream, &mut buffer, &limits).await?;
         let mut permit = node.response_bodies.permit();
-        weirusher_panics::reach("attempt sent");
+        weirusher_panics::fault_point("attempt sent");
         // Without a complete response the request may have been executed.
         let response = read_response(stream, &mut buffer, &mut permit).await.ok_or(Status::Reset)?;
         if !response.closes_connection && buffer.is_empty() {
--- a/crates/node/src/connection.rs
+++ b/crates/node/src/connection.rs
@@ -162,7 +162,7 @@
             return self.reject_invalid(RequestError::DuplicateId).await;
         };
         let mut withdraw = WithdrawOnDrop { node, id, answered: false };
-        weirusher_panics::reach("request pending");
+        weirusher_panics::fault_point("request pending");
         let response = self.await_response(response).await?;
         withdraw.answered = true;
         let close = close || self.is_last_response();
--- a/crates/node/src/connection/read.rs
+++ b/crates/node/src/connection/read.rs
@@ -56,7 +56,7 @@
     async fn read_after_head(&mut self, end: usize) -> Result<Received, ReadError> {
         let head = self.buffer.split_to(end);
         self.progress = Progress::HeadRead;
-        weirusher_panics::reach("head read");
+        weirusher_panics::fault_point("head read");
         let mut slots = EMPTY_HEADERS;
         let head = parse_request(&head, &mut slots)?;
         let mut request = match read_head(&self.slot.node.catalog, &head)? {
--- a/crates/node/src/connection/respond.rs
+++ b/crates/node/src/connection/respond.rs
@@ -65,7 +65,7 @@
     /// Writes a response. No other response may be written for the same message afterwards.
     async fn respond(&mut self, response: impl Buf) -> Result<(), CloseReason> {
         self.progress = Progress::Responding;
-        weirusher_panics::reach("response started");
+        weirusher_panics::fault_point("response started");
         self.write(response).await
     }
 
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -23,7 +23,7 @@
             match output {
                 ProxyOutput::Forward(attempt) => self.start_attempt(state, attempt),
                 ProxyOutput::Abort { request, attempt } => self.abort_attempt(state, request, attempt),
-                ProxyOutput::Prevented { request, attempt, violation } => {
+                ProxyOutput::AttemptPrevented { request, attempt, violation } => {
                     tracing::error!(id = %request, attempt, %violation, "the guard prevented an attempt");
                 }
                 ProxyOutput::Respond { request, outcome } => {
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -43,7 +43,7 @@
             if state.proxy.handle_request(self.now(), request) == RequestStatus::Duplicate {
                 return None;
             }
-            weirusher_panics::reach("state change");
+            weirusher_panics::fault_point("state change");
             let pending = PendingRequest { client, forwarded: Rc::new(forwarded), response };
             state.pending.insert(id, pending);
         }
--- a/crates/node/src/panics/tests.rs
+++ b/crates/node/src/panics/tests.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 use weirusher_fakes::{Reply, ScriptedServer};
-use weirusher_panics::{arm, quiet, was_reached};
+use weirusher_panics::{arm, fault_triggered, silence_injected_panics};
 use weirusher_platform::config::Config;
 
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
@@ -64,7 +64,7 @@
 }
 
 async fn with_node(test: impl AsyncFnOnce(Harness)) {
-    quiet();
+    silence_injected_panics();
     let backends = backends().await;
     let mut config = Config::parse(configuration(ANY_PORT, &backends).as_bytes()).unwrap();
     let node = NodeContext::new(&config).unwrap();
@@ -127,7 +127,7 @@
         let mut client = self.client().await;
         arm(place);
         let first = exchange(&mut client, class).await;
-        assert!(was_reached(), "{place}");
+        assert!(fault_triggered(), "{place}");
         [first, exchange(&mut client, class).await]
     }
 
@@ -168,7 +168,7 @@
         let mut client = harness.client().await;
         arm("attempt sent");
         assert_eq!(exchange(&mut client, NON_IDEMPOTENT).await, Some(502));
-        assert!(was_reached());
+        assert!(fault_triggered());
         assert!(harness.executions() <= 1);
     })
     .await;
@@ -183,7 +183,7 @@
             let mut client = harness.client().await;
             arm(places[round % places.len()]);
             exchange(&mut client, IDEMPOTENT).await;
-            assert!(was_reached(), "round {round}");
+            assert!(fault_triggered(), "round {round}");
         }
         let mut client = harness.client().await;
         for _ in 0..20 {
@@ -209,7 +209,7 @@
 /// Runs a complete node and checks that a panic at `place` shuts it down, with responses to the open
 /// requests.
 async fn assert_panic_shuts_node_down(place: &'static str) {
-    quiet();
+    silence_injected_panics();
     let backends = backends().await;
     let slow = |_: &_| match Reply::ok("done") {
         Reply::Bytes(bytes) => Reply::Delayed(Duration::from_millis(200), bytes),
@@ -239,7 +239,7 @@
     let local = LocalSet::new();
     let ended = local.run_until(async { tokio::join!(run(&file, None), clients) });
     let (ended, (first, second)) = tokio::time::timeout(LIMIT, ended).await.expect("the node shuts down");
-    assert!(was_reached());
+    assert!(fault_triggered());
     assert!(matches!(ended, Err(RunError::Panicked)), "{ended:?}");
     assert_eq!(first, Some(200), "the request that was pending at the panic");
     assert!(second.is_some(), "the request that was sent once the panic was armed");
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -121,7 +121,7 @@
     loop {
         let due = node.state.borrow().proxy.next_timeout();
         node.proxy_wakeup.wait(&node.clock, due).await;
-        weirusher_panics::reach("timers");
+        weirusher_panics::fault_point("timers");
         node.handle_timeout();
     }
 }
@@ -137,7 +137,7 @@
         let state = &mut *node.state.borrow_mut();
         let now = node.now();
         state.pool.evict(now, |_| true); // Dropping the returned connections closes them.
-        let evicted = state.slots.evict(now);
+        let evicted = state.slots.take_evicted(now);
         state.request_close(&evicted);
     }
 }
--- a/crates/panics/src/fault_point.rs
+++ b/crates/panics/src/fault_point.rs
@@ -4,7 +4,7 @@
 /// A fault point. Does nothing in builds without the feature `fault-points`.
 #[cfg(not(feature = "fault-points"))]
 #[inline]
-pub fn reach(_place: &'static str) {}
+pub fn fault_point(_place: &'static str) {}
 
 #[cfg(feature = "fault-points")]
 thread_local! {
@@ -16,7 +16,7 @@
 /// # Panics
 /// If the place is armed.
 #[cfg(feature = "fault-points")]
-pub fn reach(place: &'static str) {
+pub fn fault_point(place: &'static str) {
     if ARMED.get() == Some(place) {
         ARMED.set(None);
         std::panic::panic_any(InjectedPanic);
@@ -35,13 +35,13 @@
 
 /// Whether this thread has no armed fault point: the armed one was reached, or none was armed.
 #[cfg(feature = "fault-points")]
-pub fn was_reached() -> bool {
+pub fn fault_triggered() -> bool {
     ARMED.get().is_none()
 }
 
 /// Stops the panic hook from printing injected panics.
 #[cfg(feature = "fault-points")]
-pub fn quiet() {
+pub fn silence_injected_panics() {
     static ONCE: std::sync::Once = std::sync::Once::new();
     ONCE.call_once(|| {
         let print = std::panic::take_hook();
--- a/crates/panics/src/lib.rs
+++ b/crates/panics/src/lib.rs
@@ -7,7 +7,7 @@
 mod hook;
 
 pub use catch::{Panicked, catch};
-pub use fault_point::reach;
+pub use fault_point::fault_point;
 #[cfg(feature = "fault-points")]
-pub use fault_point::{arm, quiet, was_reached};
+pub use fault_point::{arm, fault_triggered, silence_injected_panics};
 pub use hook::{count, install_hook};
--- a/crates/peers/tests/page_keys.rs
+++ b/crates/peers/tests/page_keys.rs
@@ -1,11 +1,11 @@
 //! Pins the JSON keys of `/fleet` and `/fleet/brief`, which operators' tools and stored captures depend on.
 
 use std::net::SocketAddr;
-use weirusher_fleet::{Membership, Settings};
+use weirusher_fleet::{Membership, MembershipSettings};
 
 fn fleet() -> Membership {
     let members = [2000, 2001].map(|port| SocketAddr::from(([127, 0, 0, 1], port))).to_vec();
-    let settings = Settings { instance: 0, members, key: vec![7; 32] };
+    let settings = MembershipSettings { instance: 0, members, key: vec![7; 32] };
     Membership::new(settings, 9, 1, 0).unwrap()
 }
 
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -72,8 +72,8 @@
             return LoadReport::default();
         };
         match key {
-            "inflight" => load.inflight = Some(value),
-            "util" => load.util = Some(value),
+            "inflight" => load.in_flight = Some(value),
+            "util" => load.cpu_utilization = Some(value),
             _ => {}
         }
     }
--- a/crates/platform/tests/parsers.rs
+++ b/crates/platform/tests/parsers.rs
@@ -228,10 +228,10 @@
 #[test]
 fn a_malformed_load_report_counts_as_empty() {
     let load = backend::parse_load_report("TEXT inflight=7, queue=2, util=0.61");
-    assert_eq!((load.inflight, load.util), (Some(7.0), Some(0.61)));
+    assert_eq!((load.in_flight, load.cpu_utilization), (Some(7.0), Some(0.61)));
     for bad in ["TEXT inflight=x", "TEXT inflight=-1", "TEXT util=NaN", "TEXT ,", "", &"x".repeat(2000)] {
         let load = backend::parse_load_report(bad);
-        assert_eq!((load.inflight, load.util), (None, None), "{bad}");
+        assert_eq!((load.in_flight, load.cpu_utilization), (None, None), "{bad}");
     }
 }
 
--- a/crates/simulation/src/membership/process.rs
+++ b/crates/simulation/src/membership/process.rs
@@ -1,7 +1,7 @@
 //! The interface between the simulated network and a process, for any membership protocol.
 
 use std::net::{Ipv4Addr, SocketAddr};
-use weirusher_fleet::{Event, MemberState, Membership, Millis, Settings};
+use weirusher_fleet::{Event, MemberState, Membership, MembershipSettings, Millis};
 
 /// The authentication key of simulated fleets.
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
@@ -49,7 +49,7 @@
 /// A member that runs the production membership protocol.
 pub struct Member {
     /// The state machine under test.
-    pub fleet: Membership,
+    pub membership: Membership,
     /// The events of the membership, except changes of members' states.
     pub events: Vec<Event>,
 }
@@ -65,32 +65,32 @@
     /// `size` is not a valid fleet size, or `me` is not below it.
     pub fn new(size: u16, me: u16, incarnation: u64, seed: u64, now: Millis) -> Self {
         let settings =
-            Settings { instance: me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
-        let fleet = Membership::new(settings, incarnation, seed, now).expect("the settings are valid");
-        Self { fleet, events: Vec::new() }
+            MembershipSettings { instance: me, members: (0..size).map(address).collect(), key: KEY.to_vec() };
+        let membership = Membership::new(settings, incarnation, seed, now).expect("the settings are valid");
+        Self { membership, events: Vec::new() }
     }
 }
 
 impl Process for Member {
     fn handle_datagram(&mut self, from: u16, bytes: &[u8], now: Millis) {
-        self.fleet.handle_datagram(address(from), bytes, now);
+        self.membership.handle_datagram(address(from), bytes, now);
     }
 
     fn handle_timeout(&mut self, now: Millis) {
-        self.fleet.handle_timeout(now);
+        self.membership.handle_timeout(now);
     }
 
     fn poll_timeout(&self) -> Millis {
-        self.fleet.poll_timeout()
+        self.membership.poll_timeout()
     }
 
     fn poll_transmit(&mut self) -> Option<(u16, Vec<u8>)> {
-        self.fleet.poll_transmit().map(|(to, bytes)| (to.port() - FIRST_PORT, bytes))
+        self.membership.poll_transmit().map(|(to, bytes)| (to.port() - FIRST_PORT, bytes))
     }
 
     fn take_belief_changes(&mut self) -> Vec<(u16, Belief)> {
         let mut changes = Vec::new();
-        while let Some(event) = self.fleet.poll_event() {
+        while let Some(event) = self.membership.poll_event() {
             match event {
                 Event::StateChanged(change) => {
                     let belief = match change.to {
--- a/crates/wire/src/eds.rs
+++ b/crates/wire/src/eds.rs
@@ -39,7 +39,7 @@
 
 /// Decodes an endpoint list. A zone is numbered by its position in `zones`; zones that are not in `zones` get the
 /// numbers after those, in the order in which they occur.
-pub fn read(assignment: &ClusterLoadAssignment, zones: &[String]) -> EndpointList {
+pub fn decode(assignment: &ClusterLoadAssignment, zones: &[String]) -> EndpointList {
     let (mut list, mut seen) = (EndpointList::default(), HashSet::new());
     let mut names: Vec<&str> = zones.iter().map(String::as_str).collect();
     for locality in &assignment.endpoints {
@@ -99,9 +99,9 @@
     }
 }
 
-/// Encodes an endpoint list for `cluster`; the reverse of [`read`]. Endpoints whose id is not a socket address are
+/// Encodes an endpoint list for `cluster`; the reverse of [`decode`]. Endpoints whose id is not a socket address are
 /// omitted.
-pub fn write(cluster: &str, endpoints: &[Endpoint], zones: &[String]) -> ClusterLoadAssignment {
+pub fn encode(cluster: &str, endpoints: &[Endpoint], zones: &[String]) -> ClusterLoadAssignment {
     let mut by_zone: BTreeMap<u32, Vec<LbEndpoint>> = BTreeMap::new();
     for endpoint in endpoints {
         by_zone.entry(endpoint.zone).or_default().extend(to_proto(endpoint));
--- a/crates/wire/src/eds/tests.rs
+++ b/crates/wire/src/eds/tests.rs
@@ -14,15 +14,15 @@
         endpoint("127.0.0.1:81", 1, Lifecycle::Draining),
         endpoint("[::1]:82", 1, Lifecycle::Removed),
     ];
-    assert_eq!(read(&write("c", &endpoints, &zones), &zones).endpoints, endpoints);
+    assert_eq!(decode(&encode("c", &endpoints, &zones), &zones).endpoints, endpoints);
 }
 
 #[test]
 fn duplicate_and_invalid_entries_are_left_out_and_counted() {
     let addresses = ["127.0.0.1:80", "127.0.0.1:80", "127.0.0.1:0", "0.0.0.0:80", "127.0.0.1:81"];
     let endpoints: Vec<_> = addresses.iter().map(|id| endpoint(id, 0, Lifecycle::Running)).collect();
-    let mut assignment = write("c", &endpoints, &[]);
+    let mut assignment = encode("c", &endpoints, &[]);
     assignment.endpoints[0].lb_endpoints.push(LbEndpoint::default());
-    let list = read(&assignment, &[]);
+    let list = decode(&assignment, &[]);
     assert_eq!((list.endpoints.len(), list.duplicate, list.invalid), (2, 1, 3));
 }
--- a/fuzz/fuzz_targets/fleet.rs
+++ b/fuzz/fuzz_targets/fleet.rs
@@ -2,13 +2,13 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use weirusher_fleet::{Authenticator, Header, MAX_DATAGRAM_BYTES, Membership, Settings};
+use weirusher_fleet::{Authenticator, Header, MAX_DATAGRAM_BYTES, Membership, MembershipSettings};
 
 const KEY: &[u8] = b"a key for tests, of 32 bytes and more";
 
 fuzz_target!(|datagrams: Vec<(bool, Vec<u8>)>| {
     let members = (0..4).map(|n| ([127, 0, 0, 1], 2000 + n).into()).collect();
-    let settings = Settings { instance: 0, members, key: KEY.to_vec() };
+    let settings = MembershipSettings { instance: 0, members, key: KEY.to_vec() };
     let mut membership = Membership::new(settings, 9, 1, 0).expect("the settings are valid");
     let authenticator = Authenticator::new(KEY).expect("the key is long enough");
     for (sequence, (valid_header, content)) in (1u64..).zip(datagrams) {
--- a/src/bin/weirusher-benchlink/decode.rs
+++ b/src/bin/weirusher-benchlink/decode.rs
@@ -136,7 +136,7 @@
 fn load_report(fields: &Fields<'_>, position: usize) -> LoadReport {
     let number = |key| fields.optional(position).and_then(|report| report.get(key)).and_then(Value::as_f64);
     let mut load = LoadReport::default();
-    load.inflight = number("busy_reqs");
-    load.util = number("cpu_share");
+    load.in_flight = number("busy_reqs");
+    load.cpu_utilization = number("cpu_share");
     load
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -28,9 +28,9 @@
 #[non_exhaustive]
 pub struct LoadReport {
     /// Requests in flight at the backend.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Fraction of the backend's processor time in use.
-    pub util: Option<f64>,
+    pub cpu_utilization: Option<f64>,
 }
 
 /// An event that a gateway handles.
