--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -32,7 +32,7 @@
     std::fs::File::create(&file).unwrap().write_all(bad.as_bytes()).unwrap();
     let output = weirusher(&["check", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2), "{}", errors(&output));
-    for part in ["`gateways` is meant?", "only loopback is served", "2 problems"] {
+    for part in ["did you mean `gateways`?", "only loopback is served", "2 problems"] {
         assert!(errors(&output).contains(part), "{part}: {}", errors(&output));
     }
     assert_eq!(weirusher(&["audit", "Cargo.toml"]).status.code(), Some(2));
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -168,10 +168,18 @@
         text.replace("127.0.0.1:7401", "127.0.0.1:7400").replace("0123456789abcdef0123456789abcdef", "short")
     });
     assert_eq!(code, Some(2), "{errors}");
-    for part in ["fleet.toml:4:", "as member 0 is", "can be guessed", "2 problems"] {
+    for part in [
+        "fleet.toml:4:",
+        "member 1 has the address 127.0.0.1:7400 of member 0",
+        "can be guessed",
+        "2 problems",
+    ] {
         assert!(errors.contains(part), "{part}: {errors}");
     }
     let (code, errors) = start(&|text| text.replace("number = 0", "number = 1"));
     assert_eq!(code, Some(1), "{errors}");
-    assert!(errors.contains("[fleet] is of gateway 1 of 2, the configuration of 0 of 2"), "{errors}");
+    assert!(
+        errors.contains("[fleet] is for gateway 1 of 2, but the configuration is for gateway 0 of 2"),
+        "{errors}"
+    );
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -88,7 +88,7 @@
             table.problems.add(text.offset, message, hint);
         } else if let Some(first) = numbers_by_address.insert(address, number) {
             let hint = "member addresses must be unique".to_string();
-            let message = format!("member {number} is at {address}, as member {first} is");
+            let message = format!("member {number} has the address {address} of member {first}");
             table.problems.add(text.offset, message, hint);
         }
         members.push(address);
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -232,7 +232,9 @@
             let name = &key.value;
             let closest = known.iter().map(|known| (strsim::damerau_levenshtein(known, name), known)).min();
             let hint = match closest {
-                Some((distance, known)) if distance <= 1 + name.len() / 4 => format!("`{known}` is meant?"),
+                Some((distance, known)) if distance <= 1 + name.len() / 4 => {
+                    format!("did you mean `{known}`?")
+                }
                 _ => format!("known keys: {}", known.join(", ")),
             };
             self.problems.add(key.offset, format!("unknown key `{name}` in {}", self.name), hint);
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -49,7 +49,7 @@
 #[test]
 fn each_problem_has_its_line_and_a_hint() {
     for (from, to, line, expected) in [
-        ("gateways = 3", "gatewys = 3", 6, "`gateways` is meant?"),
+        ("gateways = 3", "gatewys = 3", 6, "did you mean `gateways`?"),
         ("burst = 4", "burst = \"four\"", 24, "expected a number"),
         ("burst = 4", "burst = -4", 24, "cannot be -4"),
         ("number = 0", "number = 3", 4, "below 3"),
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -31,7 +31,7 @@
         (
             "127.0.0.1:7401",
             "127.0.0.1:7400",
-            "fleet.toml:4:30: member 1 is at 127.0.0.1:7400, as member 0 is",
+            "fleet.toml:4:30: member 1 has the address 127.0.0.1:7400 of member 0",
         ),
         (
             "127.0.0.1:7401",
@@ -46,7 +46,7 @@
         ("key = \"0123456789abcdef0123456789abcdef\"", "", "[fleet] lacks `key`"),
         ("0123456789abcdef0123456789abcdef", "short", "fleet.toml:5:7: a key of 5 bytes can be guessed"),
         (", \"127.0.0.1:7401\", \"127.0.0.1:7402\"", "", "a fleet of 1 members"),
-        ("members =", "member =", "`members` is meant?"),
+        ("members =", "member =", "did you mean `members`?"),
         ("[fleet]", "[flete]", "the file lacks `[fleet]`"),
     ] {
         let text = render_problems(from, to);
--- a/crates/node/src/run_error.rs
+++ b/crates/node/src/run_error.rs
@@ -30,7 +30,8 @@
     Fleet(#[from] weirusher_peers::StartError),
     /// The fleet file is for another instance or for a fleet of another size.
     #[error(
-        "[fleet] is of gateway {fleet_instance} of {fleet_size}, the configuration of {instance} of {instances}"
+        "[fleet] is for gateway {fleet_instance} of {fleet_size}, \
+         but the configuration is for gateway {instance} of {instances}"
     )]
     FleetMismatch {
         /// The instance that the fleet file is for.
