--- a/crates/cli/tests/node/backends.rs
+++ b/crates/cli/tests/node/backends.rs
@@ -161,8 +161,9 @@
     }
 }
 
+/// The duplicate arrives some milliseconds after the response.
 #[tokio::test]
-async fn a_duplicate_response_some_milliseconds_later_is_not_forwarded() {
+async fn a_late_duplicate_response_is_not_forwarded() {
     let harness = Harness::start(1).await;
     harness.backends[0].set_script(|request| match echo(request) {
         Reply::Bytes(bytes) => Reply::Duplicate(Duration::from_millis(5), bytes),
--- a/crates/cli/tests/node/idle_connections.rs
+++ b/crates/cli/tests/node/idle_connections.rs
@@ -76,7 +76,7 @@
 /// A middlebox drops all packets of established connections. Each connection fails one attempt at most, and every
 /// request gets a response in time.
 #[tokio::test]
-async fn idle_connections_dropped_by_a_middlebox_fail_one_attempt_each() {
+async fn idle_connections_dropped_by_a_middlebox() {
     const DEADLINE: Duration = Duration::from_secs(3);
     for is_unsafe in [false, true] {
         let mut backends = Vec::new();
--- a/crates/cli/tests/node/system_calls.rs
+++ b/crates/cli/tests/node/system_calls.rs
@@ -287,7 +287,7 @@
 
 /// The connection breaks after the last byte of the request was sent.
 #[tokio::test]
-async fn a_non_idempotent_request_is_not_retried_on_a_broken_connection() {
+async fn a_sent_non_idempotent_request_is_not_retried() {
     for errno in [Errno::ETIMEDOUT, Errno::EHOSTUNREACH] {
         let shim = FaultShim::new().unwrap();
         let harness = Harness::start_with_shim(3, &shim, |text| text).await;
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -16,8 +16,9 @@
     FleetConfig::parse(&text).expect_err("an invalid file was accepted").render("fleet.toml", &text)
 }
 
+/// Without the key `listen`, the member listens at its own address.
 #[test]
-fn a_valid_file_is_read_and_listens_at_its_own_address_by_default() {
+fn a_valid_file_is_read() {
     let config = FleetConfig::parse(VALID).unwrap();
     assert_eq!((config.settings.instance, config.settings.members.len()), (1, 3));
     assert_eq!(config.listen, config.settings.members[1]);
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn subscriber_receives_heartbeats_until_the_subscription_expires() {
+fn a_subscriber_receives_heartbeats_until_expiry() {
     const SIZE: u16 = 40;
     let rings = Rings::new(SIZE);
     let neighbours = [rings.observers(0, |_| false), rings.subjects(0, |_| false)].concat();
--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -94,7 +94,7 @@
 /// A new customer with fractional shares is admitted at some gateways only, and at no others after a restart.
 /// Guards against a burst of one request at every gateway, and another one after each restart.
 #[test]
-fn a_new_customer_is_admitted_at_the_same_gateways_after_a_restart() {
+fn a_restart_admits_a_new_customer_at_the_same_gateways() {
     const GATEWAYS: u32 = 200;
     let mut settings = settings();
     settings.has_counter = false;
