--- a/crates/cli/tests/node/idle_connections.rs
+++ b/crates/cli/tests/node/idle_connections.rs
@@ -76,7 +76,7 @@
 /// A middlebox drops all packets of established connections. Each connection fails one attempt at most, and every
 /// request gets a response in time.
 #[tokio::test]
-async fn idle_connections_dropped_by_a_middlebox_fail_one_attempt_each() {
+async fn idle_connections_dropped_by_a_middlebox() {
     const DEADLINE: Duration = Duration::from_secs(3);
     for is_unsafe in [false, true] {
         let mut backends = Vec::new();
@@ -100,7 +100,7 @@
         assert_eq!(statuses(&send_concurrently(1).await), [200]);
         assert_eq!(statuses(&send_concurrently(2).await), [200; 2]);
         tokio::time::sleep(REUSE_PAUSE).await;
-        let pooled: u64 = backends.iter().map(|(backend, _)| backend.connections()).sum();
+        let pooled: u64 = backends.iter().map(|(backend, _)| backend.accepted_connections()).sum();
         backends.iter().for_each(|(_, link)| link.blackhole());
         // Each dropped connection fails one attempt at most; a new connection works.
         let mut failed = 0;
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -16,8 +16,9 @@
     FleetConfig::parse(&text).expect_err("an invalid file was accepted").render("fleet.toml", &text)
 }
 
+/// Without the key `listen`, the member listens at its own address.
 #[test]
-fn a_valid_file_is_read_and_listens_at_its_own_address_by_default() {
+fn a_valid_file_is_read() {
     let config = FleetConfig::parse(VALID).unwrap();
     assert_eq!((config.settings.instance, config.settings.members.len()), (1, 3));
     assert_eq!(config.listen, config.settings.members[1]);
@@ -31,7 +32,7 @@
         (
             "127.0.0.1:7401",
             "127.0.0.1:7400",
-            "fleet.toml:4:30: member 1 is at 127.0.0.1:7400, as member 0 is",
+            "fleet.toml:4:30: member 1 has the address 127.0.0.1:7400 of member 0",
         ),
         (
             "127.0.0.1:7401",
@@ -46,7 +47,7 @@
         ("key = \"0123456789abcdef0123456789abcdef\"", "", "[fleet] lacks `key`"),
         ("0123456789abcdef0123456789abcdef", "short", "fleet.toml:5:7: a key of 5 bytes can be guessed"),
         (", \"127.0.0.1:7401\", \"127.0.0.1:7402\"", "", "a fleet of 1 members"),
-        ("members =", "member =", "`members` is meant?"),
+        ("members =", "member =", "did you mean `members`?"),
         ("[fleet]", "[flete]", "the file lacks `[fleet]`"),
     ] {
         let text = render_problems(from, to);
--- a/crates/node/src/run_error.rs
+++ b/crates/node/src/run_error.rs
@@ -22,7 +22,7 @@
     /// The node cannot listen on the address for clients.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The decision module rejects the settings.
+    /// The policy rejects the settings.
     #[error("invalid configuration {0}: {1}")]
     Settings(PathBuf, EngineError),
     /// The fleet membership cannot start.
@@ -30,7 +30,8 @@
     Fleet(#[from] weirusher_peers::StartError),
     /// The fleet file is for another instance or for a fleet of another size.
     #[error(
-        "[fleet] is of gateway {fleet_instance} of {fleet_size}, the configuration of {instance} of {instances}"
+        "[fleet] is for gateway {fleet_instance} of {fleet_size}, \
+         but the configuration is for gateway {instance} of {instances}"
     )]
     FleetMismatch {
         /// The instance that the fleet file is for.
