--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -41,19 +41,19 @@
     EndpointList {
         /// What the entries are.
         kind: EndpointListKind,
-        /// The entries.
+        /// The entries of the list or of the change.
         endpoints: Vec<Endpoint>,
     },
     /// A request arrived. It gets exactly one response, from a backend or from the gateway.
     Request(Request),
     /// A streamed response has begun.
     ResponseStarted {
-        /// The request.
+        /// Id of the request that the response belongs to.
         request: RequestId,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Id of the request that the attempt belongs to.
         request: RequestId,
         /// Number of the attempt within the request, from 0.
         attempt: u32,
@@ -72,7 +72,7 @@
     },
     /// The client closed its connection, so no response is pending any more.
     ClientGone {
-        /// The request.
+        /// Id of the request that needs no response any more.
         request: RequestId,
     },
     /// A timer is due.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -152,8 +152,8 @@
     /// [`Settings::instances`] is 0.
     #[error("number of gateways is 0")]
     NoInstances,
-    /// [`Settings::instance`] is not below [`Settings::instances`].
-    #[error("index of this gateway is not below the number of gateways")]
+    /// [`Settings::instance`] is not less than [`Settings::instances`].
+    #[error("the index of this gateway must be less than the number of gateways")]
     InstanceOutOfRange,
     /// The number with this configuration key is negative, infinite or NaN.
     #[error("{0} must be a finite number that is not negative")]
--- a/src/policy/customer.rs
+++ b/src/policy/customer.rs
@@ -20,7 +20,7 @@
     /// The window that the lease belongs to.
     pub(super) lease_window: u64,
     /// The last lease was not granted in full.
-    pub(super) partly_granted: bool,
+    pub(super) not_fully_granted: bool,
     /// Units spent without a lease.
     pub(super) uncounted: Uncounted,
     /// Recent demand.
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -3,7 +3,7 @@
 //!
 //! A call adds to the customer's count the units that the waiting requests need, a second of recent demand,
 //! and the units that the gateway has spent without a lease. The total in the response determines how much of
-//! that is granted (`settlement`). Requests wait a few milliseconds at most; then the fallback limit decides.
+//! that is granted (`settlement`). Requests wait at most a few milliseconds; then the fallback limit decides.
 //!
 //! Inputs: the customer's recent demand and last known level (units), the status of counter calls, the
 //! counter's timeout in seconds.
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,9 +1,9 @@
 //! Outlier ejection: a backend whose attempts fail gets no further attempts for some time.
 //!
 //! A backend is ejected after [`EJECT_AFTER_FAILURES`] consecutive failures, or at once if it refuses a
-//! connection, which shows that its process is gone. Each further ejection is twice as long, until an attempt
-//! is served. No backend is ejected while many others are: failures at so many have a common cause, and the
-//! rest could not carry the load.
+//! connection, which shows that its process has exited. Each further ejection is twice as long, until an
+//! attempt is served. No backend is ejected while many others are: failures at so many have a common cause,
+//! and the rest could not carry the load.
 //!
 //! Inputs: the status of each attempt, the seconds since it was sent, the connect timeout in seconds.
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -2,8 +2,8 @@
 //!
 //! A request uses the first of these that is available: the lease; a call for a lease, in flight or new; the
 //! fallback limit if no call can be made. A request beyond the quota is rejected at once with a Retry-After,
-//! unless its weight in the plan exceeds its cost and there is spare capacity. Under a ceiling it must also
-//! fit into the headroom.
+//! unless the plan's over-quota weight exceeds its over-quota cost, the plan has no concurrency limit, and
+//! there is spare capacity. Under a ceiling it must also fit into the headroom.
 //!
 //! Inputs: the plan, the units of the request, the customer's last known level.
 
@@ -24,14 +24,14 @@
 }
 
 impl Customer {
-    /// Returns whether a recently known level shows that a call for a lease of `units` would be granted
-    /// nothing. If the last lease was granted in part, all gateways wait until the refill covers one request
-    /// for each of them, or half a burst.
+    /// Returns whether the last known level is recent and shows that a lease would not cover `units`. If the
+    /// last lease was not granted in full, the gateways wait until the refill covers one request for each of
+    /// them, or as many requests as half a burst has units, if those are fewer.
     fn level_exhausted(&self, now: Time, plan: &Plan, units: f64) -> bool {
         let recent = self.level.filter(|level| now - level.at < LEVEL_REFRESH_SECONDS);
         let Some(mut level) = recent else { return false };
         let requests =
-            if self.partly_granted { f64::from(self.instances).min(plan.burst / 2.0) } else { 1.0 };
+            if self.not_fully_granted { f64::from(self.instances).min(plan.burst / 2.0) } else { 1.0 };
         let needed = requests.max(1.0) * units;
         level.refill(now, plan.rate, plan.burst) + self.lease + UNIT_TOLERANCE < needed
     }
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Rejects a request beyond the quota, or sends it if its weight exceeds its cost and capacity is spare.
+    /// Rejects a request beyond the quota, or sends it if the plan's over-quota weight exceeds its over-quota
+    /// cost, the plan has no concurrency limit, there is spare capacity, and the ceiling covers the request.
     pub(super) fn over_quota(&mut self, id: &RequestId, plan: &Plan) {
         let request = &self.requests[id].request;
         let (units, customer_id) = (request.units, request.customer.clone());
@@ -143,7 +144,8 @@
         if plan.max_concurrent == 0 || customer.attempts_in_flight < max_concurrent {
             self.send_first_attempt(id);
         } else {
-            // Not sent. The units are on the count or will be added to it, so they go to the lease.
+            // The request is not sent. Its units are on the count or will be added to it, so they go to the
+            // lease, for a later request.
             customer.lease += units;
             self.respond_locally(id, self.latency.mean, Reason::ConcurrencyLimit);
         }
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -2,8 +2,8 @@
 //!
 //! In each window the count may grow to the burst plus what the rate has refilled since the window began.
 //! Four rules apply to the total that a call for a lease returns, in this order:
-//! 1. *Reset*: a count that was at 0 before the call is either new in its window, or the counter has lost its
-//!    data. The level known before then bounds what remains.
+//! 1. *Reset*: if the count was 0 before the call, either the window is new or the counter has lost its data.
+//!    In both cases the level that this gateway last knew bounds what remains.
 //! 2. *Grant*: whole units are granted, as far as they remain; units requested beyond that are taken back.
 //! 3. *Fallback*: the fallback limit is set to this gateway's share of what is left.
 //! 4. *Correction*: units that were not granted are subtracted from the count; units that expire because the
@@ -43,7 +43,7 @@
 /// The calls to make after a settlement.
 #[derive(Debug, Clone, Copy)]
 struct FollowUp {
-    /// Units to add to the count, mostly negative.
+    /// Change to make to the count, in units: negative if units are given back, positive if units expired.
     correction: f64,
     /// The previous window's count has to be read.
     reads_previous: bool,
@@ -56,7 +56,7 @@
     granted: f64,
     /// Units that remain of the quota.
     level: f64,
-    /// Units to add to the count, mostly negative: those requested but not granted are subtracted.
+    /// Change to make to the count, in units: not positive, as units that were not granted are subtracted.
     correction: f64,
 }
 
@@ -65,8 +65,8 @@
     fn new(call: &Call, lease: LeaseRequest, remaining: f64, plan: &Plan) -> Self {
         let LeaseRequest { requested, uncounted } = lease;
         let granted = requested.min((remaining - uncounted + UNIT_TOLERANCE).floor().max(0.0));
-        // The rest is the estimate for fractional shares. It may lower the level below 0, by a burst at most,
-        // so that the lease whose call reports it is not charged for it.
+        // The rest of the call is an estimate of the units spent from fractional shares. They reduce the
+        // level, to no less than minus one burst, instead of the units granted by this call.
         let estimate = call.amount - requested - uncounted;
         let available = remaining - uncounted - granted + plan.burst;
         let counted = estimate.min(available.max(0.0));
@@ -89,8 +89,8 @@
     ) -> FollowUp {
         let SettlementContext { now, plan, unavailable, .. } = *context;
         let reading = CountReading::new(call, total, plan, now, &self.count);
-        // The gateway's own uncounted units are subtracted before any units expire; other gateways report
-        // theirs later.
+        // After an outage the count lacks units that were spent. This gateway's own are subtracted before any
+        // units expire; those of other gateways are not known here until they are reported.
         let own_uncounted = if unavailable { lease.uncounted + self.uncounted.units.max(0.0) } else { 0.0 };
         let unexpired = reading.remaining.min(plan.burst + own_uncounted);
         let remaining = self.reconcile(&reading, unexpired, context);
@@ -98,7 +98,7 @@
 
         let grant = Grant::new(call, lease, remaining, plan);
         self.lease += grant.granted;
-        self.partly_granted = grant.granted < lease.requested;
+        self.not_fully_granted = grant.granted < lease.requested;
         self.level = Some(TokenBucket { level: grant.level, at: now });
 
         self.refill_fallback(now, plan);
@@ -110,8 +110,8 @@
 
         let mut correction = grant.correction;
         let expired = reading.remaining - if restores { remaining } else { unexpired };
-        // No slack where other gateways rely on the exact count: at the start of a window, and while
-        // uncounted units are still to be subtracted.
+        // Up to `slack` expired units are left uncorrected. There is no slack where other gateways rely on
+        // the exact count: at the start of a window, and while uncounted units are still to be subtracted.
         let slack = if reading.first || unavailable { 0.0 } else { EXPIRY_SLACK_FRACTION * plan.burst };
         if expired > slack || restores {
             correction += expired;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: how many units a backend may be sent while it warms up.
 //!
 //! A backend in slow start has a token bucket of units. The rate of the bucket is derived from the mean load
-//! per backend, the guaranteed capacity of a backend of its age, and the multiple of that capacity at which
-//! it would be overloaded. As each gateway derives the budget from its own part of the load, the sum over
-//! all gateways stays below that multiple.
+//! per backend, the capacity that a backend of its age is guaranteed to have, and the multiple of it at which
+//! the backend would be overloaded (`overload_multiple`). As each gateway derives the budget from its own
+//! part of the load, the sum over all gateways stays below that multiple.
 //!
 //! Inputs: units sent, the age of the backend in seconds, the slow-start parameters in the settings.
 
@@ -35,8 +35,8 @@
     }
 
     /// Returns the number of running backends as a fraction of its recent peak. When the list shrinks while
-    /// backends restart, each remaining one carries more load; this fraction keeps the budget of a backend in
-    /// slow start, whose capacity is unchanged, from rising with it.
+    /// backends restart, each remaining one carries more load. Multiplying the mean load by this fraction
+    /// undoes that rise: a backend in slow start has no more capacity because others are missing.
     fn running_fraction(&mut self, now: Time, running: usize) -> f64 {
         let running = running as f64;
         running / self.peak_running.observe(now, running, PEAK_MEMORY_SECONDS)
@@ -50,9 +50,10 @@
         + (1.0 - settings.slow_start_min_capacity) * (age / settings.slow_start_seconds).max(0.0)
 }
 
-/// Returns the level of a bucket for single units that was refilled without a bound: at most one unit, which
-/// expires `lifetime` seconds after it became available. Without the expiry all gateways would save units
-/// while their traffic is low and spend them together as it rises.
+/// Returns the units that may be spent from a bucket too small for more than one unit, whose `level` was
+/// refilled without a bound: the fraction of a unit, and at most one whole unit, which expires `lifetime`
+/// seconds after it became available. Without the expiry all gateways would save units while their traffic
+/// is low and spend them together as it rises.
 fn unexpired_level(level: f64, rate: f64, lifetime: f64) -> f64 {
     if level < 1.0 {
         return level;
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -26,7 +26,7 @@
 pub(super) const DEMAND_MEMORY_SECONDS: f64 = 1.0;
 /// Age up to which a quota level reported by the counter is used.
 pub(super) const LEVEL_REFRESH_SECONDS: f64 = 1.0;
-/// Fraction of the counter's timeout that a request waits for a lease at most.
+/// Longest wait of a request for a lease, as a fraction of the counter's timeout.
 pub(super) const COUNTER_WAIT_FRACTION: f64 = 0.4;
 /// Fraction of a customer's gateways that admit a first request although their share is below one request. If
 /// all of them did, the customer would get many times its burst.
--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -37,7 +37,7 @@
     Some(backend)
 }
 
-/// The ceiling holds without the counter and even if most gateways restart.
+/// The ceiling is not exceeded without a counter, even if most gateways restart.
 #[test]
 fn fractional_shares_keep_the_ceiling_over_restarts() {
     const GATEWAYS: u32 = 60;
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -186,7 +186,7 @@
 /// Each gateway plans its part on its own. The sum stays within the limit for any number of gateways, with one or
 /// half of the backends restarted, and also if half of the list is removed at the same time.
 #[test]
-fn slow_start_holds_with_any_number_of_gateways() {
+fn slow_start_limit_is_kept_with_any_number_of_gateways() {
     let changes = [
         ListChange { rate: 1.0, swing: 0.5, remaining: 12, restarted: 1 },
         ListChange { rate: 2.0, swing: 0.9, remaining: 12, restarted: 6 },
@@ -197,9 +197,9 @@
 }
 
 /// Guards against a budget that rises with the load per remaining backend, as the capacity of a backend in slow
-/// start does not rise.
+/// start does not rise. At least two thirds of the list are removed.
 #[test]
-fn slow_start_holds_when_two_thirds_of_the_list_are_removed() {
+fn slow_start_budget_does_not_rise_as_the_list_shrinks() {
     let changes = [
         ListChange { rate: 1.0, swing: 0.5, remaining: 4, restarted: 1 },
         ListChange { rate: 5.0, swing: 0.9, remaining: 4, restarted: 1 },
@@ -211,8 +211,9 @@
 }
 
 /// Guards against units that all gateways save while their traffic is low and spend together as it rises.
+/// Three quarters of the list are removed.
 #[test]
-fn slow_start_holds_when_three_quarters_of_the_list_are_removed() {
+fn saved_units_are_not_spent_together() {
     let change = |rate, swing| ListChange { rate, swing, remaining: 3, restarted: 1 };
     let changes: Vec<_> =
         [1.0, 5.0, 10.0, 40.0].into_iter().flat_map(|rate| [change(rate, 0.0), change(rate, 0.9)]).collect();
