--- a/crates/config/src/address.rs
+++ b/crates/config/src/address.rs
@@ -13,7 +13,7 @@
     match table.string(key) {
         Some(text) => loopback_address(table, key, &text),
         None if default.is_none() => {
-            table.missing(key, "expected an address such as \"127.0.0.1:9000\"");
+            table.report_missing(key, "expected an address such as \"127.0.0.1:9000\"");
             None
         }
         None => default.and_then(|default| default.parse().ok()),
--- a/crates/config/src/classes.rs
+++ b/crates/config/src/classes.rs
@@ -24,7 +24,7 @@
             table.finish();
         }
         if classes.is_empty() {
-            root.missing("[[class]]", "expected at least one class, with `name` and `aim_ms`");
+            root.report_missing("[[class]]", "expected at least one class, with `name` and `aim_ms`");
         }
         Self { classes, names }
     }
--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -97,7 +97,7 @@
             name.value
         }
         None => {
-            table.missing("name", "expected a name, by which other tables refer to this one");
+            table.report_missing("name", "expected a name, by which other tables refer to this one");
             String::new()
         }
     };
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -43,7 +43,7 @@
         table::parse(source, "the file", |root| {
             let config = Self::read(root, FleetFile::Standalone);
             if config.is_none() {
-                root.missing("[fleet]", "expected a table with `number`, `members` and `key`");
+                root.report_missing("[fleet]", "expected a table with `number`, `members` and `key`");
             }
             config
         })
@@ -75,7 +75,8 @@
 
 fn read_members(table: &mut Table<'_, '_>, file: FleetFile) -> Vec<SocketAddr> {
     let Some(addresses) = table.strings("members") else {
-        table.missing("members", "expected the address of each gateway, in the order of their numbers");
+        table
+            .report_missing("members", "expected the address of each gateway, in the order of their numbers");
         return Vec::new();
     };
     let mut members: Vec<SocketAddr> = Vec::with_capacity(addresses.len().min(MAX_MEMBERS));
@@ -114,7 +115,7 @@
 
 fn read_number(table: &mut Table<'_, '_>, members: usize) -> u32 {
     let Some(number) = table.optional_number("number", 0.0..=(MAX_MEMBERS - 1) as f64) else {
-        table.missing("number", "expected the index of this gateway in `members`, from 0");
+        table.report_missing("number", "expected the index of this gateway in `members`, from 0");
         return 0;
     };
     if number.value.fract() != 0.0 || number.value as usize >= members {
@@ -126,7 +127,7 @@
 
 fn read_key(table: &mut Table<'_, '_>) -> Vec<u8> {
     match table.string("key") {
-        None => table.missing("key", "expected a secret that only the gateways of this fleet know"),
+        None => table.report_missing("key", "expected a secret that only the gateways of this fleet know"),
         Some(key) if key.value.len() < MIN_KEY_BYTES => {
             let message = format!("a key of {} bytes can be guessed", key.value.len());
             table.problems.add(
--- a/crates/config/src/listen.rs
+++ b/crates/config/src/listen.rs
@@ -30,7 +30,7 @@
 impl Listen {
     pub fn read(root: &mut Table<'_, '_>) -> Option<Self> {
         let Some(mut table) = root.table("listen") else {
-            root.missing("[listen]", "expected a table with `ext_authz` and `admin`");
+            root.report_missing("[listen]", "expected a table with `ext_authz` and `admin`");
             return None;
         };
         let ext_authz = address(&mut table, "ext_authz", None);
--- a/crates/config/src/plans.rs
+++ b/crates/config/src/plans.rs
@@ -19,7 +19,7 @@
             table.finish();
         }
         if plans.is_empty() {
-            root.missing("[[plan]]", "expected at least one plan, with `name`, `rate` and `burst`");
+            root.report_missing("[[plan]]", "expected at least one plan, with `name`, `rate` and `burst`");
         }
         Self { plans, names }
     }
--- a/crates/config/src/request_rules.rs
+++ b/crates/config/src/request_rules.rs
@@ -29,7 +29,7 @@
 /// The class of requests whose path starts with a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The path prefix.
+    /// Prefix of the paths that the route applies to.
     pub prefix: String,
     /// The index of the class.
     pub class: usize,
@@ -129,7 +129,7 @@
                     let class = find_name(root, &classes.names, &class, "class");
                     self.routes.extend(class.map(|class| Route { prefix, class }));
                 }
-                None => table.missing("class", "expected the name of a [[class]]"),
+                None => table.report_missing("class", "expected the name of a [[class]]"),
             }
             table.finish();
         }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -16,7 +16,7 @@
 /// Reads `[instance]`: the number of this gateway, the number of gateways, and the zone.
 pub(crate) fn read_instance(root: &mut Table<'_, '_>, settings: &mut Settings) {
     let Some(mut table) = root.table("instance") else {
-        return root.missing("[instance]", "expected a table with `number` and `gateways`");
+        return root.report_missing("[instance]", "expected a table with `number` and `gateways`");
     };
     settings.instances = table.whole_number("gateways", 1, 1..=MAX_INSTANCES);
     settings.instance = table.whole_number("number", 0, 0..=MAX_INSTANCES - 1);
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -30,8 +30,8 @@
     known_keys: RefCell<Vec<&'static str>>,
 }
 
-/// Parses a file, and reads its root table with `read`, which takes all keys that it knows. `name` denotes
-/// the root table in messages.
+/// Parses a file, and reads its root table with `read`. Keys that `read` does not take are reported as
+/// unknown. Messages call the root table `name`.
 pub(crate) fn parse<T>(
     source: &str,
     name: &str,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Reads a number within bounds. Returns the default if it is missing or invalid.
+    /// Reads a number within bounds. Returns the default if it is missing or, which is reported, invalid.
     pub fn number(&mut self, key: &'static str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
         self.optional_number(key, bounds).map_or(default, |number| number.value)
     }
@@ -139,7 +139,8 @@
         Some(Located { value: number, offset })
     }
 
-    /// Reads a whole number within bounds. Returns the default if it is missing or invalid.
+    /// Reads a whole number within bounds. Returns the default if it is missing or, which is reported,
+    /// invalid.
     pub fn whole_number(&mut self, key: &'static str, default: u32, bounds: RangeInclusive<u32>) -> u32 {
         let bounds = f64::from(*bounds.start())..=f64::from(*bounds.end());
         let Some(Located { value: number, offset }) = self.optional_number(key, bounds) else {
@@ -221,8 +222,8 @@
     }
 
     /// Reports that a required key is missing.
-    pub fn missing(&self, key: &str, hint: &str) {
-        self.add_problem(format!("{} lacks `{key}`", self.name), hint.to_string());
+    pub fn report_missing(&self, key: &str, hint: &str) {
+        self.add_problem(format!("`{key}` is missing in {}", self.name), hint.to_string());
     }
 
     /// Reports all keys that have not been read as unknown.
--- a/crates/config/src/ticket_keys.rs
+++ b/crates/config/src/ticket_keys.rs
@@ -9,7 +9,7 @@
 
 pub(crate) fn read(root: &mut Table<'_, '_>) -> Vec<Key> {
     let Some(mut table) = root.table("tickets") else {
-        root.missing(
+        root.report_missing(
             "[tickets]",
             "expected a table with [[tickets.keys]], the same on all gateways and backends",
         );
@@ -25,7 +25,7 @@
         key.finish();
     }
     if keys.is_empty() && ids.is_empty() {
-        table.missing("keys", "expected at least one [[tickets.keys]]; the first one signs");
+        table.report_missing("keys", "expected at least one [[tickets.keys]]; the first one signs");
     }
     table.finish();
     keys
@@ -33,7 +33,7 @@
 
 fn read_secret(key: &mut Table<'_, '_>) -> Option<Vec<u8>> {
     let Some(secret) = key.string("secret") else {
-        key.missing("secret", "expected a secret that only gateways and backends know");
+        key.report_missing("secret", "expected a secret that only gateways and backends know");
         return None;
     };
     if secret.value.len() < MIN_SECRET_BYTES {
--- a/crates/config/src/upstream.rs
+++ b/crates/config/src/upstream.rs
@@ -47,7 +47,10 @@
 impl DiscoveryConfig {
     pub(crate) fn read(root: &mut Table<'_, '_>, settings: &mut Settings) -> Option<Self> {
         let Some(mut table) = root.table("discovery") else {
-            root.missing("[discovery]", "expected a table with `address`, the address of the EDS server");
+            root.report_missing(
+                "[discovery]",
+                "expected a table with `address`, the address of the EDS server",
+            );
             return None;
         };
         settings.polls_endpoints = true;
--- a/crates/config/tests/config.rs
+++ b/crates/config/tests/config.rs
@@ -58,7 +58,7 @@
         ("secret = \"0123456789abcdef0123456789abcdef\"", "secret = \"x\"", 13, "can be guessed"),
         ("aim_ms = 2000", "aim_ms = 2000\npatience_ms = 1", 26, "`patience_ms` is less than `aim_ms`"),
         ("rate = 1.0", "rate = 1.0\nceiling_rate = 0.5\nceiling_burst = 9", 21, "below the quota"),
-        ("[discovery]\naddress = \"127.0.0.1:7000\"", "", 1, "lacks `[discovery]`"),
+        ("[discovery]\naddress = \"127.0.0.1:7000\"", "", 1, "`[discovery]` is missing in "),
     ] {
         let found = problems(from, to);
         let text = found.render("f", &VALID.replace(from, to));
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -42,12 +42,12 @@
         ("127.0.0.1:7401", "here", "fleet.toml:4:30: `members` is not an address"),
         ("number = 1", "number = 3", "fleet.toml:3:10: `number` in [fleet] is 3, of 3 members"),
         ("number = 1", "number = 0.5", "a whole number below 3"),
-        ("number = 1", "", "fleet.toml:2:1: [fleet] lacks `number`"),
-        ("key = \"0123456789abcdef0123456789abcdef\"", "", "[fleet] lacks `key`"),
+        ("number = 1", "", "fleet.toml:2:1: `number` is missing in [fleet]"),
+        ("key = \"0123456789abcdef0123456789abcdef\"", "", "`key` is missing in [fleet]"),
         ("0123456789abcdef0123456789abcdef", "short", "fleet.toml:5:7: a key of 5 bytes can be guessed"),
         (", \"127.0.0.1:7401\", \"127.0.0.1:7402\"", "", "a fleet of 1 members"),
         ("members =", "member =", "`members` is meant?"),
-        ("[fleet]", "[flete]", "the file lacks `[fleet]`"),
+        ("[fleet]", "[flete]", "`[fleet]` is missing in the file"),
     ] {
         let text = render_problems(from, to);
         assert!(text.contains(expected), "{to}: {text}");
--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -5,7 +5,7 @@
 /// The longest delay in seconds. It is shorter than the policy's refresh interval, so that all gateways
 /// reconnect to a recovered counter at about the same time and none settles its units long after the others.
 const MAX_DELAY_SECONDS: f64 = 0.25;
-/// Most doublings of the delay. Keeps the shift in range.
+/// Maximum number of doublings of the delay; keeps the shift from overflowing.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Delays that double with each failure, up to a maximum. Each is drawn at random between half of its nominal
--- a/crates/core/src/counter_connections.rs
+++ b/crates/core/src/counter_connections.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 use weirusher::Time;
 
-/// Most connections to one address of the counter. There are several, so that a response that never completes
-/// delays only the calls on its own connection.
+/// Maximum number of connections to one address of the counter. There are several, so that a response that
+/// never completes delays only the calls on its own connection.
 const MAX_CONNECTIONS: usize = 6;
 
 /// The connection on which a call is sent.
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -30,7 +30,7 @@
 pub enum EngineOutput {
     /// Deliver a check's outcome.
     CheckOutcome {
-        /// The check.
+        /// Identifies the check that is answered.
         caller: CallerId,
         /// Its outcome.
         outcome: CheckOutcome,
--- a/crates/core/src/engine/check.rs
+++ b/crates/core/src/engine/check.rs
@@ -27,7 +27,7 @@
 /// Asks whether an attempt may be sent, and to which backend.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Check {
-    /// The customer.
+    /// The customer whose quota the request uses.
     pub customer: CustomerId,
     /// Index of the customer's plan.
     pub plan: usize,
@@ -118,8 +118,8 @@
         self.abandon_request(now, request);
     }
 
-    /// Handles an outcome that could not be delivered because the client closed after the decision. Nobody
-    /// holds the ticket, so the attempt was not sent.
+    /// Handles an outcome that could not be delivered because the client closed after the decision. The
+    /// ticket has reached no client, so the attempt was not sent.
     pub fn handle_undelivered(&mut self, now: Time, delivery: DeliveryId) {
         let Some(attempt) = delivery.0 else { return };
         self.metrics.undelivered += 1;
--- a/crates/core/src/engine/report.rs
+++ b/crates/core/src/engine/report.rs
@@ -39,7 +39,7 @@
     Late,
     /// Another instance, or an earlier incarnation of this one, issued the ticket.
     OtherIssuer {
-        /// The issuing instance.
+        /// Number of the instance that issued the ticket.
         issuer: u32,
     },
     /// The ticket is not valid.
--- a/crates/core/src/overshoot_bound.rs
+++ b/crates/core/src/overshoot_bound.rs
@@ -30,9 +30,9 @@
         (self.burst / self.instances.max(1.0)).max(self.largest_request)
     }
 
-    /// Most units beyond the bucket after `restarts` gateway restarts and `counter_losses` losses of the
-    /// counter's contents. Counter outages add no term: units admitted during one are added to the counter
-    /// afterwards.
+    /// Maximum number of units admitted beyond the bucket if gateways restart `restarts` times and the
+    /// counter loses its data `counter_losses` times. Counter outages add no term: units admitted during one
+    /// are added to the counter afterwards.
     pub fn max_excess(&self, restarts: u32, counter_losses: u32) -> f64 {
         let fallback_limits = self.fallback_limit() * self.instances.max(1.0);
         let slack = EXPIRY_SLACK_FRACTION * self.burst;
--- a/crates/core/src/pipeline.rs
+++ b/crates/core/src/pipeline.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use weirusher::Time;
 
-/// Most pending calls on one connection. A further call is rejected at once.
+/// Maximum number of pending calls on one connection. A further call is rejected at once.
 const MAX_PENDING: usize = 4096;
 /// Age of a connection's oldest unanswered call, in call timeouts, from which on the connection counts as
 /// unresponsive.
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -7,8 +7,8 @@
 use std::collections::HashMap;
 use weirusher::Time;
 
-/// Most idle connections for one endpoint: enough that a pause after a burst of requests does not cost new
-/// connections.
+/// Maximum number of idle connections to one endpoint: enough to reuse, after a pause, those that a burst of
+/// requests has opened.
 const MAX_IDLE_PER_ENDPOINT: usize = 32;
 /// Seconds for which a connection is not reused after a response. A faulty backend may send a second response
 /// a few milliseconds after the first, which would be taken for the response to the next request.
--- a/crates/core/src/proxy/output.rs
+++ b/crates/core/src/proxy/output.rs
@@ -33,11 +33,11 @@
 /// An attempt to be started.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewAttempt {
-    /// The request.
+    /// Id of the request that it belongs to.
     pub request: RequestId,
     /// Number of the attempt within its request, from 0.
     pub number: u32,
-    /// The backend.
+    /// The backend to send it to.
     pub backend: BackendId,
     /// Seconds until the attempt times out.
     pub timeout: f64,
@@ -52,7 +52,7 @@
     Forward(NewAttempt),
     /// Abort an attempt and close its connection. Its end was already reported to the policy.
     Abort {
-        /// The request.
+        /// Id of the request that it belongs to.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
@@ -69,9 +69,9 @@
     },
     /// Send a response to the client.
     Respond {
-        /// The request.
+        /// Id of the request that is answered.
         request: RequestId,
-        /// The response.
+        /// Why the request was rejected or failed.
         outcome: Outcome,
     },
     /// An effect that does not concern a request.
--- a/crates/core/src/proxy/table.rs
+++ b/crates/core/src/proxy/table.rs
@@ -32,7 +32,7 @@
     pub class: usize,
     /// When its response must be written.
     pub deadline: Time,
-    /// The timer of its deadline; `None` once it has its response or was withdrawn.
+    /// The timer of its deadline while it is pending; `None` once it has its response or was withdrawn.
     deadline_timer: Option<TimerKey>,
     attempts: Vec<Attempt>,
     in_flight: usize,
@@ -44,7 +44,7 @@
         Self { class, deadline, deadline_timer: Some(deadline_timer), attempts: Vec::new(), in_flight: 0 }
     }
 
-    /// Its attempts so far, in the form that the guard checks.
+    /// The attempts of this request so far, as the guard needs them.
     pub fn prior_attempts(&self) -> Vec<PriorAttempt> {
         self.attempts.iter().map(Attempt::as_prior).collect()
     }
@@ -120,7 +120,8 @@
         self.pending += 1;
     }
 
-    /// Brings forward to `latest` all deadlines after it. `rearm` cancels the timer and sets one at `latest`.
+    /// Moves every deadline later than `latest` to `latest`. `rearm` must cancel the given timer and return a
+    /// new one at `latest`.
     pub fn cap_deadlines(&mut self, latest: Time, mut rearm: impl FnMut(TimerKey, &RequestId) -> TimerKey) {
         for (id, request) in &mut self.requests {
             let Some(timer) = request.deadline_timer.filter(|_| request.deadline > latest) else { continue };
@@ -132,7 +133,8 @@
     /// The state of an attempt that is about to be sent.
     ///
     /// # Errors
-    /// There is no such request or attempt.
+    /// [`SendError::NotPending`] if there is no such request, [`SendError::AttemptEnded`] if it has no such
+    /// attempt.
     pub fn send_conditions(
         &self,
         id: &str,
@@ -149,8 +151,8 @@
         })
     }
 
-    /// Records that a request has its response or was withdrawn. Returns the timer of its deadline, `None` if
-    /// that was recorded before.
+    /// Records that a request has its response or was withdrawn. Returns the timer to cancel;
+    /// `None` if the request is unknown or was no longer pending.
     pub fn end_pending(&mut self, id: &str) -> Option<TimerKey> {
         let timer = self.requests.get_mut(id)?.deadline_timer.take()?;
         self.pending -= 1;
--- a/crates/core/src/shutdown.rs
+++ b/crates/core/src/shutdown.rs
@@ -8,7 +8,8 @@
 use crate::stall::MAX_STALL;
 use weirusher::{Class, Time};
 
-/// Most seconds that the platform allows for the longest deadline before it kills a process.
+/// Maximum that the platform counts for the longest deadline when it determines the time of the kill, in
+/// seconds.
 const MAX_KILL_DEADLINE: f64 = 3.0;
 /// Seconds that the platform allows in addition to the longest deadline.
 const KILL_MARGIN: f64 = 0.7;
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -8,14 +8,14 @@
 use std::collections::HashMap;
 use weirusher::{BackendId, Endpoint, EndpointListKind, Time};
 
-/// Most backends whose start times are remembered. Those that are no longer listed are included: a backend
-/// that reappears in the list has not necessarily restarted.
+/// Maximum number of stored start times. Backends that are no longer listed are included: a backend that
+/// reappears in the list has not necessarily restarted.
 const MAX_BACKENDS: usize = 8192;
 /// Largest factor by which the capacity of a backend in slow start may be overestimated because its start
 /// time arrives late or comes from another clock. The policy assumes 0.4 of the capacity of a backend that
 /// has just started; with this error it uses 0.6 of it.
 const MAX_CAPACITY_ERROR: f64 = 1.5;
-/// Fewest seconds between the start times of a backend before and after a restart.
+/// Minimum time in seconds between the start times of a backend before and after a restart.
 const MIN_RESTART_SECONDS: f64 = 1e-3;
 
 #[derive(Debug)]
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -14,8 +14,8 @@
 use weirusher::Time;
 
 /// The wait of a long poll, as a fraction of the time within which the gateway must stop sending to a
-/// draining backend. Together with twice the grace it is half of that time; the rest is for reading the list
-/// and acting on it.
+/// draining backend. `wait + 2 * grace` is half of that time, unless the grace period is at one of its
+/// limits; the rest is for reading the list and acting on it.
 const WAIT_FRACTION: f64 = 0.25;
 /// The grace period of a response, as a fraction of the same time.
 const GRACE_FRACTION: f64 = 0.125;
@@ -25,10 +25,10 @@
 const MAX_GRACE: f64 = 0.5;
 /// The timing if discovery itself is polled, where each poll costs discovery work. If a change is missed
 /// because discovery does not respond, the gateway counts as notified of it no earlier than 6 s after
-/// discovery stopped responding.
+/// discovery stopped responding; `wait + 2 * grace` is less.
 const DIRECT: PollTiming = PollTiming { wait: 4.0, grace: 0.75 };
-/// Most connections at once. Before one more is opened, the second oldest is closed: the oldest is kept
-/// because discovery may only be slow, the later ones because discovery may have lost the first poll.
+/// Maximum number of open connections. To open another, the second oldest is closed: the oldest may still be
+/// answered if discovery is slow, the newest ones if discovery has lost the first poll.
 const MAX_CONNECTIONS: usize = 4;
 /// Random fraction of the pause before another connection is opened, so that the gateways of a fleet do not
 /// poll in lockstep.
@@ -58,7 +58,8 @@
         Self { wait: WAIT_FRACTION / GRACE_FRACTION * grace, grace }
     }
 
-    /// Most seconds from the time at which discovery responds again until a new poll is sent.
+    /// Maximum time, in seconds, between two responses while discovery responds in time, and from the time at
+    /// which it responds again until the next response.
     pub fn max_staleness(&self) -> f64 {
         self.wait + 2.0 * self.grace
     }
@@ -116,7 +117,7 @@
         self.timing.wait
     }
 
-    /// Most seconds between two responses while discovery responds.
+    /// Maximum time, in seconds, between two responses while discovery responds in time.
     pub fn max_staleness(&self) -> f64 {
         self.timing.max_staleness()
     }
--- a/crates/core/tests/proxy.rs
+++ b/crates/core/tests/proxy.rs
@@ -120,7 +120,7 @@
             match output {
                 ProxyOutput::Forward(NewAttempt { request: id, number: attempt, timeout, .. }) => {
                     assert!(!self.answered.contains_key(&id), "no attempt starts for an answered request");
-                    assert!(!self.client_gone.contains(&id), "no attempt starts for a client that is gone");
+                    assert!(!self.client_gone.contains(&id), "no attempt starts for a disconnected client");
                     assert!(self.now + timeout <= self.arrived[&id] + TIME_BUDGET);
                     assert!(
                         self.now + timeout <= self.respond_by + 1e-6,
--- a/crates/ext-authz/src/acceptor.rs
+++ b/crates/ext-authz/src/acceptor.rs
@@ -31,7 +31,7 @@
 impl Acceptor {
     /// Accepts until `stopped` is set and the backlog is empty, then drops the listener. Later connections
     /// are refused at once, so that their clients can try another instance instead of waiting in a backlog
-    /// that nobody accepts from.
+    /// from which no more connections are accepted.
     pub async fn accept(mut self, mut listener: Listener) {
         loop {
             let stream = tokio::select! {
--- a/crates/ext-authz/src/attributes.rs
+++ b/crates/ext-authz/src/attributes.rs
@@ -48,7 +48,7 @@
         self.by_name.get(name).map(String::as_str).into_iter().chain(values).collect()
     }
 
-    /// The value of a header that may occur once at most.
+    /// The value of a header that may occur at most once.
     fn one(&self, name: &str) -> Result<Option<&'a str>, AttributeError> {
         match self.all(name)[..] {
             [] => Ok(None),
--- a/crates/ext-authz/src/clients/discovery.rs
+++ b/crates/ext-authz/src/clients/discovery.rs
@@ -74,7 +74,7 @@
     /// Sends the cached list to the engine, then follows discovery until the engine task ends.
     pub async fn run(mut self) {
         let endpoints = match self.config.cache_file.clone() {
-            Some(file) => endpoint_cache::load_in_time(file).await,
+            Some(file) => endpoint_cache::load_with_timeout(file).await,
             None => Vec::new(),
         };
         let cached = ClientEvent::EndpointList { kind: EndpointListKind::StaleSnapshot, endpoints };
--- a/crates/ext-authz/src/endpoint_cache.rs
+++ b/crates/ext-authz/src/endpoint_cache.rs
@@ -19,7 +19,7 @@
 /// Time limit for loading the cached list at startup.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An endpoint in the cache file. Draining endpoints are not written.
+/// An endpoint in the cache file. Only running endpoints are written.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct CachedEndpoint {
     address: String,
@@ -48,11 +48,11 @@
 
 /// Loads the cached endpoint list on a blocking thread. Returns an empty list if that takes too long, so that
 /// a hung disk does not keep the gateway from contacting discovery.
-pub async fn load_in_time(path: PathBuf) -> Vec<Endpoint> {
+pub async fn load_with_timeout(path: PathBuf) -> Vec<Endpoint> {
     let file = path.clone();
     let loaded = tokio::task::spawn_blocking(move || load(&file));
     match tokio::time::timeout(LOAD_TIMEOUT, loaded).await {
-        Ok(loaded) => loaded.unwrap_or_default(), // An error is a panic, which the panic hook has logged.
+        Ok(loaded) => loaded.unwrap_or_default(), // `Err`: `load` panicked, which the hook has logged.
         Err(_) => {
             tracing::warn!(
                 path = %path.display(),
@@ -68,7 +68,7 @@
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(error) => {
-            tracing::info!(%error, path = %path.display(), "no cached endpoint list could be read");
+            tracing::info!(%error, path = %path.display(), "no cached endpoint list was read; starting without one");
             return Vec::new();
         }
     };
@@ -106,7 +106,7 @@
         loop {
             let endpoints = latest.borrow_and_update().clone();
             let file = path.clone();
-            // A sync may take long, so it runs on a blocking thread and not on the runtime's.
+            // Syncing to disk may block for long, so it must not run on a thread of the async runtime.
             let written = tokio::task::spawn_blocking(move || write(&file, &endpoints)).await;
             let Err(error) = written.unwrap_or_else(|panic| Err(io::Error::other(panic))) else { break };
             if !std::mem::replace(&mut failing, true) {
@@ -116,7 +116,7 @@
             tokio::time::sleep(RETRY_DELAY).await;
         }
         if std::mem::take(&mut failing) {
-            tracing::info!(path = %path.display(), "the endpoint list is cached again");
+            tracing::info!(path = %path.display(), "the endpoint list was cached, after earlier failures");
         }
     }
 }
--- a/crates/ext-authz/src/gateway.rs
+++ b/crates/ext-authz/src/gateway.rs
@@ -76,7 +76,7 @@
         self.reports_done.send_replace(true);
         // Checks that have arrived in the meantime get their outcome before their connections are closed.
         if tokio::time::timeout_at(deadline, &mut self.server).await.is_err() {
-            tracing::warn!("connections are still open at the end of the drain time");
+            tracing::warn!("drain time is over; stopping the server although connections are still open");
             self.server.abort();
         }
         self.wait_until_idle(deadline).await;
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -21,9 +21,9 @@
 /// Longest wait for the next bytes of a response that has started. Backends write their short responses in
 /// one go; a response that stalls is abandoned early, while there is still time for another attempt.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long an attempt waits if the endpoint list is stale: long enough to read the data that is buffered in
-/// the sockets. After a stall of the process, this may include a drain notification that arrived before the
-/// backend was chosen.
+/// If the endpoint list is stale, an attempt first waits this long, so that the runtime reads the data in the
+/// socket buffers. After a stall of the process, this may include a drain notification that arrived before
+/// the backend was chosen.
 const STALE_LIST_DELAY: Duration = Duration::from_millis(2);
 
 /// An attempt to be made.
@@ -31,10 +31,11 @@
     pub id: RequestId,
     /// Its number within the request.
     pub number: u32,
-    /// The backend and its address; `None` if the backend accepts no requests now.
+    /// The backend and its address; `None` if the list has no address for it, as it is draining or was
+    /// removed.
     pub endpoint: Option<BackendEndpoint>,
-    /// Seconds within which the last byte has to be written. An attempt that is written later could execute
-    /// the request a second time.
+    /// Seconds within which the last byte must be written. After them the idempotency window may be over, and
+    /// the request could be executed a second time.
     pub write_timeout: f64,
     pub forwarded: Rc<ForwardedRequest>,
     /// Set just before the first byte is written.
@@ -99,7 +100,8 @@
         })
     }
 
-    /// Writes the request, using `buffer` for its head. The buffer is empty before and after the call.
+    /// Writes the request, using `buffer` for its head. The buffer must be empty; it is
+    /// empty again if the call succeeds.
     ///
     /// # Errors
     /// The connection failed, or the last byte was not written in time. The backend has an incomplete
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -16,7 +16,7 @@
 use weirusher_net::Listener;
 use weirusher_platform::config::Config;
 
-/// Longest wait, after the deadline for the last response, for clients that read their responses slowly. The
+/// Time that the shutdown allows, after the last response is due, for clients to read their responses. The
 /// timeouts of the connections normally end the wait sooner.
 const LAST_WRITES_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often the shutdown checks for pending requests and open connections.
@@ -160,7 +160,7 @@
     node.stop_accepting.notify_one();
     tracing::info!(
         pending = node.state.borrow().proxy.pending(),
-        "accept period over; accepting the connections in the backlog only"
+        "accept period over; closing the listener once its backlog is empty"
     );
     let finished = async {
         let _ = accepting.await; // Ends once the backlog of the listener is empty.
--- a/crates/node/src/run_error.rs
+++ b/crates/node/src/run_error.rs
@@ -46,6 +46,6 @@
     #[error("cannot listen on {0} for the fleet page: {1}")]
     FleetPage(SocketAddr, io::Error),
     /// A panic may have corrupted state that all requests depend on; the node shut down gracefully.
-    #[error("shut down after a panic")]
+    #[error("shut down after an internal error (panic); the log line `panic` names its place")]
     Panicked,
 }
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -36,7 +36,7 @@
         Self { head: dst.freeze(), body }
     }
 
-    /// The body.
+    /// Returns the body, to be written after the head.
     pub fn body(&self) -> Bytes {
         self.body.clone()
     }
--- a/crates/platform/src/client/catalog.rs
+++ b/crates/platform/src/client/catalog.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use weirusher::{Idempotency, PlatformSettings};
 
-/// A request class.
+/// A class that requests may name.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClassEntry {
     /// Index of the class in the settings.
--- a/crates/platform/src/list/entry.rs
+++ b/crates/platform/src/list/entry.rs
@@ -11,9 +11,9 @@
 /// Maximum length of a backend's name, in bytes.
 pub(super) const MAX_NAME_BYTES: usize = 256;
 /// Bit that is set in the numbers of zones that are not in the settings.
-const UNNAMED_ZONE: u32 = 1 << 31;
+const UNLISTED_ZONE_BIT: u32 = 1 << 31;
 
-/// Why an entry is invalid, or was accepted only in part.
+/// Why an entry is invalid, or which of its values was replaced.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
     /// The entry does not have the expected form.
@@ -23,14 +23,14 @@
     #[error("the name is missing, empty or too long")]
     InvalidName,
     /// The start time of the backend is not a valid time.
-    #[error("since_ms is not a valid time")]
+    #[error("since_ms must be a finite number of milliseconds, 0 or more")]
     InvalidStart,
-    /// The status is unknown. The backend counts as draining.
-    #[error("unknown status")]
+    /// The status is unknown. The entry is valid, but the backend counts as draining.
+    #[error("unknown status; the backend counts as draining")]
     UnknownStatus,
 }
 
-/// An entry that is invalid, or was accepted only in part.
+/// An entry that is invalid, or has a value that was replaced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryProblem {
     /// The name of the backend, if that is valid.
@@ -109,13 +109,13 @@
 }
 
 /// Returns the number of a zone: its index in the settings, or a hash of its name for a zone that is not in
-/// the settings. Unknown zones must not be mapped to another zone, because the scope of idempotency keys may
-/// be a zone.
+/// the settings. If two zones shared a number, a retry with an idempotency key could be sent to a zone that
+/// has not received the key, as the scope of keys may be a zone.
 fn zone_number(zones: &[String], name: &str) -> u32 {
     let hashed = || {
         let mut hasher = DefaultHasher::new();
         name.hash(&mut hasher);
-        hasher.finish() as u32 | UNNAMED_ZONE
+        hasher.finish() as u32 | UNLISTED_ZONE_BIT
     };
     zones.iter().position(|zone| zone == name).map_or_else(hashed, |index| index as u32)
 }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -11,7 +11,7 @@
 /// A complete response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
     /// The body.
     pub body: Bytes,
