--- a/crates/core/src/engine/check.rs
+++ b/crates/core/src/engine/check.rs
@@ -50,9 +50,9 @@
     pub backend: BackendId,
     /// Seconds until the attempt times out.
     pub timeout: f64,
-    /// The encoded ticket.
+    /// The encoded ticket, to be presented by reports on the attempt and by the check of a retry.
     pub ticket: String,
-    /// The attempt.
+    /// Id of the attempt that is permitted.
     pub attempt: AttemptId,
 }
 
--- a/crates/core/src/engine/report.rs
+++ b/crates/core/src/engine/report.rs
@@ -18,7 +18,7 @@
 /// A report about the attempt that a ticket was issued for.
 #[derive(Debug, Clone)]
 pub struct Report<'a> {
-    /// The encoded ticket.
+    /// The encoded ticket of the attempt.
     pub ticket: &'a str,
     /// What ended, and how.
     pub completion: Completion,
--- a/crates/core/src/engine/request_table.rs
+++ b/crates/core/src/engine/request_table.rs
@@ -68,7 +68,7 @@
     pub class: usize,
     pub units: f64,
     pub attempts: Vec<Attempt>,
-    /// The pending check.
+    /// The caller of its pending check; `None` if no check is pending.
     pub caller: Option<CallerId>,
     /// The policy's outcome, kept for a check that may still arrive.
     pub outcome: Option<CheckOutcome>,
