--- a/crates/core/src/engine/report.rs
+++ b/crates/core/src/engine/report.rs
@@ -18,7 +18,7 @@
 /// A report about the attempt that a ticket was issued for.
 #[derive(Debug, Clone)]
 pub struct Report<'a> {
-    /// The encoded ticket.
+    /// The encoded ticket of the attempt.
     pub ticket: &'a str,
     /// What ended, and how.
     pub completion: Completion,
@@ -39,7 +39,7 @@
     Late,
     /// Another instance, or an earlier incarnation of this one, issued the ticket.
     OtherIssuer {
-        /// The issuing instance.
+        /// Number of the instance that issued the ticket.
         issuer: u32,
     },
     /// The ticket is not valid.
