--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -150,7 +150,7 @@
         Self { peer_port: Some(port), ..self }
     }
 
-    /// Restricts the fault to sockets with this local port, that is, to connections accepted on that port.
+    /// Restricts the fault to sockets with this local port, such as connections accepted by the listener on it.
     #[must_use]
     pub fn at(self, port: u16) -> Self {
         Self { local_port: Some(port), ..self }
@@ -177,7 +177,7 @@
     file: tempfile::NamedTempFile,
     /// Whether each rule of the control file holds an active fault.
     rules_in_use: Mutex<[bool; RULES]>,
-    /// Number of calls that faults changed which are no longer active.
+    /// Number of calls changed by faults that have ended.
     changed_by_ended_faults: Mutex<u64>,
 }
 
@@ -207,8 +207,9 @@
     /// # Panics
     /// If all rules of the control file are in use, or if the control file cannot be written.
     pub fn inject(&self, fault: Fault) -> Injected {
-        let mut rules_in_use = self.rules_in_use.lock().expect("no thread panics while it holds the lock");
-        let rule = rules_in_use.iter().position(|in_use| !in_use).expect("the control file has a free rule");
+        let mut rules_in_use =
+            self.rules_in_use.lock().expect("another thread panicked while it held the lock");
+        let rule = rules_in_use.iter().position(|in_use| !in_use).expect("more faults are active than fit");
         rules_in_use[rule] = true;
         let base = rule_start(rule);
         let EncodedAction { code, value, replaced_errno } = fault.action.encode();
@@ -241,10 +242,10 @@
     /// # Panics
     /// If the control file cannot be read, or if another thread has panicked while it held a lock.
     pub fn total(&self) -> u64 {
-        let rules_in_use = *self.rules_in_use.lock().expect("no thread panics while it holds the lock");
+        let rules_in_use = *self.rules_in_use.lock().expect("another thread panicked while it held the lock");
         let active: u64 =
             (0..RULES).filter(|rule| rules_in_use[*rule]).map(|rule| self.injected(Injected(rule))).sum();
-        active + *self.changed_by_ended_faults.lock().expect("no thread panics while it holds the lock")
+        active + *self.changed_by_ended_faults.lock().expect("another thread panicked while it held the lock")
     }
 
     /// Ends a fault, and returns the number of calls that it changed.
@@ -254,8 +255,9 @@
     pub fn end(&self, fault: Injected) -> u64 {
         self.write(rule_start(fault.0) + word::ACTIVE, 0);
         let changed = self.injected(fault);
-        *self.changed_by_ended_faults.lock().expect("no thread panics while it holds the lock") += changed;
-        self.rules_in_use.lock().expect("no thread panics while it holds the lock")[fault.0] = false;
+        *self.changed_by_ended_faults.lock().expect("another thread panicked while it held the lock") +=
+            changed;
+        self.rules_in_use.lock().expect("another thread panicked while it held the lock")[fault.0] = false;
         changed
     }
 
@@ -263,7 +265,7 @@
         self.file
             .as_file()
             .write_all_at(&value.to_ne_bytes(), byte_offset(word))
-            .expect("the control file can be written");
+            .expect("cannot write the control file");
     }
 
     fn read(&self, word: usize) -> u64 {
@@ -271,7 +273,7 @@
         self.file
             .as_file()
             .read_exact_at(&mut bytes, byte_offset(word))
-            .expect("the control file can be read");
+            .expect("cannot read the control file");
         u64::from_ne_bytes(bytes)
     }
 }
--- a/crates/fleet/src/gossip_queue.rs
+++ b/crates/fleet/src/gossip_queue.rs
@@ -4,8 +4,8 @@
 use crate::datagram::Message;
 use std::collections::VecDeque;
 
-/// Capacity of the queue; when it is full, the message sent most often is dropped. Members repeat what still
-/// holds, so a dropped message only delays dissemination.
+/// Capacity of the queue; when it is full, the message sent most often is dropped. Members send again what is
+/// still true, so a dropped message only delays dissemination.
 const MAX_QUEUED: usize = 2048;
 
 #[derive(Debug, Clone)]
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,9 +4,9 @@
 //!
 //! Each member sends heartbeats to eight observers: the next live member on each of eight fixed rings. An
 //! observer that receives nothing suspects the member, and any member that knows a later heartbeat refutes
-//! the suspicion. A member is confirmed dead when enough observers suspect it and nobody refutes them in
-//! time. Evidence of life always overrides suspicions, so a broken link does not get a live member declared
-//! dead. docs/fleet.md describes the protocol and its bounds.
+//! the suspicion. A member is confirmed dead when enough observers suspect it and the suspicion is not
+//! refuted in time. Evidence of life always overrides suspicions, so a broken link does not get a live member
+//! declared dead. docs/fleet.md describes the protocol and its bounds.
 //!
 //! [`Membership`] is the state machine; `weirusher-peers` runs it on a socket.
 #![forbid(unsafe_code)]
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -5,9 +5,10 @@
 use crate::token_bucket::{Rate, TokenBucket};
 use crate::{Millis, QUERY_TIMEOUT, SUSPECT_TIMEOUT};
 
-/// Rate limit on datagrams accepted from one member: several times what a member sends at most.
+/// Rate limit on datagrams accepted from one member: several times the highest rate at which a member sends.
 const RECEIVE_RATE: Rate = Rate { per_second: 64, burst: 128 };
-/// How many times the timeouts are doubled at most, when other members refute this member's suspicions.
+/// Maximum number of doublings of the timeouts. They double when other members refute this member's
+/// suspicions.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// Times without a heartbeat, in milliseconds, after which an observer acts.
--- a/crates/fleet/src/member_table.rs
+++ b/crates/fleet/src/member_table.rs
@@ -6,8 +6,7 @@
 use crate::{HEARTBEAT_INTERVAL, Millis, forget_timeout};
 use serde::{Deserialize, Serialize};
 
-/// Number of suspecting observers that count as much as all observers would: with this many, a suspicion gets
-/// the shortest refutation timeout.
+/// Number of observers that must suspect a member before the shortest refutation timeout applies.
 const REQUIRED_SUSPECTORS: usize = MAX_SUSPECTORS;
 /// Time to refute a suspicion, in milliseconds: with all required suspectors, with one fewer, and with two
 /// fewer. A few observers are as likely to have a bad link as to be right, so their suspicions wait longer
@@ -18,7 +17,8 @@
 const SAME_ROUND_HEARTBEATS: u32 = 1;
 /// Factor by which a member's heartbeats may run ahead of the time that passed locally.
 const MAX_HEARTBEAT_SPEEDUP: Millis = 2;
-/// Heartbeats by which the knowledge of two members may differ because of paths of different length.
+/// Number of heartbeats by which relayed news may be ahead of what this member knows, because it came by a
+/// faster path.
 const PATH_SKEW_HEARTBEATS: Millis = 16;
 
 /// The state of a member, as another member believes it.
@@ -29,7 +29,7 @@
     Unknown,
     /// There is recent evidence of the member's life.
     Alive,
-    /// One or more observers suspect the member, and nobody has refuted them.
+    /// One or more observers suspect the member, and the suspicion has not been refuted.
     Suspected,
     /// Confirmed dead, or without any evidence of life for too long.
     #[serde(rename = "gone")]
@@ -115,8 +115,8 @@
 pub struct MemberTable {
     me: u16,
     records: Vec<Record>,
-    /// No death is confirmed before this time: datagrams that arrived while this process was late are read
-    /// first.
+    /// No death is confirmed before this time: after this process was delayed, the datagrams that wait in its
+    /// socket are read first.
     no_deaths_before: Millis,
     /// Silence before this time does not count, because this process was not running.
     running_since: Millis,
@@ -250,7 +250,8 @@
         if record.latest.refutes(last) {
             return if dead { SuspicionOutcome::Stale } else { SuspicionOutcome::Refuted };
         }
-        // A suspicion is evidence too: its observers received `last`, at an unknown time.
+        // A suspicion also proves that its observers received the heartbeat `last`. When is not known, so
+        // `last_alive` does not change.
         record.latest = record.latest.max(last);
         if dead {
             return SuspicionOutcome::Stale;
@@ -275,8 +276,8 @@
         SuspicionOutcome::Accepted
     }
 
-    /// The number of suspectors that get the shortest refutation timeout: [`REQUIRED_SUSPECTORS`], or fewer
-    /// if fewer members are alive to observe the suspected one.
+    /// How many members must suspect another before the shortest refutation timeout applies:
+    /// [`REQUIRED_SUSPECTORS`], or fewer if fewer members are alive to observe the suspected one.
     fn required_suspectors(&self) -> usize {
         let others_alive = self.others().filter(|member| !self.is_dead(*member)).count();
         // This count includes the suspected member and excludes this one, so it equals the number of members
@@ -299,7 +300,7 @@
     }
 
     /// Declares members dead whose suspicion was not refuted in time, or of which there was no evidence by
-    /// any path for [`forget_timeout`]. While this member receives nothing from anybody, suspicions confirm
+    /// any path for [`forget_timeout`]. While this member receives nothing from any other, suspicions confirm
     /// no death: its own connectivity is the likelier cause.
     pub fn confirm_deaths(&mut self, hears_nobody: bool, now: Millis) {
         if now < self.no_deaths_before {
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -1,5 +1,6 @@
-//! Suspicion and refutation, as in SWIM (Das et al. 2002). An observer that receives nothing from a subject
-//! first queries the other observers, then suspects the subject; any member that knows a later heartbeat
+//! Suspicion and refutation, as in SWIM (Das et al. 2002). Each member (the subject) sends heartbeats to a
+//! few others (its observers). An observer that receives nothing from a subject first queries the other
+//! observers, then suspects the subject; any member that knows a later heartbeat
 //! refutes the suspicion. Only evidence of life decides, so a broken link does not get a live member declared
 //! dead. [`MemberTable`](crate::MemberTable) confirms the deaths.
 
@@ -9,11 +10,11 @@
 use crate::links::is_within;
 use crate::member_table::{Evidence, MemberState, SuspicionOutcome};
 
-/// Number of suspecting observers at which a suspicion is disseminated to all members. A single suspector
-/// first queries the other observers.
+/// Number of suspectors at which a suspicion is gossiped to all members. A single suspector first queries the
+/// other observers.
 const SUSPECTORS_TO_GOSSIP: usize = 2;
-/// A suspicion that no other observer shares and nobody refutes is disseminated after this long, and again at
-/// this interval.
+/// A suspicion that no other observer shares and that is not refuted is gossiped once this time has passed,
+/// and again at this interval.
 const REPEAT_SUSPICION_AFTER: Millis = 2_000;
 
 impl Membership {
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Queries the other observers of a member. If only this link loses heartbeats, they usually know a later
-    /// one and the suspicion is not disseminated.
+    /// Queries the other observers of a member. If the loss is only on this link, they usually have a later
+    /// heartbeat and answer with it, so that the suspicion is not gossiped.
     fn query_other_observers(&mut self, member: u16, query: &Message, now: Millis) {
         for observer in self.links.other_observers(member, &self.table) {
             self.send(observer, vec![query.clone()], now);
@@ -153,8 +154,8 @@
         let unknown = self.table.state(member) == MemberState::Unknown;
         if self.table.handle_alive(member, evidence, age, now) {
             self.gossip.remove_suspicions(member);
-            // When the fleet starts, every member is new to all others: relayed heartbeats spread this faster
-            // than one gossip message per member.
+            // A member that was unknown is not gossiped: when the fleet starts, that would be a message for
+            // each member, and relayed heartbeats spread the news sooner.
             if gossip && !unknown {
                 let alive = self.alive_message(member, true, now);
                 self.gossip.push(alive);
--- a/crates/fleet/src/membership/incarnation.rs
+++ b/crates/fleet/src/membership/incarnation.rs
@@ -16,9 +16,9 @@
 #[derive(Debug)]
 pub(super) struct OwnIncarnation {
     pub number: u64,
-    /// Number of datagrams sent.
+    /// Number of datagrams sent in this incarnation.
     pub sequence: u64,
-    /// Number of heartbeats sent.
+    /// Number of heartbeats sent in this incarnation.
     pub heartbeat: u32,
     /// Until then, a later incarnation of this member number is attributed to an earlier process.
     startup_until: Millis,
--- a/crates/fleet/src/reachability.rs
+++ b/crates/fleet/src/reachability.rs
@@ -13,7 +13,7 @@
 /// datagrams. The two differ if a link is broken in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Reachability {
-    /// Number of members besides this one.
+    /// Number of other members in the fleet.
     pub others: u16,
     /// Other members that are alive, according to direct or relayed evidence.
     pub alive: u16,
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -27,7 +27,7 @@
     #[error("a fleet has 2 to 10,000 members, not {0}")]
     FleetSize(usize),
     /// The member's own number is not below the number of members.
-    #[error("member {0} of {1}: numbers run from 0")]
+    #[error("member number {0} is not below the number of members, {1}; numbers start at 0")]
     Instance(u16, usize),
     /// Two members have the same address.
     #[error("members {0} and {1} have the same address")]
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -64,7 +64,7 @@
 pub struct MemberView {
     /// The other member's number.
     pub number: u16,
-    /// Its state.
+    /// Its state, as this member believes it.
     pub state: MemberState,
     /// Milliseconds since the state began.
     #[serde(rename = "for_ms")]
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -292,7 +292,10 @@
             .to_string()
     };
     assert_eq!(start(0, &[1], KEY), "a fleet has 2 to 10,000 members, not 1");
-    assert_eq!(start(2, &[1, 2], KEY), "member 2 of 2: numbers run from 0");
+    assert_eq!(
+        start(2, &[1, 2], KEY),
+        "member number 2 is not below the number of members, 2; numbers start at 0"
+    );
     assert_eq!(start(0, &[1, 2, 1], KEY), "members 0 and 2 have the same address");
     assert!(start(0, &[1, 2], b"short").contains("can be guessed"));
 }
--- a/crates/fleet/tests/fault_tolerance.rs
+++ b/crates/fleet/tests/fault_tolerance.rs
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn member_that_hears_nobody_waits_for_the_forget_timeout() {
+fn member_that_receives_nothing_waits_for_the_forget_timeout() {
     let mut net = converged(24, 21);
     (1..24).for_each(|from| net.block(from, 0));
     net.run_for(forget_timeout(24) - 1_000);
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,6 +1,6 @@
 //! The process's log: lines on standard error, written by a thread of its own.
 //!
-//! Threads that log never wait for standard error, and never fail because of it. Lines go through a queue that
+//! A thread that logs neither blocks nor fails if standard error does. Lines go through a queue that
 //! is bounded in lines and bytes. A line that does not fit, exceeds the rate limit or cannot be written is
 //! dropped and counted; the number of dropped lines is logged once lines can be written again.
 #![forbid(unsafe_code)]
@@ -39,7 +39,8 @@
 
 struct Log {
     queue: Queue,
-    /// Held in the static for the life of the process: dropping it would wait for the writer thread.
+    /// Never dropped, as it is in a static: dropping it waits for the writer thread, which may be blocked by
+    /// standard error.
     _writer: WorkerGuard,
 }
 
@@ -53,7 +54,7 @@
 impl Queue {
     fn push(&mut self, line: &[u8]) {
         if self.counts.try_queue(line.len()) {
-            let _ = self.writer.write_all(line); // Never fails: the counts admit no more lines than fit.
+            let _ = self.writer.write_all(line); // Cannot fail: `try_queue` accepts no more lines than fit.
         } else {
             self.counts.add_dropped();
         }
@@ -110,7 +111,8 @@
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(io::stderr().is_terminal())
-        .log_internal_errors(false) // The logging thread would write them to standard error.
+        // Otherwise the thread that logs would write these errors to standard error itself, and could block there.
+        .log_internal_errors(false)
         .with_writer(QueuedStderr { budget: Mutex::new(LineBudget::new()), queue });
     match format {
         Format::Text => builder.init(),
--- a/crates/peers/src/event_log.rs
+++ b/crates/peers/src/event_log.rs
@@ -18,7 +18,7 @@
     /// State changes not logged yet.
     changes: Vec<StateChange>,
     changes_logged_at: Millis,
-    /// Members already reported for a different fleet size, so that each one is logged once.
+    /// Members whose different fleet size has been logged, so that each is logged once.
     size_mismatches: HashSet<u16>,
 }
 
@@ -43,18 +43,24 @@
             Event::IncarnationRaised(incarnation) => {
                 tracing::info!(
                     incarnation,
-                    "an earlier process with this member number had a later incarnation; taking the next one"
+                    "an earlier process with this member number used a higher incarnation (its wall clock may have \
+                     been ahead); continuing with the next higher one"
                 );
             }
             Event::Superseded(incarnation) => {
                 tracing::error!(
                     incarnation,
-                    "another process has taken this member number; this one no longer takes part in the fleet"
+                    "another process has taken this member number; this one no longer takes part in the fleet: stop \
+                     one of the two, or give it another number"
                 );
             }
             Event::FleetSizeMismatch { member, size } => {
                 if self.size_mismatches.insert(member) {
-                    tracing::warn!(member, size, "a gateway is configured with a different fleet size");
+                    tracing::warn!(
+                        member,
+                        size,
+                        "a gateway is configured with a different fleet size; its datagrams are rejected"
+                    );
                 }
             }
             Event::Isolated(reachability) => {
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -18,7 +18,7 @@
     UntilClose,
 }
 
-/// The part of a chunked body that the next byte belongs to.
+/// What the reader of a chunked body expects next.
 #[derive(Debug)]
 enum ChunkState {
     SizeLine,
@@ -41,8 +41,8 @@
 }
 
 impl BodyReader {
-    /// Creates a reader for one body of at most `max_length` bytes. For [`Framing::Length`] the caller has checked the
-    /// length.
+    /// Creates a reader for one body of at most `max_length` bytes. For [`Framing::Length`] the caller must have
+    /// checked that the length is no more than `max_length`; it is not checked here.
     pub fn new(framing: Framing, max_length: usize) -> Self {
         let (body, trailers) = (BytesMut::new(), HeadSearch::default());
         Self { framing, max_length, chunk: ChunkState::SizeLine, body, trailers }
@@ -70,6 +70,7 @@
     }
 
     /// Called when the peer has closed the connection: returns the body if its framing is [`Framing::UntilClose`].
+    /// `None` means that the body is incomplete.
     pub fn finish(&mut self) -> Option<Bytes> {
         (self.framing == Framing::UntilClose).then(|| self.body.split().freeze())
     }
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Reads the trailer section after the last chunk. Trailers are discarded; their size is bounded like a head's.
+    /// Reads the trailer section after the last chunk. Trailers are discarded. They may be no longer than a
+    /// message head.
     fn read_trailers(&mut self, src: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         let end = match src.get(..2) {
             None => return Ok(None),
@@ -135,7 +137,7 @@
 /// Removes a chunk's size line from `src` once it is complete, and returns the size.
 fn take_size_line(src: &mut BytesMut) -> Result<Option<u64>, HttpError> {
     let invalid = || HttpError::Malformed("invalid chunk size");
-    // `httparse` accepts an empty line as the size 0.
+    // `httparse` takes an empty line for the size 0, which would end the body; it is rejected here.
     if src.first().is_some_and(|first| !first.is_ascii_hexdigit()) {
         return Err(invalid());
     }
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -117,9 +117,9 @@
 /// The head of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestHead<'h, 'b> {
-    /// The method.
+    /// The method, such as `GET`.
     pub method: &'b str,
-    /// The request target.
+    /// The request target, normally a path with an optional query.
     pub target: &'b str,
     /// The headers.
     pub fields: HeaderFields<'h, 'b>,
--- a/crates/wire/src/http1.rs
+++ b/crates/wire/src/http1.rs
@@ -71,27 +71,27 @@
     }
 }
 
-/// A request.
+/// A complete request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// The method, such as `GET`.
     pub method: String,
-    /// The request target.
+    /// The request target, normally a path with an optional query.
     pub path: String,
-    /// The headers.
+    /// All headers of the message; `content-length` is replaced when it is written.
     pub headers: Headers,
-    /// The body.
+    /// The body without transfer encoding; empty if there is none.
     pub body: Bytes,
 }
 
-/// A response.
+/// A complete response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The headers.
+    /// All headers of the message; `content-length` is replaced when it is written.
     pub headers: Headers,
-    /// The body.
+    /// The body without transfer encoding; empty if there is none.
     pub body: Bytes,
 }
 
