--- a/crates/cli/src/commands/fleet.rs
+++ b/crates/cli/src/commands/fleet.rs
@@ -11,8 +11,8 @@
 
 /// Time limit for the response of the admin server.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Range of times since the last direct heartbeat, in milliseconds, within which a member is listed as not heard. A
-/// longer silence is normal: the member sends its heartbeats to other members by then.
+/// Range of times since the last direct heartbeat, in milliseconds, within which a member is listed as not heard.
+/// After a longer silence, this gateway is usually no longer an observer of the member, so silence is expected.
 const NOT_HEARD_MS: Range<u64> = 2_000..60_000;
 /// Members listed per line of the output.
 const MEMBERS_PER_LINE: usize = 12;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -32,7 +32,7 @@
     #[error("{}: {error}", path.display())]
     Capture { path: PathBuf, error: CaptureError },
     /// A gateway's admin server has no view of a fleet, as the gateway is not a member of one.
-    #[error("{admin}: {body}")]
+    #[error("{admin} returned no view of a fleet: {body}")]
     NoFleet { admin: SocketAddr, body: String },
     /// A fake server would use an address that is reachable from other hosts.
     #[error("{0} is not loopback: fake servers use 127.0.0.1 and [::1] only")]
@@ -50,7 +50,7 @@
     #[error("{admin}: {error}")]
     Admin { admin: SocketAddr, error: io::Error },
     /// A task that all requests depend on has panicked, and the gateway has shut down gracefully.
-    #[error("stopped after a panic")]
+    #[error("stopped after a panic; see the log line `panic`")]
     Panicked,
     /// The tokio runtime cannot be built.
     #[error("cannot build the tokio runtime: {0}")]
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -100,7 +100,7 @@
     assert!(listening["address"].is_string(), "{listening}");
     let (_discovery, listening) = start_listening(&["standin", "discovery", "--checker", backend]);
     assert!(listening["address"].is_string(), "{listening}");
-    // Nobody listens at this address, so each request ends with a lost connection.
+    // No process listens at this address, so each request ends with a lost connection.
     let edge = ["standin", "edge", "--gatekeeper", "127.0.0.1:9", "--patience-ms", "500", "--seconds", "1"];
     let output = weirusher(&edge);
     assert!(output.status.success(), "{}", errors(&output));
--- a/crates/cli/tests/endpoint_cache.rs
+++ b/crates/cli/tests/endpoint_cache.rs
@@ -259,7 +259,7 @@
 
 /// Guards against a start that waits for the disk and never polls discovery. The shutdown must not wait either.
 #[tokio::test]
-async fn a_hanging_read_of_the_list_delays_nothing() {
+async fn a_hanging_read_of_the_list_delays_no_start_and_no_shutdown() {
     let harness = Harness::new().await;
     std::fs::remove_file(harness.list_file()).unwrap();
     // Reading a named pipe that has no writer blocks.
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -23,8 +23,8 @@
 
 /// Writes the configuration of gateway 0 of 2, whose discovery and counter addresses refuse connections.
 fn node_config(dir: &Path) -> PathBuf {
-    let (file, nobody) = (dir.join("node.json"), ([127, 0, 0, 1], 9).into());
-    let text = configuration(([127, 0, 0, 1], 0).into(), nobody, nobody, 64);
+    let (file, unused_address) = (dir.join("node.json"), ([127, 0, 0, 1], 9).into());
+    let text = configuration(([127, 0, 0, 1], 0).into(), unused_address, unused_address, 64);
     std::fs::write(&file, text.replace("\"PeersTotal\":1", "\"PeersTotal\":2")).unwrap();
     file
 }
--- a/crates/cli/tests/node/close_races.rs
+++ b/crates/cli/tests/node/close_races.rs
@@ -1,5 +1,5 @@
 //! Requests that race with the gateway's close of their connection: each gets a response, or a reset, which shows that
-//! it was not read. The cases are named after the connection that is closed.
+//! it was not read.
 
 use crate::support::{Client, ClientResponse, Harness, READINESS_CHECK, parse_response, request, unique_id};
 use nix::sys::signal::Signal;
@@ -13,11 +13,13 @@
 /// Number of requests around each close, and the time between them.
 const REQUESTS: u32 = 40;
 const INTERVAL: Duration = Duration::from_millis(3);
-/// Time within which a connection that was closed with unread bytes is reset after its end of stream.
+/// How long to wait, after the end of stream, for the reset that shows that bytes were left unread.
 const LATE_RESET: Duration = Duration::from_millis(800);
-/// Time after which a connection without a complete request is closed.
+/// Time after which the gateway closes a connection that has not sent a complete request. The gateway's
+/// `REQUEST_READ_TIMEOUT`.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time after which an idle connection may be closed in favour of others, and a new connection during a shutdown.
+/// Age from which the gateway may close an idle connection to free its slot, and, during a shutdown, a new connection
+/// without a request. The gateway's `EVICTION_GRACE`.
 const CLOSABLE_AFTER: Duration = Duration::from_millis(250);
 
 /// The outcome of a request.
@@ -105,8 +107,9 @@
     answered > 0 && answered < outcomes.len()
 }
 
-/// Repeats a race until requests came on both sides of the close. On a busy machine all may come on one side, which
-/// tests nothing. Every repetition checks that no request is lost.
+/// Repeats a race until requests came on both sides of the close. On a busy machine all requests may come
+/// before the close, or all after it; such a run does not test the race. Every repetition checks that no
+/// request is lost.
 async fn until_both_sides(mut race: impl AsyncFnMut() -> Vec<Vec<Outcome>>) {
     let mut missed = Vec::new();
     while missed.len() < MAX_RACES {
@@ -126,7 +129,7 @@
 }
 
 #[tokio::test]
-async fn on_a_new_connection_without_a_request_in_time() {
+async fn no_request_is_lost_when_an_unused_new_connection_times_out() {
     until_both_sides(async || {
         let harness = Harness::start(2).await;
         let accepted = Instant::now();
@@ -140,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn on_a_connection_with_half_a_request() {
+async fn no_request_is_lost_when_a_half_sent_request_times_out() {
     let harness = Harness::start(2).await;
     let began = Instant::now();
     let mut requests = Vec::new();
@@ -159,8 +162,9 @@
     );
 }
 
+/// Does not check that requests come on both sides of the close.
 #[tokio::test]
-async fn on_an_idle_connection_that_is_closed_for_others() {
+async fn no_request_is_lost_when_an_idle_connection_is_evicted() {
     let harness = Harness::start_with(2, 96, &[]).await;
     // More connections than slots: for each one that waits, an idle connection is closed.
     let mut waiting = Vec::new();
@@ -176,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn on_idle_and_new_connections_as_a_shutdown_begins() {
+async fn no_request_is_lost_when_a_shutdown_closes_connections() {
     until_both_sides(async || {
         let harness = Harness::start(2).await;
         let mut old = Vec::new();
@@ -205,7 +209,7 @@
 }
 
 #[tokio::test]
-async fn after_a_response_that_closes_and_after_an_error() {
+async fn a_request_after_the_last_response_is_not_read() {
     let harness = Harness::start(2).await;
     for closing in ["Connection: close\r\n", "Plan: none\r\n"] {
         let mut requests = Vec::new();
--- a/crates/cli/tests/node/configuration.rs
+++ b/crates/cli/tests/node/configuration.rs
@@ -90,7 +90,7 @@
 /// Guards against a reload that reads its file on the thread that serves requests. Requests, later reloads and the
 /// shutdown must not wait for a read that hangs.
 #[tokio::test]
-async fn a_hanging_read_of_the_configuration_delays_nothing() {
+async fn a_hanging_reload_delays_no_request_and_no_later_reload() {
     let mut harness = Harness::start(2).await;
     let valid = std::fs::read_to_string(&harness.file).unwrap();
     std::fs::remove_file(&harness.file).unwrap();
--- a/crates/cli/tests/node/discovery.rs
+++ b/crates/cli/tests/node/discovery.rs
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_reload_that_moves_counter_and_discovery_loses_nothing() {
+async fn a_reload_that_moves_counter_and_discovery_loses_no_request() {
     let harness = Harness::start(1).await;
     harness.backends[0].set_script(delayed_echo(200));
     let (open, mut client) = (unique_id(), harness.client().await);
--- a/crates/cli/tests/node/idle_connections.rs
+++ b/crates/cli/tests/node/idle_connections.rs
@@ -73,7 +73,7 @@
     status
 }
 
-/// A middlebox drops all packets of established connections. Each connection fails one attempt at most, and every
+/// A middlebox drops all packets of established connections. Each connection fails at most one attempt, and every
 /// request gets a response in time.
 #[tokio::test]
 async fn idle_connections_dropped_by_a_middlebox_fail_one_attempt_each() {
@@ -102,7 +102,7 @@
         tokio::time::sleep(REUSE_PAUSE).await;
         let pooled: u64 = backends.iter().map(|(backend, _)| backend.connections()).sum();
         backends.iter().for_each(|(_, link)| link.blackhole());
-        // Each dropped connection fails one attempt at most; a new connection works.
+        // Each dropped connection fails at most one attempt; a new connection works.
         let mut failed = 0;
         while failed <= pooled {
             let answers = send_concurrently(1).await;
--- a/crates/cli/tests/node/log.rs
+++ b/crates/cli/tests/node/log.rs
@@ -12,7 +12,7 @@
 const REQUESTS: usize = 4;
 /// Time that a client waits for a response, in milliseconds.
 const DEADLINE_MS: u64 = 1500;
-/// Earliest time of SIGKILL after SIGTERM, in seconds: the longest deadline, 3 s at most, plus 0.7 s.
+/// Earliest time of SIGKILL after SIGTERM, in seconds: the longest deadline, which is no more than 3 s, plus 0.7 s.
 const KILL_AFTER: f64 = 3.7;
 /// The filter that is used if RUST_LOG is not set.
 const DEFAULT_FILTER: &str = "warn,weirusher_node=info";
@@ -62,10 +62,10 @@
     read.await.unwrap()
 }
 
-/// Guards against threads that serve requests and write the log too: with a pipe that nobody reads, all requests were
+/// Guards against threads that serve requests and write the log too: with a pipe that is not read, all requests were
 /// left unanswered.
 #[tokio::test]
-async fn a_log_that_nobody_reads_delays_no_request_and_no_shutdown() {
+async fn an_unread_log_delays_no_request_and_no_shutdown() {
     let (_reader, stderr) = unread_pipe();
     let mut harness = Harness::start_with_log(2, "debug", stderr).await;
     for _ in 0..3 {
@@ -76,7 +76,7 @@
 
 /// The same with the default filter, and reloads.
 #[tokio::test]
-async fn a_log_that_nobody_reads_delays_no_reload() {
+async fn an_unread_log_delays_no_reload() {
     let (_reader, stderr) = unread_pipe();
     let mut harness = Harness::start_with_log(2, DEFAULT_FILTER, stderr).await;
     let text = std::fs::read_to_string(&harness.file).unwrap();
--- a/crates/cli/tests/node/resource_limits.rs
+++ b/crates/cli/tests/node/resource_limits.rs
@@ -104,7 +104,7 @@
         // The tables show inode 0 for connections that no longer belong to a process.
         let foreign: Vec<_> = open.intersection(&refused).collect();
         assert!(foreign.is_empty(), "neither TCP over IPv4 nor a socket pair: {foreign:?}");
-        // tokio's signal handler uses an unnamed socket pair, which nobody can connect to.
+        // tokio's signal handler uses an unnamed socket pair, to which no process can connect.
         let pairs: HashSet<u64> = pairs.into_iter().map(|entry| entry.inode).collect();
         let tcp_ipv4: HashSet<u64> = open.intersection(&tcp).copied().collect();
         let unlisted =
--- a/crates/cli/tests/node/shutdown_deadline.rs
+++ b/crates/cli/tests/node/shutdown_deadline.rs
@@ -1,5 +1,5 @@
 //! A shutdown that ends with SIGKILL at the earliest time that the platform allows: the longest deadline of all classes
-//! (3 s at most) plus 0.7 s after SIGTERM. Clients send requests on every connection that stays open.
+//! (no more than 3 s) plus 0.7 s after SIGTERM. Clients send requests on every connection that stays open.
 
 use crate::support::{
     Client, ClientResponse, Harness, READINESS_CHECK, delayed_echo, parse_response, request, store_request,
--- a/crates/cli/tests/node/system_calls.rs
+++ b/crates/cli/tests/node/system_calls.rs
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn short_reads_and_writes_change_nothing() {
+async fn short_reads_and_writes_delay_no_response_and_no_list() {
     for bytes in [1, 7] {
         let shim = FaultShim::new().unwrap();
         // Hedged requests are off, as they would hide a stalled attempt.
--- a/crates/cli/tests/node/wall_clock.rs
+++ b/crates/cli/tests/node/wall_clock.rs
@@ -213,6 +213,6 @@
 }
 
 #[tokio::test]
-async fn clock_steps_during_operations_change_nothing() {
+async fn clock_steps_do_not_affect_operations() {
     futures::future::join_all([-3600, -5, 5, 3600].map(check_clock_steps)).await;
 }
--- a/crates/cli/tests/run_process.rs
+++ b/crates/cli/tests/run_process.rs
@@ -266,7 +266,7 @@
 
 /// Guards against threads that serve checks and wait for the log to be written.
 #[tokio::test]
-async fn a_log_that_nobody_reads_delays_no_check_and_no_shutdown() {
+async fn an_unread_log_delays_no_check_and_no_shutdown() {
     let (_reader, stderr) = unread_pipe();
     assert_serves_and_stops(&mut Gateway::start_with_log(stderr)).await;
 }
