--- a/crates/fakes/src/audit_parameters.rs
+++ b/crates/fakes/src/audit_parameters.rs
@@ -40,13 +40,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 4]", into = "[f64; 4]")]
 pub struct PlanLimits {
-    /// The quota.
+    /// The token bucket of the quota.
     pub quota: RateLimit,
     /// The hard ceiling; a rate of 0 means that there is none.
     pub ceiling: RateLimit,
 }
 
-/// A token bucket.
+/// Refill rate and capacity of a token bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RateLimit {
     /// Units per second.
--- a/crates/fakes/src/capture.rs
+++ b/crates/fakes/src/capture.rs
@@ -386,7 +386,7 @@
     /// Seconds since the run began.
     #[serde(rename = "t")]
     pub time_seconds: f64,
-    /// The event.
+    /// What happened at that time.
     #[serde(flatten)]
     pub event: CaptureEvent,
 }
--- a/crates/fakes/src/endpoint_list.rs
+++ b/crates/fakes/src/endpoint_list.rs
@@ -12,7 +12,7 @@
     version: u64,
     /// The complete list as JSON.
     list: String,
-    /// Whether the agent responds to nothing.
+    /// Whether the agent leaves all polls unanswered.
     silent: bool,
     /// Number of times that the agent stopped responding. A poll that was pending at that time, or was received while
     /// the agent was silent, never gets a response.
--- a/crates/fakes/src/link.rs
+++ b/crates/fakes/src/link.rs
@@ -20,9 +20,9 @@
 pub struct LinkFault {
     /// Seconds by which each chunk is delayed in both directions.
     pub delay_seconds: f64,
-    /// Whether nothing is forwarded to the target.
+    /// Whether forwarding to the target is stopped; the bytes are kept until the fault ends.
     pub stall_to_target: bool,
-    /// Whether nothing is forwarded from the target.
+    /// Whether forwarding from the target is stopped; the bytes are kept until the fault ends.
     pub stall_from_target: bool,
     /// Whether new connections are closed at once.
     pub refuse_connections: bool,
--- a/crates/fakes/src/load_generator.rs
+++ b/crates/fakes/src/load_generator.rs
@@ -1,9 +1,9 @@
 //! The load generator: acts as Envoy proxies and as the clients behind them.
 //!
 //! For each request it sends an external authorisation check to a gateway, sends an allowed request to the backend that
-//! the response names, and reports the end of each attempt on an access log stream. After a failed attempt it sends a
-//! further check with the ticket of that attempt. [`BehaviourProfile`](crate::BehaviourProfile) selects what proxies
-//! and clients do wrong.
+//! the response names, and reports the end of each attempt on an access log stream. To retry, it sends another
+//! check, which carries the ticket of the failed attempt. [`BehaviourProfile`](crate::BehaviourProfile) selects what
+//! proxies and clients do wrong.
 
 mod backend_connections;
 mod envoy;
@@ -35,7 +35,7 @@
 const MAX_ATTEMPTS: usize = 10;
 /// Minimum time left for a retry: with less, the request ends after a failed attempt.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(60);
-/// Time limit for the attempt that replays a ticket.
+/// How long to wait for the backend's answer to a ticket that is sent a second time on purpose.
 const REPLAY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The check client and the report queue of one gateway.
@@ -55,10 +55,10 @@
     _report_streams: JoinSet<()>,
 }
 
-/// The times by which a request ends.
+/// When a request must end: as the gateway knows it, and as the client acts.
 #[derive(Clone, Copy)]
 struct Deadlines {
-    /// The deadline that checks state to the gateway.
+    /// The deadline that each check states to the gateway.
     announced: Instant,
     /// When the client closes the connection, which may be earlier and is not stated to the gateway.
     client_closes: Instant,
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Sends an attempt and waits for its end, until `limit` at the latest. `client_closes` tells whether reaching the
-    /// limit means that the client closed or that the attempt timed out.
+    /// Sends an attempt and waits for its end, until `limit` at the latest. If `limit` is reached, the outcome
+    /// is `ClientClosed` if `client_closes` is no later, and `Timeout` otherwise.
     async fn send_attempt(
         &self,
         attempt: &Attempt<'_>,
@@ -287,8 +287,8 @@
     }
 }
 
-/// Returns the ticket with one character between its second and its last dot replaced. Which character depends on the
-/// request, so that a gap in the verification of any of them is found.
+/// Returns the ticket with one character between its second and its last dot replaced. Different requests alter
+/// different characters, so that a field whose verification is missing is found.
 fn alter_ticket(ticket: &str, request: u64) -> String {
     let fields = ticket.find('.').and_then(|dot| ticket[dot + 1..].find('.').map(|len| dot + len + 2));
     let (start, end) = (fields.unwrap_or(0), ticket.rfind('.').unwrap_or(ticket.len()));
--- a/crates/scenarios/src/audit/membership.rs
+++ b/crates/scenarios/src/audit/membership.rs
@@ -22,8 +22,8 @@
 const BUSY_ALLOWANCE_SECONDS: f64 = PAUSE_THRESHOLD as f64 / MS_PER_SECOND;
 /// Seconds for which a running gateway may return no report. Limited because nothing can be checked without reports.
 const MAX_SILENCE_SECONDS: f64 = 3.0;
-/// Seconds after its start for which a process may mistake a later incarnation of its number, which another process
-/// has, for that of an earlier process.
+/// Seconds after a process starts during which it may not yet notice that a second process has the same number: it
+/// takes that process's incarnation for one of its predecessors'.
 const START_GRACE_SECONDS: f64 = 3.0;
 
 /// The rules for membership reports.
@@ -62,8 +62,9 @@
 struct Pair {
     reached: bool,
     since_seconds: f64,
-    /// Whether a report since then had the previous state. That is expected at first: the gateway has not noticed the
-    /// change yet, or a suspicion raised before it is still confirmed.
+    /// Whether a report since then still had the previous state. That is expected at first: the gateway has not noticed
+    /// the change yet, or a suspicion raised before it is still confirmed. Only then does a later report with the
+    /// current state show how long detection took.
     previous_reported: bool,
     /// Whether a later report had the current state.
     current_reported: bool,
--- a/crates/scenarios/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -59,7 +59,7 @@
     pub ext_authz: Vec<SocketAddr>,
     /// Access log streams, by gateway.
     pub access_log: Vec<SocketAddr>,
-    /// The counter.
+    /// Addresses of the counter.
     pub counter: Vec<SocketAddr>,
     /// The backends, as tickets name them.
     #[serde(rename = "checkers")]
--- a/crates/scenarios/src/scenario/check.rs
+++ b/crates/scenarios/src/scenario/check.rs
@@ -30,7 +30,7 @@
     #[error("[peers] needs at least two gateways")]
     SingleMember,
     /// There are customers, but gateways that run `node` get no customer traffic in a scenario.
-    #[error("plans must have no customers with `program = \"node\"`")]
+    #[error("with `program = \"node\"`, plans must not have customers")]
     NodeWithCustomers,
     /// There is no plan, or no class.
     #[error("a scenario needs at least one plan and one class")]
--- a/crates/simulation/src/membership/host.rs
+++ b/crates/simulation/src/membership/host.rs
@@ -15,7 +15,7 @@
 /// The traffic that a member sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Number of bytes.
+    /// Number of bytes in all datagrams.
     pub bytes: u64,
     /// Number of datagrams.
     pub datagrams: u64,
--- a/crates/simulation/src/membership/measurement.rs
+++ b/crates/simulation/src/membership/measurement.rs
@@ -21,9 +21,9 @@
 /// The median and the 99th percentile of durations in milliseconds.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Percentiles {
-    /// The median.
+    /// The median, in milliseconds.
     pub p50: Millis,
-    /// The 99th percentile.
+    /// The 99th percentile, in milliseconds.
     pub p99: Millis,
     /// Number of measured durations.
     #[serde(rename = "of")]
@@ -39,7 +39,7 @@
 /// The result of a measurement. The JSON keys match those of earlier results on record.
 #[derive(Debug, Clone, Serialize)]
 pub struct Measurement {
-    /// Number of members.
+    /// Number of members of the simulated fleet.
     pub members: u16,
     /// Fraction of datagrams that the network lost.
     pub loss: f64,
--- a/crates/simulation/src/membership/process.rs
+++ b/crates/simulation/src/membership/process.rs
@@ -28,7 +28,7 @@
     pub by: u16,
     /// The member that the belief is about.
     pub of: u16,
-    /// The new belief.
+    /// What that member believes from now on.
     pub belief: Belief,
 }
 
--- a/crates/simulation/src/schedule.rs
+++ b/crates/simulation/src/schedule.rs
@@ -8,7 +8,7 @@
 /// Duration of a random schedule in seconds.
 const RANDOM_DURATION: f64 = 30.0;
 /// Seconds at the start and at the end of a random schedule in which no fault begins.
-const FAULT_FREE_MARGIN: f64 = 2.0;
+const FAULT_START_MARGIN: f64 = 2.0;
 /// Duration of the shortest random fault in seconds.
 const SHORTEST_FAULT: f64 = 0.05;
 /// Ratio of the longest random fault to the shortest.
@@ -102,11 +102,9 @@
 }
 
 impl Schedule {
-    /// The random schedule of a seed: half of the schedules have four gateways, the others 2 to 100.
-    ///
-    /// # Panics
-    /// Never: each random choice has a non-empty range.
+    /// The random schedule of a seed: it has four gateways with a probability of one half, otherwise 2, 8, 20 or 100.
     pub fn random(seed: u64) -> Self {
+        // Each random choice has a non-empty range; `rng` would panic otherwise.
         let mut rng = Rng::with_seed(seed);
         let gateways = RANDOM_FLEET_SIZES[rng.usize(0..RANDOM_FLEET_SIZES.len())];
         let rate = 2.0 + 8.0 * rng.f64();
@@ -120,7 +118,7 @@
     }
 
     /// A schedule with periodic faults: `customers` customers with a demand of four times their rate, and nine
-    /// faults of 2 s, which begin every 8 s.
+    /// faults of 2 s each, the first at 5 s and then one every 8 s. Demand is never redistributed.
     pub fn periodic(kind: FaultKind, gateways: u32, customers: usize, seed: u64) -> Self {
         let demand = Demand { pattern: DemandPattern::Steady(4.0), skew: 0.0, redistribute_after: 1e9 };
         let fault = |n| Fault { at: 5.0 + 8.0 * f64::from(n), duration: 2.0, kind };
@@ -154,7 +152,7 @@
 
 impl Fault {
     fn random(rng: &mut Rng, gateways: u32) -> Self {
-        let at = FAULT_FREE_MARGIN + (RANDOM_DURATION - 2.0 * FAULT_FREE_MARGIN) * rng.f64();
+        let at = FAULT_START_MARGIN + (RANDOM_DURATION - 2.0 * FAULT_START_MARGIN) * rng.f64();
         // Log-uniform: most faults are short, so that many begin and end between two decisions of a gateway.
         let duration = SHORTEST_FAULT * FAULT_DURATION_RATIO.powf(rng.f64());
         let kind = match rng.u8(0..10) {
--- a/crates/soak/src/growth/measurement.rs
+++ b/crates/soak/src/growth/measurement.rs
@@ -45,7 +45,7 @@
 /// Options of a measurement.
 #[derive(Debug, Clone)]
 pub struct GrowthOptions {
-    /// The gateway executable.
+    /// Path of the gateway executable.
     pub exe: PathBuf,
     /// The directory for the gateway's configuration.
     pub dir: PathBuf,
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -23,7 +23,7 @@
 use weirusher_fakes::{DiscoveryAgent, Link};
 use weirusher_fault_shim::FaultShim;
 
-/// How long after SIGHUP a node may still be unaware of an update.
+/// How long a node may take after SIGHUP to learn of an update of the endpoint list.
 const RELOAD_GRACE: Duration = Duration::from_secs(4);
 /// How long after SIGHUP the connections to the old addresses of discovery and the counter are reset.
 const OLD_ADDRESS_RESET_DELAY: Duration = Duration::from_millis(1500);
@@ -104,7 +104,7 @@
     pub counter: [Link; 2],
     /// The log file, which all its processes append to.
     pub log: PathBuf,
-    /// Held during a fault that signals the process, so that there is one such fault at a time.
+    /// Locked by each fault that sends signals to the process, so that no two of them overlap.
     pub signal_lock: tokio::sync::Mutex<()>,
     number: usize,
     plan: Plan,
@@ -120,7 +120,7 @@
 
 /// Options that all nodes of a soak share.
 pub struct NodeOptions {
-    /// The gateway executable.
+    /// Path of the gateway executable.
     pub exe: PathBuf,
     /// The directory for configurations and logs.
     pub dir: PathBuf,
@@ -302,7 +302,8 @@
         self.start().await
     }
 
-    /// Sends SIGTERM, and SIGKILL at the earliest time at which the platform may send it.
+    /// Sends SIGTERM. If the process has not exited by the earliest time at which the platform may kill it, sends
+    /// SIGKILL. Waits for the exit.
     pub async fn stop(&self) {
         let (incarnation, now) = (self.incarnation(), Instant::now());
         self.recorder.update_process(incarnation, |process| process.terminated_at = Some(now));
@@ -404,8 +405,8 @@
 
     // ---- Discovery ----
 
-    /// Records that the process could not open connections from `from` until now: it counts as notified of
-    /// updates in that span only from now on.
+    /// Records that the process could not open connections to discovery since `from`. The oracle treats updates of
+    /// that time as received only now.
     pub fn record_outage(&self, from: Instant) {
         self.record_deferral(Deferral { from, until: Instant::now() });
     }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -66,7 +66,7 @@
     pub id: String,
     /// The gateway process that it was sent to.
     pub incarnation: Incarnation,
-    /// The request class.
+    /// The request class, which determines how often the request may be executed.
     pub class: Class,
     /// The number of the customer, if that has a ceiling.
     pub limited_customer: Option<usize>,
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -68,7 +68,7 @@
         writeln!(
             f,
             "  {} attempts; {} processes, {} killed at the end of a shutdown; faults {:?}; {} calls changed; \
-             timer lag {:.0} ms at most",
+             longest timer lag {:.0} ms",
             self.attempts,
             self.processes,
             self.killed,
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -41,7 +41,7 @@
 pub struct PreparedRequest {
     /// The id of the request.
     pub id: String,
-    /// The request class.
+    /// The request class, which determines how often the request may be executed.
     pub class: Class,
     /// The number of the customer, if that has a ceiling.
     pub limited_customer: Option<usize>,
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -1,7 +1,7 @@
-//! Regression traces of the policy: feeds gateways with random events from fixed seeds, and prints a digest of all
-//! their actions.
+//! Regression traces of the policy: feeds one gateway of a fleet with random events from fixed seeds, and prints a digest
+//! of all its actions.
 //!
-//! A change that is meant to keep the behavior of the policy must leave the output identical to the byte:
+//! A change that is meant to keep the behaviour of the policy must leave the output identical to the byte:
 //! `cargo run --release --example trace`.
 
 use std::collections::BTreeMap;
@@ -181,8 +181,8 @@
         (self.now + elapsed, event)
     }
 
-    /// Adds to a count; returns the event of the response and when that is due. For a third of the time the
-    /// counter is slow, and calls time out.
+    /// Adds to a count; returns the event of the response and when that is due. In 20 of every 60 s, each call is
+    /// counted but times out; in a trace, these are the times from 120 to 140.
     fn add_to_counter(&mut self, counter: u64, amount: f64) -> (Time, Event) {
         let total = self.counts.entry(counter).or_default();
         *total += amount;
