--- a/src/bin/weirusher-benchlink/error.rs
+++ b/src/bin/weirusher-benchlink/error.rs
@@ -8,7 +8,7 @@
 pub enum AdapterError {
     #[error("cannot read standard input: {0}")]
     Input(#[source] std::io::Error),
-    #[error("cannot write standard output: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Output(#[source] std::io::Error),
     #[error("malformed batch: {0}")]
     MalformedBatch(#[source] serde_json::Error),
--- a/src/bin/weirusher-benchlink/host.rs
+++ b/src/bin/weirusher-benchlink/host.rs
@@ -39,7 +39,8 @@
     /// Handles a line of input and returns the line of output.
     ///
     /// # Errors
-    /// Returns an error if the line is not a batch, or for the first message that cannot be decoded.
+    /// Returns an error if the line is not a batch, or for the first message that cannot be decoded
+    /// or handled.
     pub fn handle_batch(&mut self, line: &str) -> Result<Value, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::MalformedBatch)?;
         let mut groups = Vec::new();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! weirusher: the policy, that is, the decision logic of an API gateway, which holds customers to shared quotas
-//! in front of a fleet of backends.
+//! The policy of an API gateway that holds customers to shared quotas in front of a fleet of backends: it
+//! decides how each request proceeds.
 //!
 //! The crate does no I/O and reads no clock. Pass [`Gateway::handle_event`] one [`Event`] at a time with the
 //! current time, and carry out the [`Action`]s that it appends.
--- a/src/platform_settings.rs
+++ b/src/platform_settings.rs
@@ -24,7 +24,7 @@
     pub zones: Vec<String>,
     /// Seconds after which a backend closes an idle connection.
     pub connection_idle_timeout: f64,
-    /// Seconds after the start of a backend's drain from which on it must get no new requests.
+    /// Seconds from the start of a backend's drain until it must get no new requests.
     pub drain_grace: f64,
 }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -87,8 +87,8 @@
 }
 
 /// Returns the initial fallback limit of a new customer: this gateway's share of the burst. If that is below
-/// one request, `FRACTIONAL_SHARE_START_FRACTION` of the gateways raise it to one request. It is 0 under a
-/// ceiling, as a gateway that has restarted does not know how much it spent before.
+/// one request, `FRACTIONAL_SHARE_START_FRACTION` of the gateways raise it to one request. Under a
+/// ceiling the limit is 0, as a gateway that has restarted does not know how much it spent before.
 fn initial_fallback(request: &Request, plan: &Plan, customer_instances: u32, instance: u32) -> f64 {
     if plan.ceiling_rate > 0.0 {
         return 0.0;
--- a/src/policy/backend.rs
+++ b/src/policy/backend.rs
@@ -25,7 +25,7 @@
     pub(super) last_observed: Time,
     /// Consecutive failed attempts.
     pub(super) failures: u32,
-    /// Connecting to it failed so often that it was ejected.
+    /// It refused a connection, or connecting failed as often as an ejection requires: it may have restarted.
     pub(super) unreachable: bool,
     pub(super) ejected_until: Time,
     /// Duration of its next ejection.
--- a/src/policy/call_pacing.rs
+++ b/src/policy/call_pacing.rs
@@ -10,7 +10,7 @@
 use super::token_bucket::TokenBucket;
 use super::tuning::{
     CALL_BURST_SECONDS, CALL_RATE_FAILURE_FACTOR, CALL_RATE_INCREASE, CALL_RATE_SLOW_FACTOR, EWMA_GAIN,
-    INITIAL_FLEET_CALL_RATE, MIN_CALL_BURST, MIN_CALL_COST, MIN_CALL_RATE, RESTORED_CALL_RATE_FRACTION,
+    INITIAL_FLEET_CALL_RATE, MIN_CALL_BURST, MIN_CALL_RATE, MIN_CALL_TOKENS, RESTORED_CALL_RATE_FRACTION,
     SLOW_CALL_FRACTION,
 };
 use crate::interface::{Status, Time};
@@ -41,10 +41,10 @@
     /// mean, the more tokens the bucket must hold: their number grows with the square of the ratio.
     pub(super) fn allows(&mut self, now: Time, priority: f64) -> bool {
         self.mean_priority += EWMA_GAIN * (priority - self.mean_priority);
-        let relative_cost = (self.mean_priority / priority.max(MIN_PRIORITY)).powi(2);
-        let cost = relative_cost.clamp(MIN_CALL_COST, MIN_CALL_BURST);
+        let ratio_squared = (self.mean_priority / priority.max(MIN_PRIORITY)).powi(2);
+        let needed = ratio_squared.clamp(MIN_CALL_TOKENS, MIN_CALL_BURST);
         let burst = MIN_CALL_BURST.max(CALL_BURST_SECONDS * self.rate);
-        self.budget.refill(now, self.rate, burst) >= cost
+        self.budget.refill(now, self.rate, burst) >= needed
     }
 
     /// Takes the token of a call from the budget.
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -14,7 +14,7 @@
     MIN_ATTEMPTS_PER_BACKEND, MIN_LATENCY_SECONDS,
 };
 
-/// Attempts of this gateway that are in flight.
+/// The attempts of this gateway in flight, from which the limit is computed.
 #[derive(Debug, Default)]
 pub(super) struct ConcurrencyLimit {
     in_flight: f64,
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -3,7 +3,8 @@
 //!
 //! A call adds to the customer's count the units that the waiting requests need, a second of recent demand,
 //! and the units that the gateway has spent without a lease. The total in the response determines how much of
-//! that is granted (`settlement`). Requests wait at most a few milliseconds; then the fallback limit decides.
+//! that is granted (`settlement`). Requests wait for at most 0.4 of the counter's timeout, which is 20 ms
+//! with the default timeout; then the fallback limit decides.
 //!
 //! Inputs: the customer's recent demand and last known level (units), the status of counter calls, the
 //! counter's timeout in seconds.
@@ -97,9 +98,10 @@
         customer.pending_call = Some(PendingCall { token, wait_ended: true });
     }
 
-    /// Takes the uncounted units that the next call has to report, less those covered by the refill during an
-    /// outage: the count does not include that refill, as at most the burst is credited. Returns 0 while
-    /// calls fail: units of a call that was counted but got no response would be counted twice.
+    /// Takes the uncounted units that the next call has to report. After an outage they are reduced by this
+    /// gateway's share of the refill beyond one burst: the count credits at most one burst for that time.
+    /// Returns 0 while calls fail: units of a call that was counted but got no response would be counted
+    /// twice.
     fn take_uncounted(&mut self, customer_id: &CustomerId, plan: &Plan) -> f64 {
         let customer = self.customers.existing(customer_id);
         if self.counter.is_failing() {
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,9 +1,9 @@
 //! Outlier ejection: a backend whose attempts fail gets no further attempts for some time.
 //!
 //! A backend is ejected after [`EJECT_AFTER_FAILURES`] consecutive failures, or at once if it refuses a
-//! connection, which shows that its process has exited. Each further ejection is twice as long, until an
-//! attempt is served. No backend is ejected while many others are: failures at so many have a common cause,
-//! and the rest could not carry the load.
+//! connection, which shows that its process has exited. Each further ejection is twice as long, up to
+//! [`MAX_EJECTION_SECONDS`], until an attempt is served. No backend is ejected while many others are:
+//! failures at so many have a common cause, and the rest could not carry the load.
 //!
 //! Inputs: the status of each attempt, the seconds since it was sent, the connect timeout in seconds.
 
@@ -29,7 +29,8 @@
             // A backend that rejects is running at full capacity. Timeouts raise the latency instead: in an
             // overload all backends time out, and none is an outlier.
             Status::Rejected | Status::Timeout => {}
-            // Refused. A connect that times out may only be slow, so it counts as one failure below.
+            // A connection that fails this soon was refused. One that times out may only be slow, so it
+            // counts as one failure below.
             Status::ConnectFailed if elapsed < REFUSED_CONNECT_FRACTION * connect_timeout => {
                 self.failures = EJECT_AFTER_FAILURES;
             }
--- a/src/policy/settlement.rs
+++ b/src/policy/settlement.rs
@@ -179,8 +179,8 @@
         }
         let customer = self.customers.existing(&call.customer);
         let carryover = if total - call.amount > UNIT_TOLERANCE {
-            let remaining_at_turn = plan.burst + plan.rate * window_seconds(plan) - total;
-            plan.burst - (remaining_at_turn + plan.rate * window.age).min(plan.burst)
+            let remaining_at_start = plan.burst + plan.rate * window_seconds(plan) - total;
+            plan.burst - (remaining_at_start + plan.rate * window.age).min(plan.burst)
         } else {
             // The counter has lost the previous count; only this gateway's own estimate is left.
             customer.count.carryover
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -75,8 +75,8 @@
 pub(super) const CALL_RATE_FAILURE_FACTOR: f64 = 0.6;
 /// Fraction of the call rate before an outage at which calls resume after it.
 pub(super) const RESTORED_CALL_RATE_FRACTION: f64 = 0.5;
-/// Minimum cost, in calls, of a call for a request of more than the mean priority.
-pub(super) const MIN_CALL_COST: f64 = 0.2;
+/// Minimum number of tokens that the bucket must hold for a call, however high the priority of the request.
+pub(super) const MIN_CALL_TOKENS: f64 = 0.2;
 
 // Ceilings.
 
@@ -126,8 +126,8 @@
 
 // Slow start.
 
-/// Fraction of the load that would overload a backend in slow start; all gateways together plan to send it
-/// this much.
+/// Load that all gateways together plan to send to a backend in slow start, as a fraction of the load that
+/// would overload it.
 pub(super) const SLOW_START_FRACTION: f64 = 0.4;
 /// Burst that a backend in slow start may be sent, as a fraction of the units planned for the time after
 /// which an excess load counts as an overload.
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_decision_logic_is_in_small_modules() {
+fn the_policy_is_in_small_modules() {
     for module in modules() {
         let text = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(&module)).unwrap();
         assert!(text.lines().filter(|line| !line.trim().is_empty()).count() <= MAX_LINES, "{module}");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn all_decision_modules_are_listed_in_the_deploy_file() {
+fn all_policy_modules_are_listed_in_the_deploy_file() {
     let deploy = include_str!("../deploy/balancer.toml");
     let line = deploy.lines().find(|line| line.starts_with("policy = ")).unwrap();
     let listed: BTreeSet<String> = line.split('"').skip(1).step_by(2).map(String::from).collect();
