--- a/crates/core/src/engine/metrics.rs
+++ b/crates/core/src/engine/metrics.rs
@@ -19,7 +19,8 @@
     pub undelivered: u64,
     /// Attempts closed by a report.
     pub reported: u64,
-    /// Attempts closed by their deadline, without a report.
+    /// Attempts closed without a report: at their deadline, or because the check of a retry stopped
+    /// waiting for the report.
     pub unreported: u64,
     /// Retries that no check claimed in time.
     #[serde(rename = "uncollected")]
--- a/crates/core/src/overshoot_bound.rs
+++ b/crates/core/src/overshoot_bound.rs
@@ -5,8 +5,9 @@
 //! units lost in the restart of a gateway, and units lost when the counter is emptied.
 
 /// Fraction of the burst by which the level at the counter may exceed the burst before the excess expires
-/// (the policy's `EXPIRY_SLACK_FRACTION`). The same amount is lost when a counter is emptied: units added
-/// after a gateway last read it, and a drop too small to be detected (`COUNT_RESET_FRACTION`).
+/// (the policy's `EXPIRY_SLACK_FRACTION`). The same fraction bounds the units lost when a counter
+/// is emptied: those added after a gateway last read it, and a drop too small to be detected
+/// (`COUNT_RESET_FRACTION`).
 const EXPIRY_SLACK_FRACTION: f64 = 0.5;
 /// Number of fallback limits that the counter may miss for each restart of a gateway: the units that the
 /// gateway had not added yet, and those that it may admit again after the restart.
--- a/crates/core/src/pool.rs
+++ b/crates/core/src/pool.rs
@@ -56,8 +56,8 @@
         self.open
     }
 
-    /// Takes the most recently used idle connection to an endpoint that may be reused; `None` if there is
-    /// none, or if it has timed out.
+    /// Takes an idle connection to an endpoint: the most recently used of those that may be reused already.
+    /// `None` if there is none, or if that one has timed out; it is then dropped.
     pub fn take(&mut self, now: Time, endpoint: &K) -> Option<T> {
         let idle = self.idle.get_mut(endpoint)?;
         let reusable = idle.partition_point(|entry| now - entry.since >= REUSE_DELAY);
--- a/crates/core/src/ticket_validator/tests.rs
+++ b/crates/core/src/ticket_validator/tests.rs
@@ -36,7 +36,7 @@
     assert_eq!(other.validate(999.0, Some(&text)), Err(TicketRejection::Misdirected));
 }
 
-/// At each time it is accepted or rejected as expired.
+/// Guards against a used ticket that is forgotten while it would still be accepted.
 #[test]
 fn a_ticket_is_not_accepted_twice_around_its_expiry() {
     let text = keyring().sign(&ticket());
--- a/crates/core/src/timer_wheel/tests.rs
+++ b/crates/core/src/timer_wheel/tests.rs
@@ -23,7 +23,7 @@
 proptest! {
     /// The wheel and an ordered map return the same values at the same times in the same order.
     #[test]
-    fn it_agrees_with_an_ordered_map(steps in proptest::collection::vec(step(), 1..120)) {
+    fn the_wheel_agrees_with_an_ordered_map(steps in proptest::collection::vec(step(), 1..120)) {
         let (mut wheel, mut map) = (TimerWheel::new(0.0), BTreeMap::new());
         let (mut now, mut keys) = (0u64, Vec::new());
         for (n, step) in steps.into_iter().enumerate() {
--- a/crates/core/src/watch/tests.rs
+++ b/crates/core/src/watch/tests.rs
@@ -1,3 +1,5 @@
+//! Timing of the polls, and recovery after polls that failed.
+
 use super::*;
 
 const TIMING: PollTiming = PollTiming { wait: 0.1, grace: 0.1 };
