--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -1,11 +1,14 @@
 //! Checks each step of the proxy immediately before it is taken: accepting a request, reading further
 //! requests, sending an attempt, retrying, closing a connection.
 //!
-//! A step may begin only if everything that it depends on will remain until the step ends: the client (its
-//! connection and its deadline), the process (its shutdown), the backend (its entry in the endpoint list, and
-//! the window within which it discards duplicates) and the request itself (its response is pending). The
-//! check is made when the step is taken and not when it was decided, because any of these may have ended in
-//! between.
+//! A step may begin only if everything that it depends on will remain until the step ends:
+//! - the client: its connection and its deadline;
+//! - the process: its shutdown;
+//! - the backend: its entry in the endpoint list, and the window within which it discards duplicates;
+//! - the request itself: its response is pending.
+//!
+//! The check is made when the step is taken and not when it was decided, because any of these may have ended
+//! in between.
 //!
 //! The policy follows the same rules on its own. A decision that breaks one is not carried out, and is
 //! counted in [`Violations`]. One rule is enforced by the policy alone: which backends may receive a retry of
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -199,7 +199,7 @@
     }
 
     /// When a connection has been in its state for `timeout` seconds. During a shutdown the timeout of a
-    /// connection that was already waiting for its first byte starts with the shutdown, and no timeout
+    /// connection that was already waiting for its first byte starts with the shutdown. No timeout then
     /// extends past the time for the last response.
     fn due(&self, connection: &SlotEntry, timeout: f64) -> Time {
         let since = connection.since();
--- a/crates/core/src/start_times.rs
+++ b/crates/core/src/start_times.rs
@@ -1,9 +1,9 @@
 //! Start times of backends, on the gateway's own clock.
 //!
 //! An endpoint list states each start by another host's wall clock, which may be wrong or stepped. The order
-//! of the lists is reliable: a backend that appears in a list started no earlier than the time at which the
-//! last list without it was current, and no later than the arrival of the list that names it. The first bound
-//! has a tolerance, because lists arrive late. Times are Unix seconds.
+//! of the lists is reliable, and gives two bounds for a backend that appears in a list: it started no earlier
+//! than the last time at which a list without it was current, and no later than the arrival of the list that
+//! names it. The first bound has a tolerance, because lists arrive late. Times are Unix seconds.
 
 use std::collections::HashMap;
 use weirusher::{BackendId, Endpoint, EndpointListKind, Time};
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -2,7 +2,7 @@
 //! abandon.
 //!
 //! The list is watched by long polls, either of a discovery agent beside the gateway or of discovery itself.
-//! The gateway counts as notified of a drain as soon as the agent knows of it, so the watch must learn of it
+//! The gateway counts as notified of a drain as soon as the agent knows of it. So the watch must learn of it
 //! within a bounded time, whatever happened to earlier polls. A poll of an agent that did not respond may
 //! never be answered, even after the agent has recovered. The watch therefore never relies on a single poll:
 //! while no response arrives, it opens one connection after another, and uses the first response on any of
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,9 +1,9 @@
 //! The concurrency limit: how many attempts of this gateway may be in flight at all backends together.
 //!
-//! By Little's law the recent mean number in flight, scaled by the ratio of the target latency to the median
-//! latency, is the number that keeps responses within a fraction of the latency objective, whoever else loads
-//! the backends. Headroom for random arrivals is added. It shrinks as responses slow down, and does so later
-//! if few attempts are in flight.
+//! The limit is the recent mean number in flight, scaled by the ratio of the target latency to the median
+//! latency. The target is a fraction of the latency objective. By Little's law this number keeps responses
+//! within the target, whoever else loads the backends. Headroom for random arrivals is added. It shrinks as
+//! responses slow down, and does so later if few attempts are in flight.
 //!
 //! Inputs: attempts that begin and end, their latency in seconds, the number of running backends and of
 //! gateways.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -26,7 +26,7 @@
 impl Customer {
     /// Returns whether the last known level is recent and shows that a lease would not cover `units`. If the
     /// last lease was not granted in full, the gateways wait until the refill covers one request for each of
-    /// them, or as many requests as half a burst has units, if those are fewer.
+    /// them. The number of these requests is limited to half the units of a burst.
     fn level_exhausted(&self, now: Time, plan: &Plan, units: f64) -> bool {
         let recent = self.level.filter(|level| now - level.at < LEVEL_REFRESH_SECONDS);
         let Some(mut level) = recent else { return false };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,9 +1,10 @@
 //! Slow start: how many units a backend may be sent while it warms up.
 //!
-//! A backend in slow start has a token bucket of units. The rate of the bucket is derived from the mean load
-//! per backend, the capacity that a backend of its age is guaranteed to have, and the multiple of it at which
-//! the backend would be overloaded (`overload_multiple`). As each gateway derives the budget from its own
-//! part of the load, the sum over all gateways stays below that multiple.
+//! A backend in slow start has a token bucket of units. The rate of the bucket is a fraction of the load that
+//! would overload the backend. That load follows from the mean load per backend, the capacity that a backend
+//! of its age is guaranteed to have, and the multiple of it at which the backend is overloaded
+//! (`overload_multiple`). As each gateway derives the budget from its own part of the load, the sum over all
+//! gateways stays below that multiple.
 //!
 //! Inputs: units sent, the age of the backend in seconds, the slow-start parameters in the settings.
 
--- a/tests/decisions/subsets.rs
+++ b/tests/decisions/subsets.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// In front of thousands of backends a gateway may open 2.5 times the connections that it opens in a fleet of
-/// 300 gateways in front of 200 backends, plus 40, while half of the backends restart.
+/// In front of thousands of backends a gateway may open 2.5 times as many connections, plus 40, as in a fleet of
+/// 300 gateways in front of 200 backends. Both numbers apply while half of the backends restart.
 #[test]
 fn a_gateway_with_thousands_of_backends_uses_few_of_them() {
     let mut settings = settings_without_quota();
