--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -29,7 +29,7 @@
     table.finish();
 }
 
-/// Reads `[limits]`: the maximum number of open requests, of attempts per request, and the maximum
+/// Reads `[limits]`: the maximum numbers of open requests and of attempts per request, and the maximum
 /// Retry-After.
 pub(crate) fn read_limits(root: &mut Table<'_, '_>, settings: &mut Settings) {
     (settings.max_open_requests, settings.max_attempts, settings.max_retry_after) = (10_000, 3, 5.0);
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -107,12 +107,13 @@
         }
     }
 
-    /// Reads a number within bounds. Returns the default if it is missing or, which is reported, invalid.
+    /// Reads a number within bounds. Returns the default if it is missing or invalid, and reports an invalid
+    /// one.
     pub fn number(&mut self, key: &'static str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
         self.optional_number(key, bounds).map_or(default, |number| number.value)
     }
 
-    /// Reads a number within bounds.
+    /// Reads a number within bounds. Returns `None` if it is missing or invalid, and reports an invalid one.
     pub fn optional_number(
         &mut self,
         key: &'static str,
@@ -139,8 +140,8 @@
         Some(Located { value: number, offset })
     }
 
-    /// Reads a whole number within bounds. Returns the default if it is missing or, which is reported,
-    /// invalid.
+    /// Reads a whole number within bounds. Returns the default if it is missing or invalid, and reports an
+    /// invalid one.
     pub fn whole_number(&mut self, key: &'static str, default: u32, bounds: RangeInclusive<u32>) -> u32 {
         let bounds = f64::from(*bounds.start())..=f64::from(*bounds.end());
         let Some(Located { value: number, offset }) = self.optional_number(key, bounds) else {
--- a/crates/platform/src/counter.rs
+++ b/crates/platform/src/counter.rs
@@ -4,7 +4,7 @@
 use bytes::{BufMut, BytesMut};
 use weirusher::Status;
 
-/// Maximum length of the body of a response, which is one number, in bytes.
+/// Maximum length of a response body, in bytes. The body is a single number.
 pub const MAX_RESPONSE_BYTES: usize = 1024;
 /// Largest absolute amount of one call.
 const MAX_AMOUNT: f64 = 1e9;
@@ -31,8 +31,8 @@
     dst.put_slice(b"Host: counter.local\r\nContent-Length: 0\r\n\r\n");
 }
 
-/// Parses the response to a call. `None` means that the amount was added but the total cannot be read; the
-/// connection must be closed.
+/// Parses the response to a call. `None` means that the amount may have been added but the new total is
+/// unknown: the total cannot be read, or the status code is unexpected. The connection must then be closed.
 pub fn parse_add_result(response: &Response) -> Option<AddResult> {
     match response.status {
         200 => {
--- a/crates/platform/src/list/entry.rs
+++ b/crates/platform/src/list/entry.rs
@@ -20,7 +20,7 @@
     #[error("{0}")]
     Malformed(String),
     /// The name is missing, empty or too long.
-    #[error("the name is missing, empty or too long")]
+    #[error("the name is missing, empty or longer than {MAX_NAME_BYTES} bytes")]
     InvalidName,
     /// The start time of the backend is not a valid time.
     #[error("since_ms must be a finite number of milliseconds, 0 or more")]
