--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -18,12 +18,12 @@
 
 /// Initial capacity of the buffer, in bytes: enough for a head and a short body.
 const BUFFER_CAPACITY: usize = 2048;
-/// Longest wait for the next bytes of a response that has started. Backends write their short responses in
-/// one go; a response that stalls is abandoned early, while there is still time for another attempt.
+/// Longest wait for the next bytes of a response that has started. Backends write their short responses at
+/// once; a response that stalls is abandoned early, while there is still time for another attempt.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(150);
 /// If the endpoint list is stale, an attempt first waits this long, so that the runtime reads the data in the
-/// socket buffers. After a stall of the process, this may include a drain notification that arrived before
-/// the backend was chosen.
+/// socket buffers. After a stall of the process, that data may include a drain notification that arrived
+/// before the backend was chosen.
 const STALE_LIST_DELAY: Duration = Duration::from_millis(2);
 
 /// An attempt to be made.
@@ -34,8 +34,8 @@
     /// The backend and its address; `None` if the list has no address for it, as it is draining or was
     /// removed.
     pub endpoint: Option<BackendEndpoint>,
-    /// Seconds within which the last byte must be written. After them the idempotency window may be over, and
-    /// the request could be executed a second time.
+    /// Seconds within which the last byte must be written. Later the idempotency window may be over, and the
+    /// request could be executed a second time.
     pub write_timeout: f64,
     pub forwarded: Rc<ForwardedRequest>,
     /// Set just before the first byte is written.
@@ -100,8 +100,8 @@
         })
     }
 
-    /// Writes the request, using `buffer` for its head. The buffer must be empty; it is
-    /// empty again if the call succeeds.
+    /// Writes the request, using `buffer` for its head. The buffer must be empty; it is empty again if the
+    /// call succeeds.
     ///
     /// # Errors
     /// The connection failed, or the last byte was not written in time. The backend has an incomplete
--- a/crates/node/src/connection/respond.rs
+++ b/crates/node/src/connection/respond.rs
@@ -109,7 +109,7 @@
     }
 
     /// Closes the connection after its last response, once the client has closed its side as well. Requests
-    /// that the client has pipelined behind stay unread; it sends them again on another connection.
+    /// that the client has pipelined after it stay unread; the client sends them again on another connection.
     pub(super) async fn lingering_close(&mut self) {
         if self.socket.shutdown_write().is_ok() {
             // After the timeout the connection is closed anyway.
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -241,7 +241,7 @@
         let result = response.as_ref().and_then(parse_add_result);
         let ended = self.connections.borrow_mut().response_completed(self.node.now(), connection);
         if let Some(EndedCall { call, elapsed }) = ended? {
-            // If the total cannot be read, the amount was added, but the new value is unknown.
+            // Without a readable total, the amount counts as added, but the new value is unknown.
             let (status, total) = result.map_or((Status::Error, 0.0), |result| (result.status, result.total));
             self.node.handle_counter_response(call, status, total, elapsed);
         }
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -35,8 +35,8 @@
     /// The list is invalid.
     #[error(transparent)]
     List(#[from] ListError),
-    /// The response contains changes to an older list than the one in use.
-    #[error("the changes are for an older list than the one in use")]
+    /// The response contains only changes, and no list is in use or the list in use is newer.
+    #[error("the response has only changes, but no list is in use or the list in use is newer")]
     OutdatedChanges,
     /// No response arrived in time; another poll is sent on a new connection.
     #[error("no response in time")]
--- a/crates/node/src/effects.rs
+++ b/crates/node/src/effects.rs
@@ -51,8 +51,8 @@
         for call in rejected_calls {
             state.proxy.handle_counter_response(self.now(), call, Status::Rejected, 0.0, 0.0);
         }
-        // Requests that waited for these calls are decided now. The recursion ends because the decision
-        // module does not immediately call a counter again that has rejected a call.
+        // Requests that waited for these calls are decided now. The recursion ends because the policy does not
+        // immediately call a counter again that has rejected a call.
         drop(guard);
         self.carry_out_outputs();
     }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -14,11 +14,11 @@
     ClientRequestedClose,
     /// The client did not read its response in time.
     ResponseUnread,
-    /// The connection was idle for too long, or was evicted to free its slot.
+    /// The connection was idle for too long after a request, or was evicted to free its slot.
     Idle,
-    /// No request arrived in time.
+    /// The connection timed out, or was evicted to free its slot, before its first request.
     NoRequest,
-    /// The request was invalid and was answered with an error.
+    /// A request was invalid or incomplete, and was answered with an error.
     InvalidRequest,
     /// The gateway is shutting down.
     Shutdown,
--- a/crates/node/src/panics/tests.rs
+++ b/crates/node/src/panics/tests.rs
@@ -19,7 +19,7 @@
 /// Timeout of a test.
 const LIMIT: Duration = Duration::from_secs(20);
 /// Time budget of each request, in milliseconds.
-const DEADLINE_MS: u64 = 2000;
+const TIME_BUDGET_MS: u64 = 2000;
 /// Maximum number of attempts that a customer may have in flight. If panics leaked them, the limit would soon
 /// be reached.
 const MAX_IN_FLIGHT: u32 = 4;
@@ -86,7 +86,7 @@
     let (method, id) = (if class == IDEMPOTENT { "GET" } else { "POST" }, NEXT.fetch_add(1, Relaxed));
     format!(
         "{method} /api/00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {id:016x}\r\nX-Qos: {class}\r\n\
-         Plan: iso\r\nX-Expires-In: {DEADLINE_MS}m\r\nQuota-Info: units=1,spread=1,first=0\r\n\
+         Plan: iso\r\nX-Expires-In: {TIME_BUDGET_MS}m\r\nQuota-Info: units=1,spread=1,first=0\r\n\
          Content-Length: 0\r\n\r\n"
     )
 }
@@ -137,13 +137,13 @@
     }
 }
 
-/// Guards against a panic in the task of a connection that closes the connection without a response.
+/// Guards against connections that are closed without a response because their task panicked.
 #[tokio::test]
 async fn a_request_whose_task_panics_gets_one_response() {
     with_node(async |harness| {
         let mut other = harness.client().await;
         let (failed, served, closed) = (Some(502), Some(200), None);
-        // After a panic behind the head, the end of the message is unknown: the connection closes.
+        // After a panic that follows the head, the end of the message is unknown: the connection closes.
         assert_eq!(harness.responses_after_panic("head read", IDEMPOTENT).await, [failed, closed]);
         assert_eq!(harness.responses_after_panic("request pending", IDEMPOTENT).await, [failed, served]);
         // The response may have been written in part: the connection closes without another one.
--- a/crates/node/src/wakeup.rs
+++ b/crates/node/src/wakeup.rs
@@ -19,7 +19,8 @@
 }
 
 impl Wakeup {
-    /// Wakes the task at `due` at the latest. Has no effect if an earlier time is already set.
+    /// Wakes the task at `due` at the latest. Has no effect if `due` is `None` or an earlier time is already
+    /// set.
     pub fn set(&self, due: Option<Time>) {
         if let Some(due) = due.filter(|due| *due < self.due.get()) {
             self.due.set(due);
