--- a/crates/ext-authz/src/endpoint_cache.rs
+++ b/crates/ext-authz/src/endpoint_cache.rs
@@ -52,7 +52,7 @@
     let file = path.clone();
     let loaded = tokio::task::spawn_blocking(move || load(&file));
     match tokio::time::timeout(LOAD_TIMEOUT, loaded).await {
-        Ok(loaded) => loaded.unwrap_or_default(), // `Err`: `load` panicked, which the hook has logged.
+        Ok(loaded) => loaded.unwrap_or_default(), // `Err`: `load` panicked, which the panic hook has logged.
         Err(_) => {
             tracing::warn!(
                 path = %path.display(),
--- a/crates/ext-authz/src/gateway.rs
+++ b/crates/ext-authz/src/gateway.rs
@@ -66,9 +66,9 @@
         self.tasks.failed().await;
     }
 
-    /// Shuts down gracefully: accepts no new connections, notifies each peer, and waits until no check or
-    /// attempt is pending and every connection has ended, for at most the configured drain time. Returns the
-    /// number of checks and attempts that were still pending.
+    /// Shuts down gracefully: accepts no new connections, notifies each connected proxy, and waits until no
+    /// check or attempt is pending and every connection has ended. The wait lasts at most the configured drain
+    /// time. Returns the number of checks and attempts that were still pending.
     pub async fn stop(mut self) -> usize {
         let deadline = Instant::now() + self.drain_timeout;
         self.stop.send_replace(true);
@@ -182,7 +182,7 @@
         engine,
         watch_endpoints,
         metrics: metrics.clone(),
-        seed: seed ^ 1, // Gives other jitter than the counter client's seed.
+        seed: seed ^ 1, // So that its jitter differs from the counter client's.
     }
 }
 
--- a/crates/ext-authz/src/metrics.rs
+++ b/crates/ext-authz/src/metrics.rs
@@ -32,7 +32,7 @@
     entries_without_ticket = "entries_without_ticket",
     /// Connections closed at once because the connection limit was reached.
     connections_rejected = "connections_refused",
-    /// Connections closed because they did not send the HTTP/2 preface in time.
+    /// Connections that ended, sent other bytes or timed out before the HTTP/2 preface was complete.
     connections_without_preface = "connections_mute",
     /// Calls sent to the counter.
     counter_calls = "counter_calls",
--- a/crates/ext-authz/src/services/access_log/tests.rs
+++ b/crates/ext-authz/src/services/access_log/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Also, a response with the rejection header counts as rejected, which states that it was not executed.
+/// A response with the rejection header, which states that the request was not executed, counts as rejected.
 #[test]
 fn response_flags_take_precedence_over_status_codes() {
     let timeout = ResponseFlags { upstream_request_timeout: true, ..ResponseFlags::default() };
--- a/crates/ext-authz/tests/panics.rs
+++ b/crates/ext-authz/tests/panics.rs
@@ -94,14 +94,14 @@
 #[tokio::test]
 async fn a_panicking_check_gets_a_response_and_leaks_no_attempt() {
     let fixture = start_gateway().await;
-    let granted_before = fixture.metric("", "owed").await;
+    let pending_before = fixture.metric("", "owed").await;
     let undelivered_before = fixture.metric("ledger", "undelivered").await;
     for round in 0..1000 {
         arm(if round % 2 == 0 { "check pending" } else { "check decided" });
         assert_eq!(fixture.check().await, Some(UNAVAILABLE), "round {round}");
         assert!(fault_triggered());
     }
-    while fixture.metric("", "owed").await > granted_before {
+    while fixture.metric("", "owed").await > pending_before {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     assert!(fixture.metric("ledger", "undelivered").await >= undelivered_before + 500);
