--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -17,7 +17,8 @@
 pub struct FleetConfig {
     /// The UDP address that datagrams are received at and sent from.
     pub listen: SocketAddr,
-    /// The listening address of the admin page of a `node`. `None` for `run`, which has one in `[listen]`.
+    /// The listening address of the fleet page of a `node`. `None` for `run`, whose admin page in `[listen]`
+    /// includes the fleet.
     pub admin: Option<SocketAddr>,
     /// The number of this gateway, the members and the key.
     pub settings: MembershipSettings,
--- a/crates/config/src/listen.rs
+++ b/crates/config/src/listen.rs
@@ -8,7 +8,7 @@
 const DEFAULT_CONNECTIONS: u32 = 1024;
 const MAX_CONNECTIONS: u32 = 65_536;
 const DEFAULT_DRAIN_SECONDS: f64 = 10.0;
-/// The default address of the admin page: a free port on loopback.
+/// The default address of the admin page, and of the fleet page of a `node`: a free port on loopback.
 pub(crate) const ANY_ADMIN_ADDRESS: &str = "127.0.0.1:0";
 
 /// Concurrency limits of the gRPC services.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,7 +3,8 @@
 //! This crate contains I/O only and makes no decisions: the proxy core decides how each request is handled,
 //! and the connection pool and the connection slots of `weirusher-core` decide which connections are kept.
 //! Everything runs on one thread, in tasks that share a `NodeContext`: one task per client connection and per
-//! attempt, and one each for the counter, discovery, timers and evictions.
+//! attempt, and one each for accepting connections, the counter, discovery, timers and evictions. The counter
+//! has a further task per connection, and discovery one per poll.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -13,7 +13,7 @@
 pub struct Response {
     /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The complete body, without transfer coding.
     pub body: Bytes,
     /// Whether the backend states that it did not execute the request (`X-Never-Ran: 1`).
     pub not_executed: bool,
--- a/crates/platform/tests/parsers.rs
+++ b/crates/platform/tests/parsers.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn malformed_total_is_none() {
+fn counter_calls_are_written_and_responses_parsed() {
     let update = |text: &str| counter::parse_add_result(&responses(text.as_bytes(), 9).unwrap()[0]);
     let ok = |body: &str| update(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     assert_eq!(ok("38.25"), Some(AddResult { status: Status::Ok, total: 38.25 }));
