--- a/crates/fleet/src/datagram.rs
+++ b/crates/fleet/src/datagram.rs
@@ -62,7 +62,8 @@
         /// Whether the recipient disseminates the message further. Set for refutations and state changes.
         gossip: bool,
     },
-    /// The latest known heartbeats of a range of members. Every datagram carries the next range in turn.
+    /// The latest known heartbeats of a range of members. Each datagram carries the next range in turn, except
+    /// handshake replies, probes of absent members and answers to digests.
     Heartbeats {
         /// The number of the first member in the range.
         first: u16,
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -7,8 +7,8 @@
 
 /// Rate limit on datagrams accepted from one member: several times the highest rate at which a member sends.
 const RECEIVE_RATE: Rate = Rate { per_second: 64, burst: 128 };
-/// Maximum number of doublings of the timeouts. They double when other members refute this member's
-/// suspicions.
+/// Maximum number of doublings of the timeouts. They double when, after a query about a silent member, newer
+/// evidence of its life comes from another member: this link is losing heartbeats.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// Times without a heartbeat, in milliseconds, after which an observer acts.
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -38,7 +38,8 @@
     /// The members from which this member expects heartbeats.
     pub subjects: Vec<u16>,
     subscribers: Vec<Subscriber>,
-    /// When the last datagram arrived from any member that was not older than the evidence already known.
+    /// When the last datagram arrived from any member. Datagrams older than the evidence already known do not
+    /// count.
     pub last_received: Option<Millis>,
 }
 
--- a/crates/fleet/src/member_table.rs
+++ b/crates/fleet/src/member_table.rs
@@ -17,8 +17,8 @@
 const SAME_ROUND_HEARTBEATS: u32 = 1;
 /// Factor by which a member's heartbeats may run ahead of the time that passed locally.
 const MAX_HEARTBEAT_SPEEDUP: Millis = 2;
-/// Number of heartbeats by which relayed news may be ahead of what this member knows, because it came by a
-/// faster path.
+/// Number of heartbeats by which relayed evidence may be ahead of what this member knows, because it came by
+/// a faster path.
 const PATH_SKEW_HEARTBEATS: Millis = 16;
 
 /// The state of a member, as another member believes it.
@@ -102,7 +102,7 @@
 /// The outcome of a suspicion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspicionOutcome {
-    /// It is already known, or out of date.
+    /// It changes nothing: it adds no suspector, or the member is already declared dead.
     Stale,
     /// Evidence known here refutes it, and should be passed on to other members.
     Refuted,
@@ -208,7 +208,8 @@
     }
 
     /// Handles evidence that a member sent a heartbeat `age` milliseconds ago. Returns `true` if the evidence
-    /// should be disseminated: it ends a suspicion or begins an incarnation.
+    /// should be disseminated: it shows that a member is alive that was unknown, suspected or dead, or that it
+    /// has begun an incarnation.
     pub fn handle_alive(&mut self, member: u16, evidence: Evidence, age: Millis, now: Millis) -> bool {
         let record = &mut self.records[usize::from(member)];
         if member == self.me || evidence <= record.latest {
@@ -250,8 +251,8 @@
         if record.latest.refutes(last) {
             return if dead { SuspicionOutcome::Stale } else { SuspicionOutcome::Refuted };
         }
-        // A suspicion also proves that its observers received the heartbeat `last`. When is not known, so
-        // `last_alive` does not change.
+        // A suspicion also proves that its observers received the heartbeat `last`. When they received it is
+        // not known, so `last_alive` does not change.
         record.latest = record.latest.max(last);
         if dead {
             return SuspicionOutcome::Stale;
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -1,8 +1,8 @@
 //! Suspicion and refutation, as in SWIM (Das et al. 2002). Each member (the subject) sends heartbeats to a
 //! few others (its observers). An observer that receives nothing from a subject first queries the other
-//! observers, then suspects the subject; any member that knows a later heartbeat
-//! refutes the suspicion. Only evidence of life decides, so a broken link does not get a live member declared
-//! dead. [`MemberTable`](crate::MemberTable) confirms the deaths.
+//! observers, then suspects the subject; any member that knows a later heartbeat refutes the
+//! suspicion. Only evidence of life decides, so a broken link does not get a live member declared dead.
+//! [`MemberTable`](crate::MemberTable) confirms the deaths.
 
 use super::Membership;
 use crate::Millis;
@@ -138,8 +138,8 @@
     }
 
     /// Handles evidence that a member sent a heartbeat `age` milliseconds ago; the age is 0 for a datagram
-    /// from the member itself. If `gossip` is set, the end of a suspicion or a new incarnation is
-    /// disseminated.
+    /// from the member itself. If `gossip` is set, the end of a suspicion, the return of a dead member or a
+    /// new incarnation is disseminated.
     pub(super) fn handle_evidence(
         &mut self,
         member: u16,
--- a/crates/fleet/src/membership/incarnation.rs
+++ b/crates/fleet/src/membership/incarnation.rs
@@ -69,8 +69,8 @@
         self.emit(Event::Paused(idle));
     }
 
-    /// Handles a later incarnation of this member's number, current or past. The process that was started
-    /// last keeps the number.
+    /// Handles a later incarnation of this member's number, which belongs to another running process or to an
+    /// earlier one. The process that was started last keeps the number.
     pub(super) fn handle_later_incarnation(&mut self, later: u64, now: Millis) {
         if now < self.own.startup_until {
             self.own.begin(later + 1);
--- a/crates/fleet/src/membership/relay.rs
+++ b/crates/fleet/src/membership/relay.rs
@@ -1,6 +1,5 @@
-//! Relaying of heartbeats: each datagram carries those of a few members in turn, so that evidence of life
-//! also reaches members that receive no heartbeat directly (heartbeat counters as in van Renesse et al.
-//! 1998).
+//! Relaying of heartbeats: most datagrams carry those of a few members in turn, so that evidence of life also
+//! reaches members that receive no heartbeat directly (heartbeat counters as in van Renesse et al. 1998).
 
 use super::Membership;
 use super::inbound::age_millis;
@@ -8,7 +7,7 @@
 use crate::member_table::Evidence;
 use crate::{Millis, forget_timeout};
 
-/// Members whose heartbeats each datagram relays: at fifty datagrams per second, a thousand members take
+/// Number of members whose heartbeats a datagram relays: at fifty datagrams per second, a thousand members take
 /// three seconds.
 const HEARTBEATS_PER_DATAGRAM: u16 = 8;
 /// The forget timeout divided by this is long enough for a later heartbeat of every live member to be relayed
--- a/crates/fleet/src/membership/status.rs
+++ b/crates/fleet/src/membership/status.rs
@@ -11,8 +11,8 @@
 }
 
 impl Membership {
-    /// How much of the fleet this member can reach, in both directions. Callers that act on the result pass
-    /// the current time, so that a process that was paused detects the pause here at the latest.
+    /// How much of the fleet this member can reach, in both directions. A pause of this process is detected
+    /// first, so that no caller acts on what was known before the pause.
     pub fn reachability(&mut self, now: Millis) -> Reachability {
         self.detect_pause(now);
         let links = &self.links;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the view in brief.
+    /// Returns a summary of the view.
     pub fn view_summary(&mut self, now: Millis) -> ViewSummary {
         let reachability = self.reachability(now);
         let others = || self.table.others();
--- a/crates/fleet/src/reachability.rs
+++ b/crates/fleet/src/reachability.rs
@@ -94,7 +94,7 @@
             self.last_low = now;
             return None;
         }
-        // By then, any members that came back only briefly are known to be dead, as when a partition moves.
+        // Waits until members that came back only briefly, as when a partition moves, are known to be dead.
         if now < self.last_low + DEATH_KNOWN_WITHIN {
             return None;
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -29,7 +29,8 @@
     /// Rejected: the authentication tag does not match, because of a different key or a forgery.
     #[serde(rename = "forged")]
     pub unauthenticated: u64,
-    /// Rejected: the tag matches, but the content does not decode or has member numbers outside the fleet.
+    /// Rejected: the tag matches, but the content does not decode, or a member number, an incarnation or the
+    /// length of a list is out of bounds.
     pub malformed: u64,
     /// Rejected: the sender is configured with a different fleet size.
     #[serde(rename = "other_size")]
@@ -48,7 +49,8 @@
     /// Deltas or digests of shared state that could not be decoded.
     #[serde(rename = "unreadable")]
     pub malformed_state: u64,
-    /// Datagrams not sent when due, because the send budget was exhausted; a later round makes up for them.
+    /// Datagrams not sent when due, because the send budget was exhausted or the outbox was full. A later
+    /// round makes up for them.
     #[serde(rename = "put_off")]
     pub deferred: u64,
     /// Gossip messages dropped because the queue was full.
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -60,7 +60,7 @@
         view.await.ok()
     }
 
-    /// Returns the view in brief; `None` while the process is stopping.
+    /// Returns a summary of the view; `None` while the process is stopping.
     pub async fn view_summary(&self) -> Option<ViewSummary> {
         let (reply, summary) = oneshot::channel();
         self.queries.send(Query::Summary(reply)).await.ok()?;
