--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use weirusher_core::ClockAnchor;
 
-/// How far after the start a time is taken to be that is too far ahead to be represented.
+/// A time that is too far ahead to be represented is replaced by the time this long after the start.
 const FAR_FUTURE: Duration = Duration::from_secs(3600);
 
 /// Unix time: that of the system clock at the start, advanced by the monotonic clock.
--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -10,6 +10,6 @@
 /// The connection cannot be established.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    let _ = stream.set_nodelay(true); // A failure is harmless: small writes are delayed by Nagle's algorithm.
+    let _ = stream.set_nodelay(true); // A failure is harmless: Nagle's algorithm only delays small writes.
     Ok(stream)
 }
--- a/crates/net/src/listen.rs
+++ b/crates/net/src/listen.rs
@@ -69,7 +69,7 @@
             match self.listener.accept().await {
                 Ok((stream, _)) => {
                     self.count_accepted();
-                    let _ = stream.set_nodelay(true); // A failure is harmless: small writes are delayed.
+                    let _ = stream.set_nodelay(true); // A failure is harmless: it only delays small writes.
                     return stream;
                 }
                 Err(error) if is_aborted_connection(&error) => self.pause_after_aborted().await,
@@ -93,7 +93,7 @@
 
     fn count_failed(&mut self, error: &io::Error) {
         if self.failed == 0 {
-            tracing::warn!(%error, "cannot accept connections");
+            tracing::warn!(%error, "cannot accept connections; retrying until it succeeds");
         }
         self.failed += 1;
     }
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -138,8 +138,9 @@
     if error == httparse::Error::TooManyHeaders { HttpError::HeadTooLarge } else { HttpError::Head(error) }
 }
 
-/// Checks that the parser found the end of the head where [`HeadSearch`] did, and that the version is 1.1. Other
-/// implementations on the path may read lines that end in a bare line feed, or older versions, in another way.
+/// Checks that the parser found the end of the head where [`HeadSearch`] did, and that the version is 1.1. Lines that
+/// end in a bare line feed and older versions are rejected, as other implementations on the path may interpret them
+/// differently.
 fn check_head(
     bytes: &[u8],
     parsed: httparse::Status<usize>,
--- a/crates/wire/src/http1.rs
+++ b/crates/wire/src/http1.rs
@@ -78,7 +78,7 @@
     pub method: String,
     /// The request target, normally a path with an optional query.
     pub path: String,
-    /// All headers of the message; `content-length` is replaced when it is written.
+    /// All headers of the message. The encoder replaces `content-length`.
     pub headers: Headers,
     /// The body without transfer encoding; empty if there is none.
     pub body: Bytes,
@@ -89,7 +89,7 @@
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// All headers of the message; `content-length` is replaced when it is written.
+    /// All headers of the message. The encoder replaces `content-length`.
     pub headers: Headers,
     /// The body without transfer encoding; empty if there is none.
     pub body: Bytes,
