--- a/crates/fleet/src/datagram.rs
+++ b/crates/fleet/src/datagram.rs
@@ -59,7 +59,8 @@
         heartbeat: u32,
         /// Estimated time since that heartbeat was sent, in tenths of a second.
         age: u16,
-        /// Whether the recipient disseminates the message further. Set for refutations and state changes.
+        /// Whether the recipient disseminates the message further. Set for gossiped refutations and state changes,
+        /// not for introductions and answers to queries.
         gossip: bool,
     },
     /// The latest known heartbeats of a range of members. Each datagram carries the next range in turn, except
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -1,9 +1,9 @@
 //! State that members replicate by anti-entropy: they compare digests and send each other the entries that
 //! are missing (Demers et al. 1987).
 
-/// A delta or digest that could not be decoded, or does not fit the shared state.
+/// A delta or digest that could not be decoded, or does not fit the shared state; or a value that does not fit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("delta or digest is not valid for this shared state")]
+#[error("delta, digest or value is not valid for this shared state")]
 pub struct Malformed;
 
 /// A replicated state of bounded size. Its merge is commutative, associative and idempotent, so that deltas
