--- a/crates/simulation/src/customer_monitor.rs
+++ b/crates/simulation/src/customer_monitor.rs
@@ -1,5 +1,5 @@
-//! Compares the requests that the gateways serve to a customer with those that a single gateway would serve that
-//! receives all its requests.
+//! Compares the requests that the gateways serve to a customer with those that a single gateway would serve if it
+//! received all requests of the customer.
 
 use crate::outcome::CustomerOutcome;
 use crate::schedule::Quota;
--- a/crates/simulation/src/membership/measurement.rs
+++ b/crates/simulation/src/membership/measurement.rs
@@ -10,7 +10,7 @@
 
 /// Time after a start until all members know each other, at any measured fleet size.
 const SETTLE_TIME: Millis = 30_000;
-/// Time in which all members have to detect a death.
+/// Time within which all members have to detect a death; otherwise it counts as missed.
 const DETECTION_LIMIT: Millis = 30_000;
 /// False beliefs about one member that follow each other within this time count as one alarm.
 const ALARM_SPAN: Millis = 10_000;
--- a/crates/simulation/src/outcome.rs
+++ b/crates/simulation/src/outcome.rs
@@ -38,8 +38,8 @@
         self.customers.iter().map(|customer| customer.overshoot).fold(0.0, f64::max)
     }
 
-    /// Requests served as a fraction of requests due, over all customers. Requests served to one customer
-    /// beyond its due do not compensate for another customer's.
+    /// Requests served as a fraction of requests due, over all customers. Requests served to a customer beyond
+    /// those due to it do not make up for requests that other customers were not served.
     pub fn served_fraction(&self) -> f64 {
         let (served, due): (u64, u64) = self
             .customers
--- a/examples/trace.rs
+++ b/examples/trace.rs
@@ -1,5 +1,5 @@
-//! Regression traces of the policy: feeds one gateway of a fleet with random events from fixed seeds, and prints a digest
-//! of all its actions.
+//! Regression traces of the policy: feeds one gateway of a fleet with random events from fixed seeds, and prints a
+//! digest of all its actions.
 //!
 //! A change that is meant to keep the behaviour of the policy must leave the output identical to the byte:
 //! `cargo run --release --example trace`.
@@ -186,9 +186,9 @@
     fn add_to_counter(&mut self, counter: u64, amount: f64) -> (Time, Event) {
         let total = self.counts.entry(counter).or_default();
         *total += amount;
-        let is_slow = (self.now as u64 / 20) % 3 == 0;
+        let times_out = (self.now as u64 / 20) % 3 == 0;
         let (status, elapsed) =
-            if is_slow { (Status::Timeout, COUNTER_TIMEOUT_SECONDS) } else { (Status::Ok, 0.002) };
+            if times_out { (Status::Timeout, COUNTER_TIMEOUT_SECONDS) } else { (Status::Ok, 0.002) };
         (self.now + elapsed, Event::CounterResponse { counter, status, total: *total, elapsed })
     }
 
