--- a/crates/fakes/src/backend.rs
+++ b/crates/fakes/src/backend.rs
@@ -219,7 +219,8 @@
         arrivals.len().saturating_sub(self.spec.cores)
     }
 
-    /// Waits for a core and executes a request for a random time between 0.5 and 2.5 times the mean.
+    /// Waits for a core and executes a request for a random time between 0.5 and 2.5 times the mean. The
+    /// time is longer during a slow start or a slowdown.
     async fn execute(&self, units: f64) {
         let exponential = -lock(&self.rng).f64().max(1e-9).ln();
         let seconds = units * self.spec.service_seconds * (0.5 + 0.5 * exponential.min(4.0));
--- a/crates/fakes/src/peer_network.rs
+++ b/crates/fakes/src/peer_network.rs
@@ -93,7 +93,7 @@
     recorder: Recorder,
 }
 
-/// The network. Dropping it stops all forwarding.
+/// A network between gateways. Dropping it stops all forwarding.
 pub struct PeerNetwork {
     /// The address of each gateway in the others' member lists.
     pub addresses: Vec<SocketAddr>,
--- a/crates/fault-shim/shim/control.rs
+++ b/crates/fault-shim/shim/control.rs
@@ -7,7 +7,7 @@
 /// Address of the mapped control file; null where the environment names none.
 static CONTROL: AtomicPtr<AtomicI64> = AtomicPtr::new(core::ptr::null_mut());
 
-/// The dynamic loader calls the functions of `.init_array` before `main`.
+/// Makes the dynamic loader call [`map_control`] before `main`, as it does with all functions of `.init_array`.
 #[used]
 #[unsafe(link_section = ".init_array")]
 static INITIALIZER: unsafe extern "C" fn() = map_control;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -209,7 +209,7 @@
     pub fn inject(&self, fault: Fault) -> FaultHandle {
         let mut rules_in_use =
             self.rules_in_use.lock().expect("another thread panicked while it held the lock");
-        let rule = rules_in_use.iter().position(|in_use| !in_use).expect("more faults are active than fit");
+        let rule = rules_in_use.iter().position(|in_use| !in_use).expect("all rules are in use");
         rules_in_use[rule] = true;
         let base = rule_start(rule);
         let EncodedAction { code, value, replaced_errno } = fault.action.encode();
--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -26,7 +26,7 @@
 #[non_exhaustive]
 pub enum CaptureError {
     /// A line cannot be read.
-    #[error("line {line}: {error}")]
+    #[error("cannot read line {line}: {error}")]
     Read {
         /// Line number, from 1.
         line: usize,
--- a/crates/scenarios/src/audit/drains.rs
+++ b/crates/scenarios/src/audit/drains.rs
@@ -55,7 +55,7 @@
             return;
         }
         let description = format!(
-            "{backend} was selected {:.3} s after gateway {} knew that it was draining or removed",
+            "{backend} was selected {:.3} s after gateway {} learned that it was draining or removed",
             sent - known.time_seconds,
             check.gateway
         );
--- a/crates/scenarios/src/audit/membership.rs
+++ b/crates/scenarios/src/audit/membership.rs
@@ -270,7 +270,8 @@
             .map(|since| (since, "is reached by no other gateway"))
             .or(reaching_none.map(|since| (since, "reaches no other gateway")))?;
         let description = format!(
-            "gateway {gateway} {what} for {:.2} s, but reports a reachable share of {share:.2}, hearing {heard}",
+            "gateway {gateway} {what} for {:.2} s, but reports a reachable share of {share:.2} and {heard} members \
+             that it hears",
             requested - since_seconds
         );
         Some(MembershipViolation { rule: MembershipRule::ReachabilityTrue, since_seconds, description })
--- a/crates/scenarios/src/audit/slow_start.rs
+++ b/crates/scenarios/src/audit/slow_start.rs
@@ -77,7 +77,7 @@
         let max_units = limits.overload_multiple * capacity + limits.allowance_units;
         if arrived > max_units {
             let description = format!(
-                "backend {backend} in slow start got {arrived:.1} units in {window} s, of at most {max_units:.1}"
+                "backend {backend} in slow start got {arrived:.1} units in {window} s, {max_units:.1} allowed"
             );
             let lines = vec![starting.started.line, at.line];
             report.add_violation(RULE, Some(request), now, lines, description);
--- a/crates/scenarios/src/clients.rs
+++ b/crates/scenarios/src/clients.rs
@@ -62,12 +62,12 @@
 
     /// Number of requests that have ended so far.
     pub fn ended(&self) -> usize {
-        self.outcomes.lock().expect("no holder panics").len()
+        self.outcomes.lock().expect("no thread panics while it holds the lock").len()
     }
 
     /// Removes and returns the outcomes of all ended requests.
     pub fn take_outcomes(&self) -> Vec<RequestOutcome> {
-        std::mem::take(&mut self.outcomes.lock().expect("no holder panics"))
+        std::mem::take(&mut self.outcomes.lock().expect("no thread panics while it holds the lock"))
     }
 
     /// Number of requests that were not sent because too many clients were active.
@@ -119,7 +119,7 @@
                 behaviour: draw_behaviour(clients, proxy_faults, &mut rng),
             };
             let outcome = self.load_generator.send_request(&request).await;
-            self.outcomes.lock().expect("no holder panics").push(outcome);
+            self.outcomes.lock().expect("no thread panics while it holds the lock").push(outcome);
             // A failed request may have been executed, so only an idempotent one is retried.
             let may_retry = match outcome.outcome {
                 ClientOutcome::Rejected => true,
--- a/crates/scenarios/src/fleet.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -37,7 +37,7 @@
         error: std::io::Error,
     },
     /// A gateway exited before it printed its addresses, or did not print them in time.
-    #[error("gateway {gateway} did not print its addresses in time, or exited")]
+    #[error("gateway {gateway} exited or printed no addresses in time; see its log on standard error")]
     NotListening {
         /// Number of the gateway.
         gateway: usize,
--- a/crates/scenarios/src/peers.rs
+++ b/crates/scenarios/src/peers.rs
@@ -83,7 +83,7 @@
     }
 
     fn change_member(&mut self, gateway: usize, change: impl FnOnce(&mut Member)) {
-        let mut member = self.members[gateway].lock().expect("no holder panics");
+        let mut member = self.members[gateway].lock().expect("no thread panics while it holds the lock");
         change(&mut member);
         let processes = [member.process, member.duplicate].into_iter().flatten();
         self.network.set_addresses(gateway, processes.map(|process| process.datagrams).collect());
@@ -105,7 +105,7 @@
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        let Member { process, duplicate } = *member.lock().expect("no holder panics");
+        let Member { process, duplicate } = *member.lock().expect("no thread panics while it holds the lock");
         for (addresses, duplicate) in [(process, false), (duplicate, true)] {
             let Some(addresses) = addresses else { continue };
             let requested_at_seconds = recorder.now();
--- a/crates/scenarios/src/run.rs
+++ b/crates/scenarios/src/run.rs
@@ -56,7 +56,7 @@
     #[error("cannot audit the capture: {0}")]
     Capture(#[from] CaptureError),
     /// The capture file cannot be created or opened.
-    #[error("{}: {error}", path.display())]
+    #[error("capture file {}: {error}", path.display())]
     File {
         /// Path of the file.
         path: PathBuf,
--- a/crates/scenarios/src/scenario.rs
+++ b/crates/scenarios/src/scenario.rs
@@ -176,7 +176,7 @@
     pub ceiling_rate: f64,
     #[serde(default)]
     pub ceiling_burst: f64,
-    #[serde(default = "one", rename = "pays")]
+    #[serde(default = "default_weight", rename = "pays")]
     pub priority_weight: f64,
     #[serde(default, rename = "excess_worth")]
     pub excess_weight: f64,
@@ -200,16 +200,16 @@
     #[serde(rename = "patience_ms")]
     pub deadline_ms: f64,
     /// Idempotency of the requests: `safe` (idempotent), `keyed` (idempotent for `window_seconds`, by key) or `unsafe`.
-    #[serde(default = "safe")]
+    #[serde(default = "default_effect")]
     pub effect: String,
     #[serde(default)]
     pub window_seconds: f64,
     /// Share of the requests, relative to the other classes.
-    #[serde(default = "one", rename = "share")]
+    #[serde(default = "default_weight", rename = "share")]
     pub weight: f64,
 }
 
-/// Behaviour of clients.
+/// Retries of clients, and how often they close their requests early.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs)]
@@ -255,11 +255,11 @@
     pub ticket_replayed: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-fn safe() -> String {
+fn default_effect() -> String {
     "safe".into()
 }
 
--- a/crates/scenarios/src/scenario/fault.rs
+++ b/crates/scenarios/src/scenario/fault.rs
@@ -41,7 +41,7 @@
         loss_probability: f64,
         #[serde(default, rename = "double")]
         duplicate_probability: f64,
-        /// Minimum and maximum.
+        /// Minimum and maximum; delays are uniformly distributed between them.
         #[serde(default)]
         delay_ms: [f64; 2],
         #[serde(default, rename = "replay")]
@@ -59,7 +59,8 @@
     },
     /// Blocks datagrams from each gateway in `from` to each gateway in `to`, in this direction only.
     PeerBlock { from: Vec<usize>, to: Vec<usize> },
-    /// Blocks all datagrams to a gateway except those from the gateway with the next number.
+    /// Blocks all datagrams to each gateway except those from the gateway with the next number; gateway 0 follows the
+    /// last one.
     PeerRing,
     /// Floods a gateway with datagrams whose source address is that of another gateway.
     PeerFlood {
--- a/crates/scenarios/tests/audit_membership.rs
+++ b/crates/scenarios/tests/audit_membership.rs
@@ -10,10 +10,10 @@
 const SECONDS: usize = 60;
 
 /// The report of a gateway at a time, with `alive` as the members that it reports alive and all others as dead.
-fn report(t: f64, gk: usize, alive: &[usize]) -> Value {
-    let dead: Vec<usize> = (0..GATEWAYS).filter(|n| *n != gk && !alive.contains(n)).collect();
+fn report(t: f64, gateway: usize, alive: &[usize]) -> Value {
+    let dead: Vec<usize> = (0..GATEWAYS).filter(|n| *n != gateway && !alive.contains(n)).collect();
     let share = alive.len() as f64 / (GATEWAYS - 1) as f64;
-    json!({"t": t, "what": "states", "gk": gk, "twin": false, "asked": t - 0.001, "belief":
+    json!({"t": t, "what": "states", "gk": gateway, "twin": false, "asked": t - 0.001, "belief":
         {"incarnation": 7, "alive": alive, "gone": dead, "share": share, "heard": alive.len(), "superseded": false}})
 }
 
@@ -25,9 +25,9 @@
         json!({"t": 0.0, "what": "peers", "size": GATEWAYS, "strangers": []}),
     ];
     for second in 1..=SECONDS {
-        for gk in 0..GATEWAYS {
-            let others: Vec<usize> = (0..GATEWAYS).filter(|n| *n != gk).collect();
-            lines.push(report(second as f64 + gk as f64 / 100.0, gk, &others));
+        for gateway in 0..GATEWAYS {
+            let others: Vec<usize> = (0..GATEWAYS).filter(|n| *n != gateway).collect();
+            lines.push(report(second as f64 + gateway as f64 / 100.0, gateway, &others));
         }
     }
     lines
@@ -57,17 +57,17 @@
 }
 
 /// Removes a line if it is an event of this gateway.
-fn remove_if_of(line: &mut Value, gk: usize) {
-    if line["gk"] == gk {
+fn remove_if_of(line: &mut Value, gateway: usize) {
+    if line["gk"] == gateway {
         *line = Value::Null;
     }
 }
 
 /// Changes a report that another gateway sent after a time, so that it has this gateway as dead.
-fn report_dead(line: &mut Value, gk: usize, at: f64) {
-    if !line.is_null() && line["gk"] != gk && time(line) > at {
+fn report_dead(line: &mut Value, gateway: usize, at: f64) {
+    if !line.is_null() && line["gk"] != gateway && time(line) > at {
         let own = line["gk"].as_u64().unwrap() as usize;
-        let alive: Vec<usize> = (0..GATEWAYS).filter(|n| *n != own && *n != gk).collect();
+        let alive: Vec<usize> = (0..GATEWAYS).filter(|n| *n != own && *n != gateway).collect();
         *line = report(time(line), own, &alive);
     }
 }
@@ -166,7 +166,7 @@
     assert!(violated_rules(&lines).contains(&Rule::Membership(MembershipRule::ReachabilityTrue)));
 }
 
-/// Its messages still arrive, relayed by other members.
+/// The member's messages still arrive, relayed by other members.
 #[test]
 fn a_member_blocked_in_one_direction_stays_reachable() {
     let blocked = json!({"t": 20.0, "what": "blocked", "from": 0, "to": 1, "blocked": true});
--- a/crates/scenarios/tests/gateway/external_authorisation.rs
+++ b/crates/scenarios/tests/gateway/external_authorisation.rs
@@ -188,7 +188,7 @@
     site.assert_rules_kept();
 }
 
-/// It fails when its backend vanishes, because the backend may have executed it before.
+/// The request fails when its backend vanishes, because the backend may already have executed it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_non_idempotent_request_is_not_retried() {
     let class = "aim_ms = 1000\npatience_ms = 3000\neffect = \"unsafe\"";
--- a/crates/soak/src/backend.rs
+++ b/crates/soak/src/backend.rs
@@ -17,7 +17,7 @@
 use weirusher_wire::http1::{Request, ServerCodec};
 
 const LISTEN_BACKLOG: u32 = 1024;
-/// A slow response is delayed by this many times its usual delay in addition.
+/// The additional delay of a slow response, as a multiple of its usual delay.
 const SLOW_FACTOR: u32 = 60;
 /// The time between the two responses of [`Reply::Twice`].
 const SECOND_RESPONSE_DELAY: Duration = Duration::from_millis(3);
--- a/crates/soak/src/faults/crowd.rs
+++ b/crates/soak/src/faults/crowd.rs
@@ -12,7 +12,7 @@
 /// The number of connections of a crowd: more than the `sockets` limit in the settings of a node.
 const CONNECTIONS: usize = 300;
 /// The minimum time for which the connections are held; the duration of the fault is added to it. It is
-/// longer than an idle connection may keep others from being accepted.
+/// longer than the time for which an idle connection can keep others from being accepted.
 const MIN_HOLD_TIME: Duration = Duration::from_millis(2500);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The approximate age at which a node closes an idle connection while others wait. Some connections send
--- a/crates/soak/src/growth/fleet_size.rs
+++ b/crates/soak/src/growth/fleet_size.rs
@@ -12,7 +12,7 @@
 impl FleetSize {
     /// The usual size, which the others are compared with.
     pub const USUAL: Self = Self { gateways: 300, backends: 200 };
-    /// Three times the usual gateways, with the same backends.
+    /// Three times the usual number of gateways, with the usual number of backends.
     pub const MANY_GATEWAYS: Self = Self { gateways: 900, backends: 200 };
     /// The largest size, in gateways and in backends.
     pub const LARGEST: Self = Self { gateways: 900, backends: 3200 };
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -442,8 +442,7 @@
         });
     }
 
-    /// Stops the agent from responding for `duration`. It serves the latest list
-    /// afterwards.
+    /// Stops the agent from responding for `duration`. It serves the latest list afterwards.
     pub async fn silence_discovery(&self, duration: Duration) {
         self.agent_state.lock().expect("no task panics while holding the lock").is_silent = true;
         self.agent.stop_answering();
--- a/crates/soak/src/oracle/ceilings.rs
+++ b/crates/soak/src/oracle/ceilings.rs
@@ -13,7 +13,7 @@
 struct Excess {
     /// Units over the ceiling.
     units: f64,
-    /// The begin of the span, in seconds since the start of the soak.
+    /// The start of the span, in seconds since the start of the soak.
     from: f64,
     /// The end of the span, in seconds since the start of the soak.
     to: f64,
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -144,7 +144,7 @@
 /// A time span in which updates may reach a node late: the node counts as notified of them at its end.
 #[derive(Debug, Clone, Copy)]
 pub struct Deferral {
-    /// The begin of the span.
+    /// The start of the span.
     pub from: Instant,
     /// The end of the span.
     pub until: Instant,
