--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -46,8 +46,8 @@
          least 1"
     )]
     Load { max_rate: f64, max_seconds: f64 },
-    /// A gateway's admin server does not respond.
-    #[error("{admin}: {error}")]
+    /// A gateway's admin server cannot be reached, or its response cannot be read.
+    #[error("cannot read the fleet view from the admin server at {admin}: {error}")]
     Admin { admin: SocketAddr, error: io::Error },
     /// A task that all requests depend on has panicked, and the gateway has shut down gracefully.
     #[error("stopped after a panic; see the log line `panic`")]
--- a/crates/cli/tests/gateway_kills.rs
+++ b/crates/cli/tests/gateway_kills.rs
@@ -165,11 +165,11 @@
         page.pointer(pointer).and_then(Value::as_u64).unwrap_or_else(|| panic!("{pointer}: {page}"))
     }
 
-    /// Waits until a number on the statistics page reaches `least`.
-    async fn wait_for_statistic(&self, gateway: usize, pointer: &str, least: u64) {
+    /// Waits until a number on the statistics page reaches `minimum`.
+    async fn wait_for_statistic(&self, gateway: usize, pointer: &str, minimum: u64) {
         let end = Instant::now() + TEST_TIMEOUT;
-        while self.statistic(gateway, pointer).await < least {
-            assert!(Instant::now() < end, "{pointer} did not reach {least}");
+        while self.statistic(gateway, pointer).await < minimum {
+            assert!(Instant::now() < end, "{pointer} did not reach {minimum}");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -188,11 +188,11 @@
         report
     }
 
-    /// Waits until the backend has executed `least` requests.
-    async fn wait_for_executions(&self, least: usize) {
+    /// Waits until the backend has executed at least `minimum` requests.
+    async fn wait_for_executions(&self, minimum: usize) {
         let end = Instant::now() + TEST_TIMEOUT;
-        while self.capture().matches("\"runs\"").count() < least {
-            assert!(Instant::now() < end, "the backend executed fewer than {least} requests");
+        while self.capture().matches("\"runs\"").count() < minimum {
+            assert!(Instant::now() < end, "the backend executed fewer than {minimum} requests");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -224,7 +224,7 @@
     assert_eq!(harness.audit().admissions["runs"], 1);
 }
 
-/// The client has its response, and the backend executes the request once.
+/// The client still gets its response, and the backend executes the request once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_kill_during_the_attempt_does_not_affect_the_request() {
     let mut harness = Harness::start(1, 0.4).await;
--- a/crates/cli/tests/node/clients.rs
+++ b/crates/cli/tests/node/clients.rs
@@ -188,7 +188,7 @@
     );
 }
 
-/// The pending request with the same id is served.
+/// Only the second request is rejected; the pending one with the same id is served.
 #[tokio::test]
 async fn a_request_with_the_id_of_a_pending_one_is_rejected() {
     let harness = Harness::start(1).await;
@@ -202,7 +202,7 @@
     assert_eq!(harness.attempts(&id), 1);
 }
 
-/// The gateway closes them within three seconds; the test allows ten.
+/// The gateway closes such connections within three seconds; the test allows ten.
 #[tokio::test]
 async fn silent_connections_and_incomplete_requests_are_closed() {
     let harness = Harness::start(1).await;
@@ -221,7 +221,7 @@
     Client(socket.connect(harness.listen).await.unwrap())
 }
 
-/// Guards against connections that hold their slot for ever.
+/// Guards against clients that hold a connection slot for ever by not reading.
 #[tokio::test]
 async fn a_client_that_does_not_read_responses_is_closed() {
     let harness = Harness::start(1).await;
@@ -298,7 +298,7 @@
 
 #[tokio::test]
 async fn no_retry_is_sent_for_a_client_that_has_closed() {
-    // Half-closed, closed, and reset.
+    // The client half-closes its connection (0), closes it (1) or resets it (2).
     for how in 0..3 {
         let (harness, open) = start_with_rejecting_backends().await;
         let (id, mut client) = (unique_id(), harness.client().await);
@@ -364,7 +364,7 @@
 
 #[tokio::test]
 async fn a_client_that_closes_during_a_counter_call_is_not_forwarded() {
-    // Calls to the counter practically never time out.
+    // The limit is so long that calls to the counter do not time out during the test.
     let long_timeout = |text: String| text.replace(r#""CountLimit":0.5"#, r#""CountLimit":50.0"#);
     let harness = Harness::start_with_config(1, 256, &[], long_timeout).await;
     let (open, gate) = watch::channel(false);
--- a/crates/cli/tests/node/discovery.rs
+++ b/crates/cli/tests/node/discovery.rs
@@ -22,7 +22,7 @@
         tokio::time::sleep(REUSE_PAUSE).await;
     }
     let before = harness.backends[0].accepted_connections();
-    // Notified by the pending watch: `s-0` is removed, the new `s-9` has its address, and `s-1` drains.
+    // The pending watch reports the new list: `s-0` is removed, the new `s-9` has its address, and `s-1` drains.
     let backends = [&harness.backends[0], &harness.backends[1]].map(|backend| backend.address);
     harness
         .discovery
@@ -59,7 +59,7 @@
 
 #[tokio::test]
 async fn lists_that_end_with_their_connection_are_applied() {
-    // Each response closes its connection: announced in its head, without a length, and chunked.
+    // Each response closes its connection: with a length and `Connection: close`, without a length, and chunked.
     let harness = Harness::start(2).await;
     let serving = harness.backends[0].address;
     let (polls, backends) = (Arc::new(AtomicUsize::new(0)), endpoint_list(3, &[("s-0", serving, "SERVING")]));
@@ -206,7 +206,7 @@
         );
         let (first, second) = text.split_at(text.find("s-1").unwrap());
         let at = |part: &str, zone: &str| part.replace(r#""zone":"a""#, &format!(r#""zone":"{zone}""#));
-        // The zone comes after the name in an entry.
+        // In an entry the zone comes after the name, so the zone of `s-1` is in the second part.
         format!("{}{}", at(first, "a"), at(second, "b"))
     };
     let discovery = DiscoveryAgent::start(ANY_PORT, 5, zoned(5)).await.unwrap();
@@ -267,7 +267,7 @@
     );
 }
 
-/// The list in the configuration, under the key `known`.
+/// `known` is the endpoint list in the configuration, which a gateway uses until discovery responds.
 #[tokio::test]
 async fn an_invalid_known_list_does_not_prevent_the_start() {
     let invalid_list = |text: String| text.replace(r#""endpoints":[]"#, r#""endpoints":7"#);
--- a/crates/cli/tests/node/log.rs
+++ b/crates/cli/tests/node/log.rs
@@ -74,7 +74,7 @@
     assert_stops_in_time(&mut harness).await;
 }
 
-/// The same with the default filter, and reloads.
+/// The process has the default filter, and its configuration is reloaded; each reload logs a line.
 #[tokio::test]
 async fn an_unread_log_delays_no_reload() {
     let (_reader, stderr) = unread_pipe();
--- a/crates/cli/tests/node/resource_limits.rs
+++ b/crates/cli/tests/node/resource_limits.rs
@@ -25,7 +25,7 @@
 }
 
 /// Opens `count` connections one after another, each of which sends one request, gets its response in time, and stays
-/// open. There may be more of them than descriptors.
+/// open. There may be more connections than descriptors.
 async fn idle_clients(harness: &Harness, count: usize) -> Vec<Client> {
     let deadline = Duration::from_millis(1500);
     let mut idle = Vec::new();
@@ -53,7 +53,7 @@
     assert_eq!(idle.len(), 34);
 }
 
-/// With idle clients, and a discovery that does not respond.
+/// Idle clients use descriptors, and polls of a discovery that does not respond stay open.
 #[tokio::test]
 async fn a_very_small_descriptor_limit_is_not_exceeded() {
     let limit = 32;
--- a/crates/cli/tests/node/scheduling_delay.rs
+++ b/crates/cli/tests/node/scheduling_delay.rs
@@ -33,7 +33,7 @@
 /// were delayed, and how many seconds after the first attempt the last one arrived.
 async fn delayed_retry(window: f64) -> (u64, f64) {
     // A hedged request is sent after 0.4 of the latency objective, which is 0.88 s.
-    let keyed = |text: String| {
+    let with_window = |text: String| {
         change_settings(&text, |settings| {
             settings["Classes"] = serde_json::json!([
                 {"Name": "pay", "Effect": "deduplicated", "Group": "all", "Window": window, "Slo": 2.2,
@@ -41,7 +41,7 @@
         })
     };
     let shim = FaultShim::new().unwrap();
-    let harness = Harness::start_with_shim(2, &shim, keyed).await;
+    let harness = Harness::start_with_shim(2, &shim, with_window).await;
     harness.backends.iter().for_each(|backend| backend.set_script(|_| Reply::NoReply));
     let (id, mut client) = (unique_id(), harness.client().await);
     client
--- a/crates/cli/tests/node/support.rs
+++ b/crates/cli/tests/node/support.rs
@@ -107,7 +107,7 @@
         Self::start_with_config(backends, sockets, others, |text| text).await
     }
 
-    /// The same, with a change to the configuration before the gateway starts.
+    /// Like [`Self::start_with`], with a change to the configuration before the gateway starts.
     pub async fn start_with_config(
         backends: usize,
         sockets: usize,
@@ -128,7 +128,7 @@
         Self::start_with_shim_and_times(backends, shim, &[], change).await
     }
 
-    /// The same, with start times of the backends in the first endpoint list.
+    /// Like [`Self::start_with_shim`], with start times of the backends in the first endpoint list.
     pub async fn start_with_shim_and_times(
         backends: usize,
         shim: &FaultShim,
--- a/crates/cli/tests/node/system_calls.rs
+++ b/crates/cli/tests/node/system_calls.rs
@@ -122,7 +122,7 @@
     (Call::Connect, Errno::EHOSTUNREACH, Target::Discovery),
     (Call::EpollWait, Errno::EINTR, Target::All),
 ];
-/// Duration of faults that do not occur only once.
+/// Duration of a fault that is not limited to a single call.
 const FAULT_DURATION: Duration = Duration::from_secs(2);
 /// Longest time from the end of a fault until a request is served.
 const MAX_RECOVERY_TIME: Duration = Duration::from_millis(100);
@@ -186,7 +186,7 @@
 }
 
 /// Waits until one of the faults has been injected into a call.
-async fn until_injected(shim: &FaultShim, faults: &[FaultHandle]) {
+async fn wait_until_injected(shim: &FaultShim, faults: &[FaultHandle]) {
     while !faults.iter().any(|fault| shim.changed_calls(*fault) > 0) {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
@@ -222,7 +222,7 @@
             harness.discovery.stop_answering();
         }
         if once {
-            let injected = until_injected(&shim, &faults);
+            let injected = wait_until_injected(&shim, &faults);
             let called = tokio::time::timeout(TEST_TIMEOUT, injected).await;
             called.unwrap_or_else(|_| panic!("the call was not made: {call:?} {errno:?} {target:?}"));
         } else {
@@ -237,7 +237,7 @@
         assert!(once || busy < MAX_CPU, "{busy:.2} cores, {hit} calls: {call:?} {errno:?} {target:?}");
         (descriptors, Instant::now())
     };
-    let again = async {
+    let recovery = async {
         let (descriptors, ended) = fault_under_load.await;
         let mut client = harness.client().await;
         while client.exchange(&request(&unique_id(), "iso", 3000)).await.expect("a complete response").status
@@ -250,7 +250,7 @@
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
         (descriptors, took)
     };
-    let ((before, took), sent) = tokio::join!(again, load);
+    let ((before, took), sent) = tokio::join!(recovery, load);
     assert!(took <= MAX_RECOVERY_TIME, "served again after {took:?}: {call:?} {errno:?} {target:?}");
     assert!(sent > 20, "{sent} requests");
     let no_leak = tokio::time::timeout(TEST_TIMEOUT, wait_until_descriptors_closed(&harness, before)).await;
--- a/crates/cli/tests/node/wall_clock.rs
+++ b/crates/cli/tests/node/wall_clock.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Also if its new start time is earlier than the previous one.
+/// The restart is recognised even if the new start time is earlier than the previous one.
 #[tokio::test]
 async fn a_restarted_backend_is_in_slow_start() {
     for (before, now) in [(-60, -7200), (-7200, -60), (-60, 0)] {
--- a/crates/cli/tests/run_process.rs
+++ b/crates/cli/tests/run_process.rs
@@ -69,7 +69,7 @@
         Self::start_with("", shim)
     }
 
-    /// The same, with more tables in its configuration.
+    /// Like [`Self::start`], with more tables in the configuration.
     fn start_with(tables: &str, shim: &FaultShim) -> Self {
         Self::launch(tables, &shim.environment(), Stdio::inherit())
     }
